--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -77,15 +77,15 @@
 	}
 	o.state.ReplaceServers(now, version, list)
 	o.state.ReplaceZones(now, version, zones)
-	for _, p := range observed.Parts() {
-		o.state.Read(now, p)
+	for _, p := range observed.Resources() {
+		o.state.RecordListing(now, p)
 	}
 }
 
 // has reports whether an instance knows a state of the platform.
 func (o *one) has(version int64, zones, servers int) bool {
 	table := o.state.Table()
-	out, _ := o.state.ZonesOut()
+	out, _ := o.state.DrainedZones()
 	return table != nil && table.Version == version && len(out) == zones && len(o.state.Servers("llm")) == servers
 }
 
--- a/internal/gossip/news.go
+++ b/internal/gossip/news.go
@@ -159,7 +159,7 @@
 
 // apply takes over an update, and fetches what is missing before it.
 func (g *Gossip) apply(ctx context.Context, now time.Time, u *observed.Update, from string) {
-	if !g.takeUpdate(now, u, from) && !g.opts.State.BehindBeside(u.Versions, observed.Configuration) {
+	if !g.takeUpdate(now, u, from) && !g.opts.State.BehindExcept(u.Versions, observed.Configuration) {
 		return
 	}
 	if r, ok := g.opts.Table.Get(from); ok {
@@ -170,17 +170,17 @@
 // takeUpdate takes over an update and reports whether changes are missing before
 // it.
 func (g *Gossip) takeUpdate(now time.Time, u *observed.Update, from string) (missing bool) {
-	parts := []observed.Part{observed.Servers, observed.Zones}
+	parts := []observed.Resource{observed.Servers, observed.Zones}
 	var before [2]uint64
 	for i, p := range parts {
-		before[i] = g.opts.State.Mark(p)
+		before[i] = g.opts.State.ContentHash(p)
 	}
 	missing = g.opts.State.Apply(now, u)
-	if g.opts.State.Mark(observed.Servers) != before[0] {
+	if g.opts.State.ContentHash(observed.Servers) != before[0] {
 		g.opts.Log.Info().Str("source", from).Int64("version", u.Versions[observed.Servers].Version).
-			Int("changes", len(u.Changes)).Bool("whole", u.Whole).Msg("backend servers told by another instance")
+			Int("changes", len(u.Changes)).Bool("whole", u.Snapshot).Msg("backend servers told by another instance")
 	}
-	if g.opts.State.Mark(observed.Zones) != before[1] {
+	if g.opts.State.ContentHash(observed.Zones) != before[1] {
 		g.opts.Log.Info().Str("source", from).Int64("version", u.Versions[observed.Zones].Version).
 			Strs("zones", u.Zones).Msg("zones told by another instance")
 	}
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -100,7 +100,7 @@
 		g.submit("sync", func() { g.sync(ctx, address, syncTimeout, g.opts.Table.All(g.opts.Now())) })
 	}
 	g.opts.State.MergeVersions(now, *m.Versions)
-	if g.opts.State.BehindBeside(*m.Versions, observed.Configuration) {
+	if g.opts.State.BehindExcept(*m.Versions, observed.Configuration) {
 		g.fetch(ctx, address)
 	}
 	g.configure(ctx, m.Versions, address)
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -148,14 +148,14 @@
 	answer := &Message{Records: lacks, Suspects: g.opts.Suspects(now), Instances: g.opts.Table.Count(now)}
 	if m.Versions != nil {
 		if r, ok := g.opts.Table.Get(m.From); ok {
-			if g.opts.State.BehindBeside(*m.Versions, observed.Configuration) {
+			if g.opts.State.BehindExcept(*m.Versions, observed.Configuration) {
 				g.fetch(context.WithoutCancel(ctx), r.Peer)
 			}
 			g.configure(context.WithoutCancel(ctx), m.Versions, r.Peer)
 		}
 		u := g.opts.State.UpdateFor(now, *m.Versions)
 		answer.Update = &u
-		if u.Whole && len(u.Servers) >= snapshotFrom && g.opts.State.Known() {
+		if u.Snapshot && len(u.Servers) >= snapshotFrom && g.opts.State.Known() {
 			answer.Update, answer.Snapshot = nil, true
 		}
 	}
--- a/internal/observed/take.go
+++ b/internal/observed/apply.go
@@ -9,34 +9,33 @@
 
 func (f *Follower) listConfiguration(now time.Time, _ int64, objects []objectapi.Object) {
 	for _, o := range objects {
-		f.takeConfiguration(now, o)
+		f.applyConfigurationObject(now, o)
 	}
 }
 
 func (f *Follower) applyConfiguration(now time.Time, _, _ int64, events []objectapi.Event) {
 	for _, e := range events {
 		if e.Type == objectapi.EventPut {
-			f.takeConfiguration(now, e.Object)
+			f.applyConfigurationObject(now, e.Object)
 		}
 	}
 }
 
-func (f *Follower) takeConfiguration(now time.Time, o objectapi.Object) {
+func (f *Follower) applyConfigurationObject(now time.Time, o objectapi.Object) {
 	if o.Name != f.opts.Dialect.Kinds.ConfigurationName {
 		return
 	}
 	f.TakeRaw(now, o.Value, "platform")
 }
 
-// TakeRaw takes over a configuration as the platform holds it, which may have
-// come from another instance.
+// TakeRaw applies a serialized configuration, from the platform or from another instance.
 func (f *Follower) TakeRaw(now time.Time, value []byte, source string) {
-	if f.opts.State.SameConfiguration(now, value) {
+	if f.opts.State.ConfirmConfiguration(now, value) {
 		return
 	}
 	cfg, err := f.opts.Dialect.Configuration(value)
 	if err != nil {
-		f.opts.Log.Error().Err(err).Str("source", source).Msg("configuration not understood, the last one stays in force")
+		f.opts.Log.Error().Err(err).Str("source", source).Msg("invalid configuration, the previous one stays in force")
 		return
 	}
 	if f.opts.State.Configure(now, cfg, value) {
@@ -54,8 +53,8 @@
 	f.opts.State.ReplaceServers(now, version, list)
 }
 
-// applyServers takes over changes of servers. An entry that can't be read takes
-// the place of the one before: another writer may have replaced it.
+// applyServers applies changes of servers. An invalid entry replaces the previous one:
+// another writer may have written it.
 func (f *Follower) applyServers(now time.Time, from, to int64, events []objectapi.Event) {
 	changes := make([]Change, 0, len(events))
 	for _, e := range events {
@@ -78,7 +77,7 @@
 func (f *Follower) server(o objectapi.Object) (dialect.Server, bool) {
 	s, err := f.opts.Dialect.Server(o.Name, o.Value)
 	if err != nil {
-		f.opts.Log.Warn().Str("server", o.Name).Err(err).Msg("entry of a backend server not understood")
+		f.opts.Log.Warn().Str("server", o.Name).Err(err).Msg("invalid entry of a backend server")
 		return s, false
 	}
 	return s, true
@@ -89,18 +88,18 @@
 	for _, o := range objects {
 		r, err := f.opts.Dialect.Rollout(o)
 		if err != nil {
-			f.opts.Log.Warn().Str("rollout", o.Name).Err(err).Msg("roll-out not understood")
+			f.opts.Log.Warn().Str("rollout", o.Name).Err(err).Msg("invalid rollout")
 			continue
 		}
 		list = append(list, r)
 	}
-	before := f.opts.State.Mark(Rollouts)
-	if !f.opts.State.ReplaceRollouts(now, version, list) || f.opts.State.Mark(Rollouts) == before {
+	before := f.opts.State.ContentHash(Rollouts)
+	if !f.opts.State.ReplaceRollouts(now, version, list) || f.opts.State.ContentHash(Rollouts) == before {
 		return
 	}
 	for _, r := range f.opts.State.Rollouts() {
 		f.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Dur("duration", r.Duration).Int64("revision", r.Revision).
-			Stringer("stage", r.Stage).Msg("roll-out ordered")
+			Stringer("stage", r.Stage).Msg("rollout requested")
 	}
 }
 
--- a/internal/observed/offered.go
+++ b/internal/observed/eligible.go
@@ -9,19 +9,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// put takes over an entry, drop takes one out. What requests are placed on
-// follows with publish.
+// put adds or replaces an entry, drop removes one. Requests are placed accordingly after
+// the next publish.
 func (s *State) put(e entry) {
-	mark := s.marks[Servers] + e.mark()
+	hash := s.hashes[Servers] + e.hash()
 	if known, ok := s.servers[e.ID]; ok {
-		mark -= known.mark()
+		hash -= known.hash()
 		if known.Born == e.Born && known.Version == e.Version {
 			e.retired, e.Since = known.retired, known.Since
 		}
 		s.touchServer(known.Service, e.ID)
 	}
 	s.servers[e.ID] = e
-	s.alter(Servers, mark)
+	s.setHash(Servers, hash)
 	s.touchServer(e.Service, e.ID)
 }
 
@@ -31,7 +31,7 @@
 		return
 	}
 	delete(s.servers, id)
-	s.alter(Servers, s.marks[Servers]-e.mark())
+	s.setHash(Servers, s.hashes[Servers]-e.hash())
 	s.touchServer(e.Service, id)
 }
 
@@ -42,31 +42,31 @@
 	s.touched[service][id] = true
 }
 
-// touchAll has all lists made anew: other zones are taken out.
+// touchAll rebuilds all lists at the next publish, after the drained zones have changed.
 func (s *State) touchAll() {
 	for id, e := range s.servers {
 		s.touchServer(e.Service, id)
 	}
 }
 
-// mark is the entry's part of the mark of all servers, which is their sum.
-func (e *entry) mark() uint64 {
+// hash returns the entry's part of the hash of all servers, which is the sum of the parts.
+func (e *entry) hash() uint64 {
 	if !e.missingSince.IsZero() {
 		return 0
 	}
 	return xxhash.Sum64String(e.ID + "\n" + e.Address + "\n" + e.Zone + "\n" + strconv.FormatBool(e.listed.Leaving) + "\n" + e.Version)
 }
 
-// publish makes the lists that requests are placed on, those of services without
-// a change excepted: of thousands of servers some change each second.
+// publish rebuilds the lists of servers that may get requests, but only those of services
+// with changes: of thousands of servers some change each second.
 func (s *State) publish() {
-	offered, canaries := maps.Clone(*s.offered.Load()), maps.Clone(*s.canaries.Load())
+	eligible, canaries := maps.Clone(*s.eligible.Load()), maps.Clone(*s.canaries.Load())
 	for service, ids := range s.touched {
-		offered[service] = s.relist(service, offered[service], ids, false)
-		canaries[service] = s.relist(service, canaries[service], ids, true)
+		eligible[service] = s.rebuild(service, eligible[service], ids, false)
+		canaries[service] = s.rebuild(service, canaries[service], ids, true)
 	}
 	clear(s.touched)
-	s.offered.Store(&offered)
+	s.eligible.Store(&eligible)
 	s.canaries.Store(&canaries)
 	select {
 	case s.changed <- struct{}{}:
@@ -74,10 +74,10 @@
 	}
 }
 
-// relist returns a service's list, or that of its canaries, with the entries of
-// some ids as they are now.
-func (s *State) relist(service string, list []Server, ids map[string]bool, canaries bool) []Server {
-	var fresh []Server
+// rebuild returns a service's list, or that of its canaries, with the entries of the given
+// IDs updated.
+func (s *State) rebuild(service string, list []Server, ids map[string]bool, canaries bool) []Server {
+	var updated []Server
 	for id := range ids {
 		e, ok := s.servers[id]
 		if !ok || e.Service != service || e.Leaving || s.zones[e.Zone] {
@@ -85,21 +85,21 @@
 		}
 		stable, canary := s.track(&e)
 		if canaries && canary || !canaries && stable {
-			fresh = append(fresh, e.Server)
+			updated = append(updated, e.Server)
 		}
 	}
-	slices.SortFunc(fresh, byID)
-	out := make([]Server, 0, len(list)+len(fresh))
+	slices.SortFunc(updated, byID)
+	out := make([]Server, 0, len(list)+len(updated))
 	for i := range list {
 		if ids[list[i].ID] {
 			continue
 		}
-		for len(fresh) > 0 && byID(fresh[0], list[i]) < 0 {
-			out, fresh = append(out, fresh[0]), fresh[1:]
+		for len(updated) > 0 && byID(updated[0], list[i]) < 0 {
+			out, updated = append(out, updated[0]), updated[1:]
 		}
 		out = append(out, list[i])
 	}
-	return append(out, fresh...)
+	return append(out, updated...)
 }
 
 func byID(a, b Server) int { return strings.Compare(a.ID, b.ID) }
--- a/internal/observed/follow.go
+++ b/internal/observed/follow.go
@@ -13,47 +13,46 @@
 )
 
 const (
-	// longWait is how long the platform may hold a watch back. That of the first
-	// in turn to watch the servers is short: engines give a notice of one and a
-	// half seconds, and while the platform is silent for longer they are asked
-	// themselves.
-	longWait    = 20 * time.Second
-	serversWait = 400 * time.Millisecond
-	// newsTime is how long news takes at the most, as a rule, from the instance
-	// that watches to all others.
-	newsTime = 250 * time.Millisecond
-	// callTimeout is what a call may take beyond its wait, slowTimeout what it
-	// may take after calls that failed.
-	callTimeout = 600 * time.Millisecond
-	slowTimeout = 3 * time.Second
-	// gather is the pause between two watches of servers: several leave and come
-	// together.
-	gather = 60 * time.Millisecond
-	// retryLeast and retryMost space calls to a platform that fails.
-	retryLeast = 100 * time.Millisecond
-	retryMost  = 700 * time.Millisecond
-	// sweepEvery is how often entries that stayed missing are dropped.
-	sweepEvery = 500 * time.Millisecond
-	// freshFor is for how long watches aren't answered late after one that didn't
-	// hear of a change.
-	freshFor = 10 * time.Second
-	// watchers is how many instances watch a kind of objects for all.
-	watchers = 2
-	// turnCheck is how often an instance looks whether it is to watch, failCheck
-	// the same while the platform fails.
-	turnCheck = 250 * time.Millisecond
-	failCheck = 50 * time.Millisecond
-	// standIn is how long the second one that watches leaves a change to the
-	// first to tell.
-	standIn = 120 * time.Millisecond
-	// settleTime is how long an instance that starts hears of others before it
-	// takes a turn to watch.
-	settleTime = 700 * time.Millisecond
-	startCheck = 20 * time.Millisecond
-	// blindAfter is how long calls fail until another instance is to watch, and
-	// blindFor how long this one leaves that to others then.
-	blindAfter = 500 * time.Millisecond
-	blindFor   = 5 * time.Second
+	// watchTimeout is how long the platform may hold a watch open. serversWatchTimeout is that
+	// of the first watcher of the servers. It is short because engines give a shutdown notice
+	// of one and a half seconds, and because the engines themselves are asked while the
+	// platform doesn't answer for longer.
+	watchTimeout        = 20 * time.Second
+	serversWatchTimeout = 400 * time.Millisecond
+	// broadcastTime is how long a broadcast usually takes, at most, from a watcher to all
+	// other instances.
+	broadcastTime = 250 * time.Millisecond
+	// callTimeout is how long a call may take beyond its watch timeout, maxCallTimeout how
+	// long it may take after failed calls.
+	callTimeout    = 600 * time.Millisecond
+	maxCallTimeout = 3 * time.Second
+	// watchPause is the pause between two watches of servers, because several servers often
+	// start or shut down together.
+	watchPause = 60 * time.Millisecond
+	// minRetryDelay and maxRetryDelay limit the delay between calls to a failing platform.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 700 * time.Millisecond
+	// sweepInterval is how often servers that are still missing after an outage are removed.
+	sweepInterval = 500 * time.Millisecond
+	// freshWatchTime is how long stale watches aren't allowed after a missed change.
+	freshWatchTime = 10 * time.Second
+	// watcherCount is the number of instances that watch a resource for all.
+	watcherCount = 2
+	// rankCheckInterval is how often an instance checks whether it is a watcher,
+	// retryCheckInterval how often it checks whether it may call a failing platform again.
+	rankCheckInterval  = 250 * time.Millisecond
+	retryCheckInterval = 50 * time.Millisecond
+	// standbyDelay is how long the second watcher waits for the first one to broadcast a
+	// change.
+	standbyDelay = 120 * time.Millisecond
+	// startupDelay is how long an instance that starts learns of others before it may become a
+	// watcher.
+	startupDelay       = 700 * time.Millisecond
+	startCheckInterval = 20 * time.Millisecond
+	// unreachableAfter is how long calls must fail until another instance becomes watcher,
+	// unreachableTime how long this one then isn't one.
+	unreachableAfter = 500 * time.Millisecond
+	unreachableTime  = 5 * time.Second
 )
 
 // Options configures a [Follower].
@@ -63,41 +62,40 @@
 	Dialect dialect.Dialect
 	Log     zerolog.Logger
 	Now     func() time.Time
-	// Rank returns this instance's place among those that may follow a kind of
-	// objects for all, 0 for the first, and whether one of those that run isn't
-	// answered by the platform; nil means that there is no other.
-	Rank func(kind string) (rank int, blind bool)
-	// StartWait is how long an instance that starts waits to be told what is in
-	// force before it reads by itself.
+	// Rank returns this instance's watcher rank for a kind, 0 for the first, and whether the
+	// platform doesn't answer one of the running instances. nil means that there are no other
+	// instances.
+	Rank func(kind string) (rank int, unreachable bool)
+	// StartWait is how long an instance that starts waits for the platform state from others
+	// before it lists the resources itself.
 	StartWait time.Duration
-	// Instances returns how many others are known; nil for none. It takes the longer
-	// to be told the more start in the same moment, and their reads would hold the
-	// platform up.
+	// Instances returns the number of known instances; nil means none. An instance waits
+	// longer the more there are: the others may start at the same time, and their lists would
+	// overload the platform.
 	Instances func() int
-	// Bounds are the times in which changes are to be in force; zero for the
-	// default ones.
+	// Bounds are the times within which changes must take effect; zero means the default.
 	Bounds Bounds
-	// Announce, if set, has others told of what was heard. It doesn't wait.
+	// Announce, if set, broadcasts what has changed. It must not block.
 	Announce func()
 }
 
-// Follower keeps a [State] up to date from the platform, with one duty for each
-// kind of objects. Few instances watch a kind; the others are told by them, and
-// read by themselves where they aren't told in time.
+// Follower keeps a [State] up to date from the platform, with one goroutine for each
+// resource. Few instances watch a resource; the others get updates from them, and list it
+// themselves if those don't arrive in time.
 type Follower struct {
 	opts    Options
 	started time.Time
 
 	mu sync.Mutex
-	// failed counts the calls that failed in series since failing.
-	failed  int
-	failing time.Time
-	failure time.Time
-	// unheard is when a read in full last found what a watch hadn't heard.
-	unheard time.Time
-	// backoff and next say when the platform is tried again while it fails.
-	backoff objectapi.Backoff
-	next    time.Time
+	// failedCalls is the number of consecutive failed calls since failingSince.
+	failedCalls  int
+	failingSince time.Time
+	failedAt     time.Time
+	// missedChangeAt is when a list last found a missed change.
+	missedChangeAt time.Time
+	// backoff and nextCall determine when a failing platform is called again.
+	backoff  objectapi.Backoff
+	nextCall time.Time
 }
 
 // NewFollower returns a follower that is ready to run.
@@ -109,189 +107,189 @@
 		opts.Bounds = DefaultBounds
 	}
 	if opts.Bounds.Rollouts > 0 {
-		opts.State.FollowRollouts()
+		opts.State.EnableRollouts()
 	}
 	if opts.Announce == nil {
 		opts.Announce = func() {}
 	}
-	return &Follower{opts: opts, started: opts.Now(), backoff: objectapi.Backoff{Min: retryLeast, Max: retryMost}}
+	return &Follower{opts: opts, started: opts.Now(), backoff: objectapi.Backoff{Min: minRetryDelay, Max: maxRetryDelay}}
 }
 
-// follow is one kind of objects.
-type follow struct {
-	part Part
-	kind string
-	// wait is how long a watch waits, bound the time in which changes are to be in
-	// force.
-	wait, bound time.Duration
-	// list takes over a whole list, apply one change.
+// watchedResource is the follower's state of one resource.
+type watchedResource struct {
+	resource Resource
+	kind     string
+	// timeout is how long a watch waits, limit the time within which changes must take effect.
+	timeout, limit time.Duration
+	// list applies a list, apply changes.
 	list  func(now time.Time, version int64, objects []objectapi.Object)
 	apply func(now time.Time, from, to int64, events []objectapi.Event)
 
 	mu sync.Mutex
-	// interrupt ends the watch that waits.
-	interrupt context.CancelFunc
-	// reading is set while the kind is read in full, notBefore after that failed.
-	reading   bool
-	notBefore time.Time
-	backoff   objectapi.Backoff
+	// cancelWatch ends the current watch.
+	cancelWatch context.CancelFunc
+	// listing is set while the resource is being listed; after a failure it isn't listed
+	// before nextList.
+	listing  bool
+	nextList time.Time
+	backoff  objectapi.Backoff
 }
 
-// ServersEvery is how often an instance hears of the servers at the latest.
-const ServersEvery = serversWait + newsTime
+// ServersEvery is the longest usual time between two confirmations of the servers.
+const ServersEvery = serversWatchTimeout + broadcastTime
 
 // Run follows the platform until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	var duties sync.WaitGroup
+	var tasks sync.WaitGroup
 	kinds := f.opts.Dialect.Kinds
 	bounds := f.opts.Bounds
-	var all []*follow
-	for _, one := range []*follow{
-		{part: Configuration, kind: kinds.Configuration, wait: longWait, bound: bounds.Configuration, list: f.listConfiguration, apply: f.applyConfiguration},
-		{part: Servers, kind: kinds.Servers, wait: serversWait, bound: bounds.Servers, list: f.listServers, apply: f.applyServers},
-		{part: Zones, kind: kinds.DrainedZones, wait: longWait, bound: bounds.Zones, list: f.listZones},
-		{part: Rollouts, kind: kinds.Rollouts, wait: longWait, bound: bounds.Rollouts, list: f.listRollouts},
+	var all []*watchedResource
+	for _, w := range []*watchedResource{
+		{resource: Configuration, kind: kinds.Configuration, timeout: watchTimeout, limit: bounds.Configuration, list: f.listConfiguration, apply: f.applyConfiguration},
+		{resource: Servers, kind: kinds.Servers, timeout: serversWatchTimeout, limit: bounds.Servers, list: f.listServers, apply: f.applyServers},
+		{resource: Zones, kind: kinds.DrainedZones, timeout: watchTimeout, limit: bounds.Zones, list: f.listZones},
+		{resource: Rollouts, kind: kinds.Rollouts, timeout: watchTimeout, limit: bounds.Rollouts, list: f.listRollouts},
 	} {
-		if one.bound == 0 {
+		if w.limit == 0 {
 			continue
 		}
-		all = append(all, one)
-		duties.Go(func() { f.follow(ctx, one) })
+		all = append(all, w)
+		tasks.Go(func() { f.follow(ctx, w) })
 	}
-	duties.Go(func() { f.refresh(ctx, all) })
-	duties.Go(func() { f.sweep(ctx) })
-	duties.Wait()
+	tasks.Go(func() { f.refresh(ctx, all) })
+	tasks.Go(func() { f.sweep(ctx) })
+	tasks.Wait()
 }
 
 func (f *Follower) sweep(ctx context.Context) {
-	for objectapi.Pause(ctx, sweepEvery) == nil {
+	for objectapi.Pause(ctx, sweepInterval) == nil {
 		f.opts.State.Sweep(f.opts.Now())
 	}
 }
 
-// follow watches a kind while it is this instance's turn, from a list or from
-// what others have told.
-func (f *Follower) follow(ctx context.Context, one *follow) {
-	patience := objectapi.Patience{Min: callTimeout, Max: slowTimeout}
-	if f.start(ctx, one, &patience) != nil {
+// follow watches a resource while this instance is one of its watchers, from the last list
+// or update on.
+func (f *Follower) follow(ctx context.Context, w *watchedResource) {
+	patience := objectapi.Patience{Min: callTimeout, Max: maxCallTimeout}
+	if f.start(ctx, w, &patience) != nil {
 		return
 	}
-	watching, list := false, false
+	watching, mustList := false, false
 	for ctx.Err() == nil {
-		if turn := f.watches(one); turn != watching {
-			watching = turn
-			f.opts.Log.Info().Str("kind", one.kind).Bool("watching", turn).Msg("turn to watch the platform")
+		if nowWatching := f.isWatcher(w); nowWatching != watching {
+			watching = nowWatching
+			f.opts.Log.Info().Str("kind", w.kind).Bool("watching", nowWatching).Msg("turn to watch the platform")
 		}
 		if !watching {
-			if objectapi.Pause(ctx, turnCheck) != nil {
+			if objectapi.Pause(ctx, rankCheckInterval) != nil {
 				return
 			}
 			continue
 		}
-		if !f.mayTry(f.opts.Now()) {
-			if objectapi.Pause(ctx, failCheck) != nil {
+		if !f.mayCall(f.opts.Now()) {
+			if objectapi.Pause(ctx, retryCheckInterval) != nil {
 				return
 			}
 			continue
 		}
-		version, _ := f.opts.State.Version(one.part)
-		if list || version == 0 || one.part == Configuration {
+		version, _ := f.opts.State.Version(w.resource)
+		if mustList || version == 0 || w.resource == Configuration {
 			var err error
-			if version, err = f.read(ctx, one, &patience); err != nil {
+			if version, err = f.list(ctx, w, &patience); err != nil {
 				continue
 			}
 			f.opts.Announce()
 		}
-		list = f.watch(ctx, one, version, &patience)
+		mustList = f.watch(ctx, w, version, &patience)
 	}
 }
 
-// read lists a kind and takes the list over.
-func (f *Follower) read(ctx context.Context, one *follow, patience *objectapi.Patience) (int64, error) {
+// list lists a resource and applies the list.
+func (f *Follower) list(ctx context.Context, w *watchedResource, patience *objectapi.Patience) (int64, error) {
 	start := f.opts.Now()
-	version, objects, err := f.opts.Objects.List(objectapi.WithTimeout(ctx, patience.Timeout()), one.kind)
+	version, objects, err := f.opts.Objects.List(objectapi.WithTimeout(ctx, patience.Timeout()), w.kind)
 	if err != nil {
 		patience.Fail(f.opts.Now().Sub(start))
-		f.lost(start, one, err)
+		f.callFailed(start, w, err)
 		return 0, err
 	}
 	patience.Answered(f.opts.Now().Sub(start))
-	f.regained()
-	one.list(start, version, objects)
-	if known, _ := f.opts.State.Version(one.part); one.part == Configuration || version >= known {
-		f.opts.State.Read(start, one.part)
+	f.callSucceeded()
+	w.list(start, version, objects)
+	if known, _ := f.opts.State.Version(w.resource); w.resource == Configuration || version >= known {
+		f.opts.State.RecordListing(start, w.resource)
 	}
 	return version, nil
 }
 
-// watch follows changes while it is this instance's turn and reports whether the
-// list has to be read before the next watch.
-func (f *Follower) watch(ctx context.Context, one *follow, version int64, patience *objectapi.Patience) bool {
-	for ctx.Err() == nil && f.watches(one) {
+// watch applies changes while this instance is a watcher, and reports whether the resource
+// has to be listed before the next watch.
+func (f *Follower) watch(ctx context.Context, w *watchedResource, version int64, patience *objectapi.Patience) bool {
+	for ctx.Err() == nil && f.isWatcher(w) {
 		start := f.opts.Now()
-		call, done := one.interruptible(ctx)
-		rank, _ := f.opts.Rank(one.kind)
-		wait := one.wait
+		call, done := w.cancelable(ctx)
+		rank, _ := f.opts.Rank(w.kind)
+		timeout := w.timeout
 		if rank > 0 {
-			wait = longWait
+			timeout = watchTimeout
 		}
-		changes, err := f.opts.Objects.Watch(f.watchCall(call, start, patience), one.kind, version, wait)
+		changes, err := f.opts.Objects.Watch(f.watchContext(call, start, patience), w.kind, version, timeout)
 		interrupted := call.Err() != nil
 		done()
 		now := f.opts.Now()
 		if interrupted {
-			return one.part == Configuration
+			return w.resource == Configuration
 		}
 		if errors.Is(err, objectapi.ErrCompacted) {
 			return true
 		}
 		if err != nil {
 			patience.Fail(now.Sub(start))
-			f.lost(start, one, err)
+			f.callFailed(start, w, err)
 			return true
 		}
-		f.regained()
-		if known, _ := f.opts.State.Version(one.part); one.part != Configuration && changes.Version < known {
-			// A read in full was quicker: these changes are older than what it had.
+		f.callSucceeded()
+		if known, _ := f.opts.State.Version(w.resource); w.resource != Configuration && changes.Version < known {
+			// A list was faster: these changes are older.
 			version = known
 			continue
 		}
-		if one.apply == nil && len(changes.Events) > 0 {
+		if w.apply == nil && len(changes.Events) > 0 {
 			return true
 		}
 		if rank > 0 && len(changes.Events) > 0 {
-			if objectapi.Pause(ctx, standIn) != nil {
+			if objectapi.Pause(ctx, standbyDelay) != nil {
 				return true
 			}
-			if known, _ := f.opts.State.Version(one.part); one.part != Configuration && changes.Version <= known {
+			if known, _ := f.opts.State.Version(w.resource); w.resource != Configuration && changes.Version <= known {
 				version = known
 				continue
 			}
 		}
 		if len(changes.Events) > 0 {
-			one.apply(now, version, changes.Version, changes.Events)
-			// Without events the version stays: a watch that doesn't hear changes
-			// may answer with the version that they led to.
+			w.apply(now, version, changes.Version, changes.Events)
+			// Without events the version stays: a watch that misses changes may answer with the
+			// version that includes them.
 			version = max(version, changes.Version)
 		}
-		if one.part == Servers {
-			f.opts.State.Confirm(now, one.part)
+		if w.resource == Servers {
+			f.opts.State.Confirm(now, w.resource)
 		}
 		if rank == 0 || len(changes.Events) > 0 {
 			f.opts.Announce()
 		}
-		if len(changes.Events) > 0 && one.part == Servers && objectapi.Pause(ctx, gather) != nil {
+		if len(changes.Events) > 0 && w.resource == Servers && objectapi.Pause(ctx, watchPause) != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// watchCall bounds one watch. Watches may be answered late, which is cheap for the
-// platform, but for a while after one didn't hear of a change.
-func (f *Follower) watchCall(ctx context.Context, now time.Time, patience *objectapi.Patience) context.Context {
+// watchContext returns the context of one watch. A stale watch is cheaper for the
+// platform, but isn't allowed for a while after a missed change.
+func (f *Follower) watchContext(ctx context.Context, now time.Time, patience *objectapi.Patience) context.Context {
 	ctx = objectapi.WithTimeout(ctx, patience.Timeout())
-	if f.mayBeLate(now) {
+	if f.allowsStaleWatch(now) {
 		ctx = objectapi.AllowStale(ctx)
 	}
 	return ctx
--- a/internal/observed/follow_test.go
+++ b/internal/observed/follow_test.go
@@ -21,12 +21,12 @@
 
 const testTimeout = 20 * time.Second
 
-// faulty is a platform whose watches can go deaf, lose their history or be cut.
+// faulty is a platform whose watches can hang, lose their history or fail.
 type faulty struct {
-	next http.Handler
-	deaf atomic.Bool
-	gone atomic.Bool
-	down atomic.Bool
+	next      http.Handler
+	hanging   atomic.Bool
+	compacted atomic.Bool
+	down      atomic.Bool
 }
 
 func (f *faulty) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -34,25 +34,25 @@
 	switch {
 	case f.down.Load():
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case watch && f.deaf.Load():
+	case watch && f.hanging.Load():
 		<-r.Context().Done()
-	case watch && f.gone.CompareAndSwap(true, false):
+	case watch && f.compacted.CompareAndSwap(true, false):
 		w.WriteHeader(http.StatusGone)
 	default:
 		f.next.ServeHTTP(w, r)
 	}
 }
 
-type followed struct {
+type followerFixture struct {
 	*faulty
 	t       *testing.T
 	state   *State
 	objects *objectapi.Client
 }
 
-func follows(t *testing.T) *followed {
+func startFollower(t *testing.T) *followerFixture {
 	t.Helper()
-	f := &followed{faulty: &faulty{next: platform.NewHandler(platform.Options{})}, t: t, state: NewState()}
+	f := &followerFixture{faulty: &faulty{next: platform.NewHandler(platform.Options{})}, t: t, state: NewState()}
 	server := httptest.NewServer(f.faulty)
 	f.objects = objectapi.NewClient(server.URL, objectapi.Options{ReadsPerSecond: 1e6, ReadBurst: 1e6})
 	d := dialect.Dialect{
@@ -76,8 +76,8 @@
 	return f
 }
 
-// put writes an object past the faults.
-func (f *followed) put(kind, name, value string) {
+// put writes an object without the faults.
+func (f *followerFixture) put(kind, name, value string) {
 	f.t.Helper()
 	direct := httptest.NewServer(f.next)
 	defer direct.Close()
@@ -92,29 +92,28 @@
 	require.NoError(f.t, err)
 }
 
-func (f *followed) eventually(what func() bool) {
+func (f *followerFixture) eventually(what func() bool) {
 	f.t.Helper()
 	require.Eventually(f.t, what, testTimeout, 5*time.Millisecond)
 }
 
-func (f *followed) inForce(version int64) func() bool {
+func (f *followerFixture) inForce(version int64) func() bool {
 	return func() bool { table := f.state.Table(); return table != nil && table.Version == version }
 }
 
-// What operators and servers write comes to be known, whatever happens to the
-// watches meanwhile: they go deaf (nothing is heard on a connection that stays
-// open), their history is dropped, the platform is down.
-func TestChangesAreHeardThroughFaults(t *testing.T) {
+// Guards against changes that are never applied because a watch hangs on an open
+// connection, its history is compacted, or the platform is down.
+func TestChangesApplyDespiteFaults(t *testing.T) {
 	tests := map[string]struct{ begin, end func(f *faulty) }{
-		"none":            {func(*faulty) {}, func(*faulty) {}},
-		"deaf watches":    {func(f *faulty) { f.deaf.Store(true) }, func(*faulty) {}},
-		"history dropped": {func(f *faulty) { f.gone.Store(true) }, func(*faulty) {}},
-		"platform down":   {func(f *faulty) { f.down.Store(true) }, func(f *faulty) { f.down.Store(false) }},
+		"none":              {func(*faulty) {}, func(*faulty) {}},
+		"hanging watches":   {func(f *faulty) { f.hanging.Store(true) }, func(*faulty) {}},
+		"history compacted": {func(f *faulty) { f.compacted.Store(true) }, func(*faulty) {}},
+		"platform down":     {func(f *faulty) { f.down.Store(true) }, func(f *faulty) { f.down.Store(false) }},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := follows(t)
+			f := startFollower(t)
 			f.put("config", "main", `{"Version":1}`)
 			f.put("servers", "s1", `{"Service":"llm","Zone":"z1"}`)
 			f.put("servers", "s2", `{"Service":"llm","Zone":"z2"}`)
--- a/internal/observed/refresh.go
+++ b/internal/observed/refresh.go
@@ -8,158 +8,161 @@
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 )
 
-// Bounds are the times in which what the platform has is to be in force. Roll-outs
-// aren't followed where theirs is 0.
+// Bounds are the times within which changes on the platform must take effect. Rollouts
+// aren't followed if theirs is 0.
 type Bounds struct {
 	Configuration, Servers, Zones, Rollouts time.Duration
 }
 
-// DefaultBounds are those of a deployment that has none of its own.
+// DefaultBounds applies to a deployment that sets none.
 var DefaultBounds = Bounds{Configuration: 2 * time.Second, Servers: 2 * time.Second, Zones: 5 * time.Second}
 
 const (
-	// firstShare is how old, as a share of the bound, the last read in full gets
-	// before the first in turn reads again, and lastShare before any instance
-	// does. Between them each waits rankShare longer than the one before it.
-	firstShare = 0.5
-	lastShare  = 0.85
-	rankShare  = 0.25
-	// serversFirst bounds the first time for servers, as engines give a notice of
+	// firstRelistShare is the age of the last list, as a share of the limit, at which the
+	// first watcher relists a resource, and lastRelistShare the age at which any instance
+	// does. Between them each rank waits rankDelayShare longer than the previous one.
+	firstRelistShare = 0.5
+	lastRelistShare  = 0.85
+	rankDelayShare   = 0.25
+	// serversRelistAge limits the first age for servers, as engines give a shutdown notice of
 	// one and a half seconds.
-	serversFirst = 1500 * time.Millisecond
-	// refreshCheck is how often it is looked whether a refresh is due.
-	refreshCheck = 150 * time.Millisecond
-	// suspectAfter is for how long another instance may have read something else
-	// before it is read here, and suspectStep how much longer each of those waits
-	// that don't watch: what they lack is on its way.
-	suspectAfter = 300 * time.Millisecond
-	suspectStep  = 40 * time.Millisecond
-	maxSuspect   = time.Second
-	// heldStep is how much longer the second one that watches waits than the first
-	// before it reads roll-outs for a version that has appeared.
-	heldStep = 300 * time.Millisecond
-	// aloneMost bounds the pause between reads that fail of an instance that
-	// doesn't watch.
-	aloneMost = 5 * time.Second
+	serversRelistAge = 1500 * time.Millisecond
+	// relistCheckInterval is how often to check whether a list is due.
+	relistCheckInterval = 150 * time.Millisecond
+	// divergedDelay is how long another instance must have listed different contents before
+	// this one lists them too. Instances that aren't watchers wait divergedRankDelay longer by
+	// rank, because the update is on its way to them.
+	divergedDelay     = 300 * time.Millisecond
+	divergedRankDelay = 40 * time.Millisecond
+	maxDivergedDelay  = time.Second
+	// heldRankDelay is how much longer the second watcher waits than the first before it lists
+	// the rollouts because of a new version.
+	heldRankDelay = 300 * time.Millisecond
+	// maxRelistDelay limits the delay between failed lists of an instance that isn't a
+	// watcher.
+	maxRelistDelay = 5 * time.Second
 )
 
-// refresh reads a kind in full whenever the last read, here or elsewhere, is too
-// old: a half-open watch delivers no events and no error.
-func (f *Follower) refresh(ctx context.Context, all []*follow) {
-	var reads sync.WaitGroup
-	defer reads.Wait()
-	for objectapi.Pause(ctx, refreshCheck) == nil {
+// refresh lists a resource whenever the last list, by any instance, is too old: a
+// half-open watch delivers neither events nor an error.
+func (f *Follower) refresh(ctx context.Context, all []*watchedResource) {
+	var lists sync.WaitGroup
+	defer lists.Wait()
+	for objectapi.Pause(ctx, relistCheckInterval) == nil {
 		now := f.opts.Now()
-		for _, one := range all {
-			if one.idle(now) && f.due(now, one) && one.begin() {
-				reads.Go(func() { one.end(f.opts.Now, f.reread(ctx, one)) })
+		for _, w := range all {
+			if w.mayList(now) && f.relistDue(now, w) && w.startListing() {
+				lists.Go(func() { w.endListing(f.opts.Now, f.relist(ctx, w)) })
 			}
 		}
 	}
 }
 
-// reread reads a kind in full and tells others of it.
-func (f *Follower) reread(ctx context.Context, one *follow) error {
-	patience := objectapi.Patience{Min: callTimeout, Max: slowTimeout}
-	before := f.opts.State.Mark(one.part)
-	if _, err := f.read(ctx, one, &patience); err != nil {
+// relist lists a resource and broadcasts the result.
+func (f *Follower) relist(ctx context.Context, w *watchedResource) error {
+	patience := objectapi.Patience{Min: callTimeout, Max: maxCallTimeout}
+	before := f.opts.State.ContentHash(w.resource)
+	if _, err := f.list(ctx, w, &patience); err != nil {
 		return err
 	}
-	if f.opts.State.Mark(one.part) != before {
-		f.opts.Log.Warn().Str("kind", one.kind).Msg("a change had not been heard")
-		f.noteMissedChange(f.opts.Now())
-		one.restart()
+	if f.opts.State.ContentHash(w.resource) != before {
+		f.opts.Log.Warn().Str("kind", w.kind).Msg("a change had not been heard")
+		f.recordMissedChange(f.opts.Now())
+		w.restartWatch()
 	}
 	f.opts.Announce()
 	return nil
 }
 
-// idle reports whether a kind may be read in full, begin and end that it is.
-func (one *follow) idle(now time.Time) bool {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	return !one.reading && !now.Before(one.notBefore)
+// mayList reports whether a resource may be listed; startListing and endListing mark the
+// start and the end.
+func (w *watchedResource) mayList(now time.Time) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return !w.listing && !now.Before(w.nextList)
 }
 
-func (one *follow) begin() bool {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	began := !one.reading
-	one.reading = true
-	return began
+func (w *watchedResource) startListing() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	started := !w.listing
+	w.listing = true
+	return started
 }
 
-func (one *follow) end(now func() time.Time, err error) {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	one.reading = false
-	one.backoff.Min, one.backoff.Max = retryMost, aloneMost
+func (w *watchedResource) endListing(now func() time.Time, err error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.listing = false
+	w.backoff.Min, w.backoff.Max = maxRetryDelay, maxRelistDelay
 	if err == nil {
-		one.backoff.Reset()
+		w.backoff.Reset()
 		return
 	}
-	one.notBefore = now().Add(one.backoff.Fail())
+	w.nextList = now().Add(w.backoff.Fail())
 }
 
-// due reports whether this instance is to read a kind in full. While the platform
-// fails, the lists that precede each watch go on by themselves. One that doesn't
-// watch leaves it to others as long as one of them is known not to be answered:
-// they take each other's place in order, not all at once.
-func (f *Follower) due(now time.Time, one *follow) bool {
-	rank, blind := f.opts.Rank(one.kind)
-	watching := rank < watchers
+// relistDue reports whether this instance has to list a resource. During an outage only
+// the lists before each watch go on. An instance that isn't a watcher leaves it to others
+// while the platform doesn't answer one of them: they take over in order of rank, not all
+// at once.
+func (f *Follower) relistDue(now time.Time, w *watchedResource) bool {
+	rank, unreachable := f.opts.Rank(w.kind)
+	watching := rank < watcherCount
 	if watching && f.opts.State.Outage() {
 		return false
 	}
-	if suspect := f.opts.State.Suspect(one.part); !suspect.IsZero() {
-		after := suspectAfter
+	if divergedSince := f.opts.State.DivergedSince(w.resource); !divergedSince.IsZero() {
+		after := divergedDelay
 		if !watching {
-			after = min(maxSuspect, after+time.Duration(rank)*suspectStep)
+			after = min(maxDivergedDelay, after+time.Duration(rank)*divergedRankDelay)
 		}
-		if now.Sub(suspect) >= after {
+		if now.Sub(divergedSince) >= after {
 			return true
 		}
 	}
-	read := f.opts.State.Reading(one.part).At
-	if one.part == Rollouts && watching {
+	listedAt := f.opts.State.LastListing(w.resource).At
+	if w.resource == Rollouts && watching {
 		held := f.opts.State.HeldSince()
-		if !held.IsZero() && read.Before(held) && now.Sub(held) >= time.Duration(rank)*heldStep {
+		if !held.IsZero() && listedAt.Before(held) && now.Sub(held) >= time.Duration(rank)*heldRankDelay {
 			return true
 		}
 	}
-	if read.IsZero() {
+	if listedAt.IsZero() {
 		if watching {
 			return false
 		}
-		read = f.started
+		listedAt = f.started
 	}
-	first := share(one.bound, firstShare)
-	if one.part == Servers {
-		first = min(first, serversFirst)
+	maxAge := scale(w.limit, firstRelistShare)
+	if w.resource == Servers {
+		maxAge = min(maxAge, serversRelistAge)
 	}
-	after := first + time.Duration(rank)*share(one.bound, rankShare)
-	if !blind || watching {
-		after = min(after, share(one.bound, lastShare))
+	after := maxAge + time.Duration(rank)*scale(w.limit, rankDelayShare)
+	if !unreachable || watching {
+		after = min(after, scale(w.limit, lastRelistShare))
 	}
-	return now.Sub(read) >= after
+	return now.Sub(listedAt) >= after
 }
 
-func share(d time.Duration, part float64) time.Duration { return time.Duration(float64(d) * part) }
+func scale(d time.Duration, fraction float64) time.Duration {
+	return time.Duration(float64(d) * fraction)
+}
 
-// restart ends the watch that waits; it begins anew from what is known.
-func (one *follow) restart() {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.interrupt != nil {
-		one.interrupt()
+// restartWatch ends the current watch; the next one starts from the known version.
+func (w *watchedResource) restartWatch() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.cancelWatch != nil {
+		w.cancelWatch()
 	}
 }
 
-// interruptible returns a context for one watch, which restart ends.
-func (one *follow) interruptible(ctx context.Context) (context.Context, context.CancelFunc) {
+// cancelable returns a context for one watch, which restartWatch ends.
+func (w *watchedResource) cancelable(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	one.interrupt = cancel
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.cancelWatch = cancel
 	return ctx, cancel
 }
--- a/internal/observed/rollouts.go
+++ b/internal/observed/rollouts.go
@@ -14,18 +14,17 @@
 	"pollenspindle.example/pollenspindle/internal/rollout"
 )
 
-// releases is what is known of the software versions of the servers.
+// releases is the state of the servers' software versions.
 type releases struct {
-	// followed is set where roll-outs are ordered at all.
-	followed bool
-	// rollouts are by service.
+	// enabled is set if the deployment has rollouts.
+	enabled bool
+	// rollouts holds the rollouts by service.
 	rollouts map[string]dialect.Rollout
-	// accepted are the versions, by service, that get requests without a roll-out,
-	// held those that were listed since then and that a roll-out may be under way
-	// for which isn't known yet.
+	// accepted holds the versions, by service, that get requests without a rollout; held those
+	// that were listed since and may belong to a rollout that isn't known yet.
 	accepted map[string]map[string]bool
 	held     map[string]map[string]time.Time
-	// rejected are versions that were rolled back, or whose order was withdrawn.
+	// rejected holds the versions that were rolled back, or whose rollout was withdrawn.
 	rejected map[string]map[string]bool
 }
 
@@ -36,15 +35,15 @@
 	}
 }
 
-// FollowRollouts has versions of servers that appear wait until it is known that
-// no roll-out to them is ordered.
-func (s *State) FollowRollouts() {
+// EnableRollouts holds back new versions of servers until it is known that there is no
+// rollout to them.
+func (s *State) EnableRollouts() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.releases.followed = true
+	s.releases.enabled = true
 }
 
-// Rollouts returns the roll-outs with their stages, in order of their names.
+// Rollouts returns the rollouts with their stages, in order of their names.
 func (s *State) Rollouts() []dialect.Rollout {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +56,8 @@
 	return out
 }
 
-// ReplaceRollouts takes over all roll-outs as of a version.
+// ReplaceRollouts replaces all rollouts as of a version, and reports whether it isn't
+// older.
 func (s *State) ReplaceRollouts(now time.Time, version int64, list []dialect.Rollout) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 	for service, known := range before {
 		if r, ok := s.releases.rollouts[service]; (!ok || r.To != known.To) && known.Stage != rollout.StageCompleted {
-			mark(s.releases.rejected, service, known.To)
+			addVersion(s.releases.rejected, service, known.To)
 		}
 		s.touchService(service)
 	}
@@ -90,12 +90,12 @@
 		s.retire(service)
 		s.touchService(service)
 	}
-	s.alter(Rollouts, rolloutsMark(s.releases.rollouts))
+	s.setHash(Rollouts, rolloutsHash(s.releases.rollouts))
 	s.publish()
 	return true
 }
 
-// SetStage takes over a later stage of a roll-out and reports whether it is one.
+// SetStage applies a stage of a rollout and reports whether its stage changed.
 func (s *State) SetStage(id string, stage rollout.Stage) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,8 +118,8 @@
 	return false
 }
 
-// retire marks the servers that end with a completed roll-out. Others of any
-// version may follow later, without an order.
+// retire marks the servers that shut down after a completed rollout. Servers of any
+// version that start later aren't marked: they need no rollout.
 func (s *State) retire(service string) {
 	r := s.releases.rollouts[service]
 	if r.Stage != rollout.StageCompleted {
@@ -133,7 +133,7 @@
 	}
 }
 
-// track says whether a server gets requests, and whether it gets those of a canary.
+// track reports whether a server gets requests, and whether it gets those of a canary.
 func (s *State) track(e *entry) (stable, canary bool) {
 	if e.retired || s.releases.rejected[e.Service][e.Version] {
 		return false, false
@@ -150,15 +150,15 @@
 	return !held, false
 }
 
-// Vacated reports whether what runs on a server is to leave it.
+// Vacated reports whether the requests on a server must leave it.
 func (s *State) Vacated(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.servers[id]
-	return ok && s.vacated(&e)
+	return ok && s.draining(&e)
 }
 
-func (s *State) vacated(e *entry) bool {
+func (s *State) draining(e *entry) bool {
 	if e.retired || s.releases.rejected[e.Service][e.Version] {
 		return true
 	}
@@ -166,16 +166,16 @@
 	if !ok || e.Version != r.To && r.Stage.Ended() {
 		return false
 	}
-	return r.Stage.Vacates(e.Version == r.To)
+	return r.Stage.Drains(e.Version == r.To)
 }
 
-// VacatedOf returns the servers of a service that are to be left.
-func (s *State) VacatedOf(service string) []string {
+// DrainingServers returns the servers of a service that requests must leave.
+func (s *State) DrainingServers(service string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
 	for id, e := range s.servers {
-		if e.Service == service && s.vacated(&e) {
+		if e.Service == service && s.draining(&e) {
 			out = append(out, id)
 		}
 	}
@@ -183,9 +183,9 @@
 	return out
 }
 
-// OfVersion counts the servers of a service that could take requests: those of a
+// CountByVersion counts the servers of a service that could accept requests: those of a
 // version, and those of others.
-func (s *State) OfVersion(service, version string) (of, others int) {
+func (s *State) CountByVersion(service, version string) (of, others int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.servers {
@@ -200,14 +200,14 @@
 	return of, others
 }
 
-// see notes the version of a server that is listed.
-func (s *State) see(now time.Time, e *entry) {
+// recordVersion records the version of a listed server.
+func (s *State) recordVersion(now time.Time, e *entry) {
 	k := &s.releases
-	if !k.followed || k.accepted[e.Service][e.Version] {
+	if !k.enabled || k.accepted[e.Service][e.Version] {
 		return
 	}
 	if r, ok := k.rollouts[e.Service]; ok && r.To == e.Version {
-		mark(k.accepted, e.Service, e.Version)
+		addVersion(k.accepted, e.Service, e.Version)
 		return
 	}
 	if k.held[e.Service] == nil {
@@ -218,17 +218,17 @@
 	}
 }
 
-// seeFirst accepts the versions in the first list: an order comes before its
-// servers, and roll-outs have to be known before anything is sent.
-func (s *State) seeFirst(list []dialect.Server) {
+// acceptInitialVersions accepts the versions in the first list: a rollout is requested
+// before its servers start, and rollouts must be known before any request is sent.
+func (s *State) acceptInitialVersions(list []dialect.Server) {
 	for i := range list {
-		mark(s.releases.accepted, list[i].Service, list[i].Version)
+		addVersion(s.releases.accepted, list[i].Service, list[i].Version)
 	}
 }
 
-// settle accepts versions that were held when roll-outs were read that began at a
-// time.
-func (s *State) settle(at time.Time) {
+// acceptHeldVersions accepts versions that were held when a list of the rollouts started
+// at the given time.
+func (s *State) acceptHeldVersions(at time.Time) {
 	changed := false
 	for service, of := range s.releases.held {
 		for version, since := range of {
@@ -236,7 +236,7 @@
 				continue
 			}
 			delete(of, version)
-			mark(s.releases.accepted, service, version)
+			addVersion(s.releases.accepted, service, version)
 			s.touchService(service)
 			changed = true
 		}
@@ -246,8 +246,8 @@
 	}
 }
 
-// HeldSince returns since when versions wait for roll-outs to be read; zero where
-// none does.
+// HeldSince returns since when versions have been held until the rollouts are listed, or
+// the zero time.
 func (s *State) HeldSince() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -270,16 +270,15 @@
 	}
 }
 
-func mark(of map[string]map[string]bool, service, version string) {
+func addVersion(of map[string]map[string]bool, service, version string) {
 	if of[service] == nil {
 		of[service] = map[string]bool{}
 	}
 	of[service][version] = true
 }
 
-// rolloutsMark tells what the platform holds apart; stages that it wasn't told are
-// no part of it.
-func rolloutsMark(rollouts map[string]dialect.Rollout) uint64 {
+// rolloutsHash hashes the platform's rollouts, without the stages decided on since.
+func rolloutsHash(rollouts map[string]dialect.Rollout) uint64 {
 	var lines []string
 	for _, r := range rollouts {
 		lines = append(lines, r.ID+"\n"+strconv.FormatInt(r.Revision, 10))
--- a/internal/observed/rollouts_test.go
+++ b/internal/observed/rollouts_test.go
@@ -22,65 +22,66 @@
 	return out
 }
 
-// twoVersions knows an old and a new server, and an order for the new one.
+// twoVersions returns a state with an old and a new server, and a rollout to the new
+// version.
 func twoVersions(t *testing.T) *State {
 	s := NewState()
-	s.FollowRollouts()
+	s.EnableRollouts()
 	require.True(t, s.ReplaceServers(start, 10, []dialect.Server{versioned("old", "v1")}))
 	require.True(t, s.ReplaceRollouts(start, 11, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", To: "v2"}}))
 	require.True(t, s.ChangeServers(start, 10, 12, []Change{{ID: "new", Server: new(versioned("new", "v2"))}}))
 	return s
 }
 
-func TestStageDecidesWhichServersAreOffered(t *testing.T) {
-	tests := map[rollout.Stage]struct{ offered, canaries, vacated []string }{
-		rollout.StageCanary:     {[]string{"old"}, []string{"new"}, nil},
-		rollout.StageShift:      {[]string{"new"}, []string{}, []string{"old"}},
-		rollout.StageBack:       {[]string{"old"}, []string{}, []string{"new"}},
-		rollout.StageCompleted:  {[]string{"new"}, []string{}, []string{"old"}},
-		rollout.StageRolledBack: {[]string{"old"}, []string{}, []string{"new"}},
+func TestStageDeterminesEligibleServers(t *testing.T) {
+	tests := map[rollout.Stage]struct{ eligible, canaries, draining []string }{
+		rollout.StageCanary:      {[]string{"old"}, []string{"new"}, nil},
+		rollout.StagePromoting:   {[]string{"new"}, []string{}, []string{"old"}},
+		rollout.StageRollingBack: {[]string{"old"}, []string{}, []string{"new"}},
+		rollout.StageCompleted:   {[]string{"new"}, []string{}, []string{"old"}},
+		rollout.StageRolledBack:  {[]string{"old"}, []string{}, []string{"new"}},
 	}
 	for stage, tt := range tests {
 		t.Run(stage.String(), func(t *testing.T) {
 			s := twoVersions(t)
 			s.SetStage("o", stage)
-			require.Equal(t, tt.offered, idsOf(s.Servers("desk")))
+			require.Equal(t, tt.eligible, idsOf(s.Servers("desk")))
 			require.Equal(t, tt.canaries, idsOf(s.Canaries("desk")))
-			require.Equal(t, tt.vacated, s.VacatedOf("desk"))
+			require.Equal(t, tt.draining, s.DrainingServers("desk"))
 		})
 	}
 }
 
-// Guards against requests to a version whose order hasn't been heard of yet.
-func TestNewVersionWaitsForRolloutsToBeRead(t *testing.T) {
+// Guards against requests to a new version whose rollout isn't known yet.
+func TestNewVersionHeldUntilRolloutsListed(t *testing.T) {
 	s := NewState()
-	s.FollowRollouts()
+	s.EnableRollouts()
 	s.ReplaceServers(start, 10, []dialect.Server{versioned("old", "v1")})
 	s.ReplaceRollouts(start, 10, nil)
 	s.ChangeServers(start.Add(time.Second), 10, 12, []Change{{ID: "new", Server: new(versioned("new", "v2"))}})
 	require.Equal(t, []string{"old"}, idsOf(s.Servers("desk")))
 	require.Equal(t, start.Add(time.Second), s.HeldSince())
 
-	s.Read(start.Add(900*time.Millisecond), Rollouts)
-	require.Equal(t, []string{"old"}, idsOf(s.Servers("desk")), "read before the version appeared")
-	s.Read(start.Add(1100*time.Millisecond), Rollouts)
+	s.RecordListing(start.Add(900*time.Millisecond), Rollouts)
+	require.Equal(t, []string{"old"}, idsOf(s.Servers("desk")), "listed before the version appeared")
+	s.RecordListing(start.Add(1100*time.Millisecond), Rollouts)
 	require.Equal(t, []string{"new", "old"}, idsOf(s.Servers("desk")))
 	require.True(t, s.HeldSince().IsZero())
 }
 
-func TestOrderThatChanges(t *testing.T) {
+func TestRolloutReplacedOrWithdrawn(t *testing.T) {
 	tests := map[string]struct {
 		stage rollout.Stage
 		next  []dialect.Rollout
 		want  []string
 	}{
-		"withdrawn while it ran":       {rollout.StageCanary, nil, []string{"old"}},
-		"withdrawn in the shift":       {rollout.StageShift, nil, []string{"old"}},
-		"withdrawn after its end":      {rollout.StageCompleted, nil, []string{"new"}},
-		"another version ordered":      {rollout.StageCanary, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", To: "v3"}}, []string{"old"}},
-		"the same ordered once more":   {rollout.StageRolledBack, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", To: "v2"}}, []string{"old"}},
-		"its end is told by platform":  {rollout.StageShift, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", To: "v2", Told: rollout.StageCompleted}}, []string{"new"}},
-		"an older state is told again": {rollout.StageBack, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", To: "v2", Told: rollout.StageCanary}}, []string{"old"}},
+		"withdrawn during the canary":    {rollout.StageCanary, nil, []string{"old"}},
+		"withdrawn during the promotion": {rollout.StagePromoting, nil, []string{"old"}},
+		"withdrawn after completion":     {rollout.StageCompleted, nil, []string{"new"}},
+		"replaced by another version":    {rollout.StageCanary, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", To: "v3"}}, []string{"old"}},
+		"same version requested again":   {rollout.StageRolledBack, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", To: "v2"}}, []string{"old"}},
+		"completed on the platform":      {rollout.StagePromoting, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", To: "v2", Told: rollout.StageCompleted}}, []string{"new"}},
+		"older stage on the platform":    {rollout.StageRollingBack, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", To: "v2", Told: rollout.StageCanary}}, []string{"old"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -92,25 +93,25 @@
 	}
 }
 
-// Guards against servers that a later release starts, without an order, being left
-// out after a roll-out was completed.
+// Guards against servers of a later version, started without a rollout, getting no
+// requests after a completed rollout.
 func TestReleaseAfterACompletedRollout(t *testing.T) {
 	s := twoVersions(t)
 	s.SetStage("o", rollout.StageCompleted)
 	s.ChangeServers(start, 12, 13, []Change{{ID: "later", Server: new(versioned("later", "v3"))}})
-	s.Read(start.Add(time.Second), Rollouts)
+	s.RecordListing(start.Add(time.Second), Rollouts)
 	require.Equal(t, []string{"later", "new"}, idsOf(s.Servers("desk")))
 }
 
-// Guards against an instance that hears of a roll-out from others alone.
-func TestRolloutsAreToldWithTheirStage(t *testing.T) {
+// Guards against a wrong stage at an instance that knows a rollout from updates only.
+func TestUpdateHoldsRolloutStages(t *testing.T) {
 	s, other := twoVersions(t), NewState()
-	other.FollowRollouts()
-	s.SetStage("o", rollout.StageShift)
+	other.EnableRollouts()
+	s.SetStage("o", rollout.StagePromoting)
 	u := s.UpdateFor(start, other.Versions(start))
 	other.Apply(start, &u)
 	require.Equal(t, []string{"new"}, idsOf(other.Servers("desk")))
-	s.SetStage("o", rollout.StageBack)
+	s.SetStage("o", rollout.StageRollingBack)
 	u = s.UpdateFor(start, other.Versions(start))
 	other.Apply(start, &u)
 	require.Equal(t, []string{"old"}, idsOf(other.Servers("desk")))
--- a/internal/observed/servers.go
+++ b/internal/observed/servers.go
@@ -8,55 +8,55 @@
 	"pollenspindle.example/pollenspindle/internal/dialect"
 )
 
-// maxLog is how many changes of servers are kept for instances that lag behind;
-// one that has missed more is told all servers.
+// maxLog is the number of server changes that are kept for instances that lag behind; one
+// that lacks more gets a snapshot.
 const maxLog = 512
 
-// Change is the new entry of a server, or its end.
+// Change is the new entry of a server, or its removal if Server is nil.
 type Change struct {
 	ID     string          `json:"id"`
 	Server *dialect.Server `json:"server,omitempty"`
 }
 
-type logged struct {
+type loggedChange struct {
 	version int64
 	change  Change
 }
 
-// gap is a step between two versions of which only the outcome is known: an entry
-// that came and went in between isn't in the log.
-type gap struct{ from, to int64 }
+// missingRange is a range of versions within which not all changes are logged: an entry
+// that was added and removed in between isn't in the log.
+type missingRange struct{ from, to int64 }
 
-func (s *State) noteGap(from, to int64) {
+func (s *State) addMissingRange(from, to int64) {
 	if from >= to {
 		return
 	}
-	s.gaps = append(s.gaps, gap{from, to})
-	if len(s.gaps) > maxLog {
-		s.logFrom = max(s.logFrom, s.gaps[0].to)
-		s.gaps = slices.Clone(s.gaps[1:])
+	s.missingRanges = append(s.missingRanges, missingRange{from, to})
+	if len(s.missingRanges) > maxLog {
+		s.logFrom = max(s.logFrom, s.missingRanges[0].to)
+		s.missingRanges = slices.Clone(s.missingRanges[1:])
 	}
 }
 
-// ChangeServers takes over all changes that lead from one version to another. It
-// reports false when what is known is older than from: changes were missed.
+// ChangeServers applies all changes that lead from one version to another. It reports
+// false if the known version is older than from, so that changes are missing.
 func (s *State) ChangeServers(now time.Time, from, at int64, changes []Change) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changeServers(now, from, from, at, changes)
 }
 
-// changeServers takes over changes that lead to a version from another one, or
-// from any that isn't below least.
-func (s *State) changeServers(now time.Time, from, least, at int64, changes []Change) bool {
+// changeServers applies changes that lead to a version from the version from, or from any
+// that isn't below minFrom.
+func (s *State) changeServers(now time.Time, from, minFrom, at int64, changes []Change) bool {
 	known := s.versions[Servers]
 	if at <= known {
 		return true
 	}
-	if known != from && known < max(from, least) {
+	if known != from && known < max(from, minFrom) {
 		return false
 	}
-	s.noteGap(known, least)
+	s.addMissingRange(known, minFrom)
 	for _, c := range changes {
 		s.apply(now, at, c)
 	}
@@ -67,7 +67,7 @@
 	return true
 }
 
-// ReplaceServers takes over a whole list as of version.
+// ReplaceServers applies a complete list as of a version.
 func (s *State) ReplaceServers(now time.Time, version int64, list []dialect.Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +81,7 @@
 	first := s.versions[Servers] == 0
 	s.confirm(now, Servers)
 	if first {
-		s.seeFirst(list)
+		s.acceptInitialVersions(list)
 	}
 	listed := make(map[string]bool, len(list))
 	for i := range list {
@@ -94,10 +94,10 @@
 		}
 	}
 	if first {
-		// What was removed before isn't known.
+		// Entries removed before the first list are unknown.
 		s.log, s.logFrom = nil, version
 	} else {
-		s.noteGap(s.versions[Servers], version)
+		s.addMissingRange(s.versions[Servers], version)
 	}
 	s.versions[Servers] = version
 	for service := range s.releases.rollouts {
@@ -110,7 +110,7 @@
 	return true
 }
 
-// apply takes over one change and logs it where it says something new.
+// apply applies one change and logs it if it changes the listed entry.
 func (s *State) apply(now time.Time, version int64, c Change) {
 	known, ok := s.servers[c.ID]
 	if c.Server == nil {
@@ -124,13 +124,13 @@
 			return
 		}
 		e := entry{Server: Server{Server: *c.Server, ColdUntil: now.Add(c.Server.ColdFor), Since: now}, listed: *c.Server}
-		s.see(now, &e)
+		s.recordVersion(now, &e)
 		s.put(e)
 		if same {
 			return
 		}
 	}
-	s.log = append(s.log, logged{version, c})
+	s.log = append(s.log, loggedChange{version, c})
 	if len(s.log) > maxLog {
 		drop := len(s.log) - maxLog/2
 		s.logFrom = s.log[drop-1].version
@@ -138,9 +138,9 @@
 	}
 }
 
-// remove takes an entry out, or notes that it is missing where it may return.
+// remove removes an entry, or marks it missing while it may reappear.
 func (s *State) remove(now time.Time, known entry) {
-	if now.Before(s.returning) && !known.Leaving {
+	if now.Before(s.graceUntil) && !known.Leaving {
 		known.missingSince = now
 		s.put(known)
 		return
@@ -148,19 +148,19 @@
 	s.drop(known.ID)
 }
 
-// since returns the changes after a version, or false where they aren't known.
-// Least is the other version from which on they are all that is needed.
-func (s *State) since(now time.Time, version int64) (changes []Change, least int64, ok bool) {
+// changesSince returns the changes after a version, or false if they aren't all known.
+// They are also sufficient for any version from minFrom on.
+func (s *State) changesSince(now time.Time, version int64) (changes []Change, minFrom int64, ok bool) {
 	if version < s.logFrom {
 		return nil, 0, false
 	}
-	least = version
-	for _, g := range s.gaps {
+	minFrom = version
+	for _, g := range s.missingRanges {
 		if g.from < version && version < g.to {
 			return nil, 0, false
 		}
 		if g.to > version {
-			least = max(least, g.to)
+			minFrom = max(minFrom, g.to)
 		}
 	}
 	last := map[string]int{}
@@ -171,14 +171,14 @@
 	}
 	changes = make([]Change, 0, len(last))
 	for _, i := range slices.Sorted(maps.Values(last)) {
-		changes = append(changes, s.advertised(now, s.log[i].change))
+		changes = append(changes, s.outgoing(now, s.log[i].change))
 	}
-	return changes, least, true
+	return changes, minFrom, true
 }
 
-// advertised is a change as others are told it: with what is left of the time in which
-// the server is cold.
-func (s *State) advertised(now time.Time, c Change) Change {
+// outgoing returns a change for other instances, with the remaining time for which the
+// server is cold.
+func (s *State) outgoing(now time.Time, c Change) Change {
 	if c.Server == nil {
 		return c
 	}
@@ -187,8 +187,8 @@
 	return Change{ID: c.ID, Server: &server}
 }
 
-// all returns the servers that are there, as others are told them.
-func (s *State) all(now time.Time) []dialect.Server {
+// snapshot returns all servers that aren't missing, for other instances.
+func (s *State) snapshot(now time.Time) []dialect.Server {
 	out := make([]dialect.Server, 0, len(s.servers))
 	for _, id := range slices.Sorted(maps.Keys(s.servers)) {
 		if known := s.servers[id]; known.missingSince.IsZero() {
--- a/internal/observed/state.go
+++ b/internal/observed/state.go
@@ -1,7 +1,7 @@
-// Package observed holds what an instance knows of its deployment: the
-// configuration in force, the backend servers and the availability zones that
-// are taken out. Each part has a version and the time at which it was last
-// confirmed, and never goes back to an older version.
+// Package observed holds what an instance knows of its deployment: the configuration, the
+// backend servers, the drained zones and the rollouts. Each of these resources has a
+// version and the time at which it was last confirmed, and never goes back to an older
+// version.
 //
 // # Usage
 //
@@ -24,130 +24,130 @@
 	"pollenspindle.example/pollenspindle/internal/routes"
 )
 
-// Part is one part of what is known.
-type Part int
+// Resource is a part of the platform state. It is sent to other instances as an array
+// index.
+type Resource int
 
-// The parts.
+// The resources.
 const (
-	Configuration Part = iota
+	Configuration Resource = iota
 	Servers
 	Zones
 	Rollouts
-	parts
+	resourceCount
 )
 
-// Parts returns all parts.
-func Parts() []Part { return []Part{Configuration, Servers, Zones, Rollouts} }
+// Resources returns all resources.
+func Resources() []Resource { return []Resource{Configuration, Servers, Zones, Rollouts} }
 
-// Valid reports whether there is such a part.
-func (p Part) Valid() bool { return p >= Configuration && p < parts }
+// Valid reports whether the resource exists.
+func (res Resource) Valid() bool { return res >= Configuration && res < resourceCount }
 
-// returnTime is how long entries of backend servers that expired during an
-// outage of the platform may stay missing after it: servers that work renew
-// theirs within two seconds.
-const returnTime = 2200 * time.Millisecond
+// reappearTime is how long after a platform outage backend servers may stay missing whose
+// entries expired during it: working servers renew theirs within two seconds.
+const reappearTime = 2200 * time.Millisecond
 
-// silence is after how long without an answer of the platform to anybody the
+// entryExpiry is how long no instance must have got an answer from the platform until
 // entries of servers may have expired.
-const silence = 3 * time.Second
+const entryExpiry = 3 * time.Second
 
 // Server is a backend server with the time until which it is cold.
 type Server struct {
 	dialect.Server
 	ColdUntil time.Time
-	// Since is when this start of the server was first listed.
+	// Since is when this incarnation of the server was first listed.
 	Since time.Time
 }
 
-// entry is what is known of a server.
+// entry is the state of one server.
 type entry struct {
 	Server
-	// listed is the platform's entry; the server itself may have said before
-	// the platform that it leaves.
+	// listed is the platform's entry. The server itself may have given a shutdown notice
+	// before it.
 	listed dialect.Server
 	// missingSince is set while the entry is missing after an outage.
 	missingSince time.Time
-	// retired servers end with a roll-out that is completed.
+	// retired is set on servers that shut down after a completed rollout.
 	retired bool
 }
 
-// State is what an instance knows. It is safe for concurrent use.
+// State is an instance's knowledge of its deployment. It is safe for concurrent use.
 type State struct {
 	table atomic.Pointer[routes.Table]
-	// offered are the servers by service that requests are placed on, in order of
-	// their ids. Neither the map nor the lists are changed once made.
-	offered atomic.Pointer[map[string][]Server]
-	// canaries are those of the new version of a roll-out that is a canary.
+	// eligible holds the servers that may get requests, by service, in order of their IDs.
+	// Neither the map nor the lists change after publication.
+	eligible atomic.Pointer[map[string][]Server]
+	// canaries holds the servers of new versions whose rollout is at the canary stage.
 	canaries atomic.Pointer[map[string][]Server]
 
 	mu      sync.Mutex
 	servers map[string]entry
-	// touched are the servers, by service, that changed since offered was made.
+	// touched holds the IDs of the servers, by service, that changed since eligible was
+	// published.
 	touched   map[string]map[string]bool
 	zones     map[string]bool
 	releases  releases
-	versions  [parts]int64
-	confirmed [parts]time.Time
-	// marks tell contents apart, whatever their versions.
-	marks [parts]uint64
-	// readings are the newest reads in full of what is known, here or elsewhere;
-	// suspect is since when another instance is known to have read otherwise.
-	readings [parts]Reading
-	suspect  [parts]time.Time
-	// contact is when the platform last answered any instance known here, lostAt
-	// when it last failed to answer this one.
-	contact, lostAt time.Time
-	// log holds the changes of the servers after logFrom.
-	log     []logged
-	gaps    []gap
-	logFrom int64
-	raw     []byte
-	// returning is until when missing entries may come back.
-	returning time.Time
-	changed   chan struct{}
+	versions  [resourceCount]int64
+	confirmed [resourceCount]time.Time
+	// hashes tell contents apart, whatever their versions.
+	hashes [resourceCount]uint64
+	// listings are the newest lists that matched the state, by any instance; divergedSince is
+	// since when another instance is known to have listed different contents.
+	listings      [resourceCount]Listing
+	divergedSince [resourceCount]time.Time
+	// contact is when the platform last answered any known instance, failedAt when it last
+	// failed to answer this one.
+	contact, failedAt time.Time
+	// log holds the changes of the servers after version logFrom.
+	log           []loggedChange
+	missingRanges []missingRange
+	logFrom       int64
+	raw           []byte
+	// graceUntil is until when missing entries are expected to reappear.
+	graceUntil time.Time
+	changed    chan struct{}
 }
 
-// NewState returns a state that knows nothing.
+// NewState returns an empty state.
 func NewState() *State {
 	s := &State{
 		servers: map[string]entry{}, touched: map[string]map[string]bool{}, zones: map[string]bool{}, releases: newReleases(), changed: make(chan struct{}, 1),
 	}
-	s.marks[Zones] = zonesMark(s.zones)
-	s.marks[Rollouts] = rolloutsMark(nil)
-	s.offered.Store(&map[string][]Server{})
+	s.hashes[Zones] = zonesHash(s.zones)
+	s.hashes[Rollouts] = rolloutsHash(nil)
+	s.eligible.Store(&map[string][]Server{})
 	s.canaries.Store(&map[string][]Server{})
 	return s
 }
 
-// Changed has an entry after servers or zones have changed. It holds one: a
-// reader that is behind looks at the newest state anyway.
+// Changed receives a value after servers or zones have changed. It holds at most one: a
+// slow reader reads the newest state anyway.
 func (s *State) Changed() <-chan struct{} { return s.changed }
 
-// Table returns the configuration in force, or nil while none is known.
+// Table returns the routing table of the current configuration, or nil if there is none.
 func (s *State) Table() *routes.Table { return s.table.Load() }
 
-// Known reports whether each part is known: before, an instance could send a
-// request to a zone that is taken out.
+// Known reports whether each resource is known. Until then an instance could send a
+// request to a drained zone.
 func (s *State) Known() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for p, version := range s.versions {
-		if version == 0 && (Part(p) != Rollouts || s.releases.followed) {
+	for res, version := range s.versions {
+		if version == 0 && (Resource(res) != Rollouts || s.releases.enabled) {
 			return false
 		}
 	}
 	return true
 }
 
-// Servers returns the backend servers of a service that may get new requests:
-// those that aren't leaving, whose availability zone isn't taken out and whose
-// version is in service.
-func (s *State) Servers(service string) []Server { return (*s.offered.Load())[service] }
+// Servers returns the backend servers of a service that may get new requests: those that
+// aren't shutting down, whose zone isn't drained and whose version is in service.
+func (s *State) Servers(service string) []Server { return (*s.eligible.Load())[service] }
 
-// Canaries returns the servers of a version whose roll-out is a canary.
+// Canaries returns the servers of a new version whose rollout is at the canary stage.
 func (s *State) Canaries(service string) []Server { return (*s.canaries.Load())[service] }
 
-// Server returns a backend server, or false when it isn't listed.
+// Server returns a backend server, or false if it isn't listed.
 func (s *State) Server(id string) (Server, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,21 +155,21 @@
 	return e.Server, ok
 }
 
-// Version returns the version of a part and when it was last confirmed.
-func (s *State) Version(p Part) (int64, time.Time) {
+// Version returns the version of a resource and when it was last confirmed.
+func (s *State) Version(res Resource) (int64, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.versions[p], s.confirmed[p]
+	return s.versions[res], s.confirmed[res]
 }
 
-// Age returns for how long a part wasn't confirmed.
-func (s *State) Age(now time.Time, p Part) time.Duration {
-	_, at := s.Version(p)
+// Age returns the time since a resource was last confirmed.
+func (s *State) Age(now time.Time, res Resource) time.Duration {
+	_, at := s.Version(res)
 	return now.Sub(at)
 }
 
-// Configure takes over a configuration and reports whether it is newer. Raw is
-// what it was read from, which other instances are given.
+// Configure applies a configuration and reports whether it is newer. raw is its serialized
+// form, which is sent to other instances.
 func (s *State) Configure(now time.Time, cfg routes.Configuration, raw []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,20 +180,20 @@
 	s.table.Store(routes.NewTable(cfg))
 	s.versions[Configuration] = cfg.Version
 	s.raw = raw
-	s.alter(Configuration, uint64(cfg.Version))
+	s.setHash(Configuration, uint64(cfg.Version))
 	return true
 }
 
-// RawConfiguration returns what the configuration was read from, and its version.
+// RawConfiguration returns the serialized configuration and its version.
 func (s *State) RawConfiguration() ([]byte, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.raw, s.versions[Configuration]
 }
 
-// SameConfiguration confirms the configuration where this is what it was read from,
-// and reports whether it is.
-func (s *State) SameConfiguration(now time.Time, raw []byte) bool {
+// ConfirmConfiguration reports whether raw is the current configuration, and if so
+// confirms it.
+func (s *State) ConfirmConfiguration(now time.Time, raw []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.raw == nil || !bytes.Equal(raw, s.raw) {
@@ -203,56 +203,56 @@
 	return true
 }
 
-// Confirm notes that a part is heard of.
-func (s *State) Confirm(now time.Time, p Part) {
+// Confirm records that a resource is current.
+func (s *State) Confirm(now time.Time, res Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteContact(now)
-	s.confirm(now, p)
+	s.recordContact(now)
+	s.confirm(now, res)
 }
 
-func (s *State) confirm(now time.Time, p Part) {
-	if now.After(s.confirmed[p]) {
-		s.confirmed[p] = now
+func (s *State) confirm(now time.Time, res Resource) {
+	if now.After(s.confirmed[res]) {
+		s.confirmed[res] = now
 	}
 }
 
-// Lost notes that the platform didn't answer.
+// Lost records that the platform didn't answer.
 func (s *State) Lost(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lostAt = now
+	s.failedAt = now
 }
 
-// Outage reports whether the platform doesn't answer, neither this instance nor
-// any that it hears of.
+// Outage reports whether the platform answers neither this instance nor any that it gets
+// updates from.
 func (s *State) Outage() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.lostAt.IsZero() && !s.contact.After(s.lostAt)
+	return !s.failedAt.IsZero() && !s.contact.After(s.failedAt)
 }
 
-// Returned notes that the platform answers again after an outage.
-func (s *State) Returned(now time.Time) {
+// OutageEnded records that the platform answers again after an outage.
+func (s *State) OutageEnded(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lostAt = time.Time{}
-	s.returning = now.Add(returnTime)
+	s.failedAt = time.Time{}
+	s.graceUntil = now.Add(reappearTime)
 }
 
-// noteContact notes that the platform answered some instance. After a silence longer
-// than its servers' heartbeats entries may be missing that will be back.
-func (s *State) noteContact(at time.Time) {
-	if !s.contact.IsZero() && at.Sub(s.contact) > silence {
-		s.returning = at.Add(returnTime)
+// recordContact records that the platform answered some instance. If none was answered for
+// longer than the servers' heartbeats last, entries may be missing that will reappear.
+func (s *State) recordContact(at time.Time) {
+	if !s.contact.IsZero() && at.Sub(s.contact) > entryExpiry {
+		s.graceUntil = at.Add(reappearTime)
 	}
 	if at.After(s.contact) {
 		s.contact = at
 	}
 }
 
-// MarkLeaving notes that a server itself says that it leaves, where the
-// platform doesn't tell.
+// MarkLeaving records a shutdown notice from the server itself, if the platform doesn't
+// deliver it.
 func (s *State) MarkLeaving(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -265,11 +265,11 @@
 	s.publish()
 }
 
-// Sweep drops entries that stayed missing after an outage.
+// Sweep removes entries that are still missing after an outage.
 func (s *State) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Before(s.returning) {
+	if now.Before(s.graceUntil) {
 		return
 	}
 	for id, e := range s.servers {
@@ -282,7 +282,7 @@
 	}
 }
 
-// ReplaceZones takes over the availability zones that are taken out.
+// ReplaceZones replaces the drained zones and reports whether the version isn't older.
 func (s *State) ReplaceZones(now time.Time, version int64, zones []string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -295,15 +295,14 @@
 	for _, zone := range zones {
 		s.zones[zone] = true
 	}
-	s.alter(Zones, zonesMark(s.zones))
+	s.setHash(Zones, zonesHash(s.zones))
 	s.touchAll()
 	s.publish()
 	return true
 }
 
-// ZonesOut returns the availability zones that are taken out, and as of which
-// version.
-func (s *State) ZonesOut() ([]string, int64) {
+// DrainedZones returns the drained zones and their version.
+func (s *State) DrainedZones() ([]string, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.zones)), s.versions[Zones]
--- a/internal/observed/news_test.go
+++ b/internal/observed/update_test.go
@@ -24,17 +24,17 @@
 	require.True(t, source.ChangeServers(start, 10, 12, []Change{put("c", 0), {ID: "a"}}))
 	require.True(t, source.ChangeServers(start, 12, 14, []Change{put("d", 0)}))
 	tests := map[string]struct {
-		known   func(s *State)
-		since   int64
-		missing bool
-		whole   bool
-		want    []string
+		known    func(s *State)
+		since    int64
+		missing  bool
+		snapshot bool
+		want     []string
 	}{
-		"knows nothing":       {func(*State) {}, 0, false, true, []string{"b", "c", "d"}},
+		"empty state":         {func(*State) {}, 0, false, true, []string{"b", "c", "d"}},
 		"lags behind":         {func(s *State) { s.ReplaceServers(start, 10, []dialect.Server{server("a"), server("b")}) }, 10, false, false, []string{"b", "c", "d"}},
 		"between two changes": {func(s *State) { s.ReplaceServers(start, 12, []dialect.Server{server("b"), server("c")}) }, 10, false, false, []string{"b", "c", "d"}},
-		"older than all":      {func(s *State) { s.ReplaceServers(start, 3, []dialect.Server{server("x")}) }, 3, false, true, []string{"b", "c", "d"}},
-		"missed one":          {func(s *State) { s.ReplaceServers(start, 10, []dialect.Server{server("a"), server("b")}) }, 12, true, false, []string{"a", "b"}},
+		"before the log":      {func(s *State) { s.ReplaceServers(start, 3, []dialect.Server{server("x")}) }, 3, false, true, []string{"b", "c", "d"}},
+		"missed a change":     {func(s *State) { s.ReplaceServers(start, 10, []dialect.Server{server("a"), server("b")}) }, 12, true, false, []string{"a", "b"}},
 		"newer":               {func(s *State) { s.ReplaceServers(start, 20, []dialect.Server{server("n")}) }, 10, false, false, []string{"n"}},
 	}
 	for name, tt := range tests {
@@ -42,18 +42,18 @@
 			s := NewState()
 			tt.known(s)
 			u := source.UpdateSince(start, tt.since)
-			require.Equal(t, tt.whole, u.Whole)
+			require.Equal(t, tt.snapshot, u.Snapshot)
 			require.Equal(t, tt.missing, s.Apply(start, &u))
 			require.Equal(t, tt.want, ids(s))
-			zones, _ := s.ZonesOut()
+			zones, _ := s.DrainedZones()
 			require.Equal(t, []string{"z9"}, zones)
 		})
 	}
 }
 
-// Guards against a server that takes too much while it is cold: what is left of
-// that time is told, not what there was.
-func TestColdTimeIsToldAsLeft(t *testing.T) {
+// Guards against a server that gets too many requests while it is cold: an update must
+// hold the remaining time, not the original one.
+func TestUpdateHoldsRemainingColdTime(t *testing.T) {
 	a, b := NewState(), NewState()
 	a.ReplaceServers(start, 1, []dialect.Server{server("x")})
 	a.ChangeServers(start, 1, 2, []Change{put("s", 5*time.Second)})
@@ -61,38 +61,38 @@
 	u := a.UpdateSince(now, 1)
 	b.ReplaceServers(start, 1, []dialect.Server{server("x")})
 	b.Apply(now, &u)
-	told, ok := b.Server("s")
+	receiver, ok := b.Server("s")
 	require.True(t, ok)
-	require.Equal(t, start.Add(5*time.Second), told.ColdUntil)
+	require.Equal(t, start.Add(5*time.Second), receiver.ColdUntil)
 }
 
-// Guards against entries that are dropped for good right after an outage, by an
-// instance that was told of the platform by others alone.
-func TestToldInstanceNoticesAnOutage(t *testing.T) {
-	reader, told := NewState(), NewState()
-	for _, s := range []*State{reader, told} {
+// Guards against removing entries right after an outage, at an instance that knows the
+// platform from updates only.
+func TestUpdatedInstanceDetectsOutage(t *testing.T) {
+	lister, receiver := NewState(), NewState()
+	for _, s := range []*State{lister, receiver} {
 		s.ReplaceServers(start, 10, []dialect.Server{server("a"), server("b")})
-		s.Read(start, Servers)
+		s.RecordListing(start, Servers)
 	}
-	after := start.Add(silence + time.Second)
-	reader.Returned(after)
-	reader.ReplaceServers(after, 20, nil)
-	reader.Read(after, Servers)
-	u := reader.UpdateSince(after, 10)
-	require.False(t, told.Apply(after, &u))
-	require.Equal(t, []string{"a", "b"}, ids(told))
-	told.Sweep(after.Add(returnTime))
-	require.Empty(t, ids(told))
+	after := start.Add(entryExpiry + time.Second)
+	lister.OutageEnded(after)
+	lister.ReplaceServers(after, 20, nil)
+	lister.RecordListing(after, Servers)
+	u := lister.UpdateSince(after, 10)
+	require.False(t, receiver.Apply(after, &u))
+	require.Equal(t, []string{"a", "b"}, ids(receiver))
+	receiver.Sweep(after.Add(reappearTime))
+	require.Empty(t, ids(receiver))
 }
 
-// Whatever the order in which updates of two readers come, with some lost and
-// some twice: what is known never goes back, an instance that says that nothing
-// is missing has what the platform had, and a fetch ends every lag.
+// Checks updates from two instances in any order, some lost and some repeated: the version
+// never goes back, an instance that reports nothing missing has the platform's contents,
+// and a fetch brings it up to date.
 func TestUpdatesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth, version := map[string]bool{}, int64(1)
 		history := map[int64][]string{}
-		readers := []*State{NewState(), NewState()}
+		sources := []*State{NewState(), NewState()}
 		names := func() []string {
 			var out []string
 			for i := range 6 {
@@ -102,13 +102,13 @@
 			}
 			return out
 		}
-		for _, r := range readers {
+		for _, r := range sources {
 			r.ReplaceServers(start, version, nil)
 		}
 		history[version] = names()
-		told := NewState()
+		receiver := NewState()
 		var sent []Update
-		published := make([]int64, len(readers))
+		published := make([]int64, len(sources))
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
@@ -120,10 +120,10 @@
 					change = put(id, 0)
 				}
 				history[version] = names()
-				for i, r := range readers {
-					if known, _ := r.Version(Servers); known == before && rapid.Bool().Draw(t, "heard") {
+				for i, r := range sources {
+					if known, _ := r.Version(Servers); known == before && rapid.Bool().Draw(t, "watched") {
 						require.True(t, r.ChangeServers(start, before, version, []Change{change}))
-					} else if rapid.Bool().Draw(t, "read") {
+					} else if rapid.Bool().Draw(t, "listed") {
 						var list []dialect.Server
 						for _, id := range names() {
 							list = append(list, server(id))
@@ -136,19 +136,19 @@
 			case 2:
 				if len(sent) > 0 {
 					u := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "update")]
-					before, _ := told.Version(Servers)
-					told.Apply(start, &u)
-					after, _ := told.Version(Servers)
+					before, _ := receiver.Version(Servers)
+					receiver.Apply(start, &u)
+					after, _ := receiver.Version(Servers)
 					require.GreaterOrEqual(t, after, before)
 				}
 			case 3:
-				r := readers[rapid.IntRange(0, 1).Draw(t, "from")]
-				u := r.UpdateFor(start, told.Versions(start))
-				require.False(t, told.Apply(start, &u))
-				require.False(t, told.Behind(r.Versions(start)))
+				r := sources[rapid.IntRange(0, 1).Draw(t, "from")]
+				u := r.UpdateFor(start, receiver.Versions(start))
+				require.False(t, receiver.Apply(start, &u))
+				require.False(t, receiver.Behind(r.Versions(start)))
 			}
-			if at, _ := told.Version(Servers); at > 0 {
-				require.Equal(t, history[at], ids(told))
+			if at, _ := receiver.Version(Servers); at > 0 {
+				require.Equal(t, history[at], ids(receiver))
 			}
 		}
 	})
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -6,46 +6,48 @@
 )
 
 const (
-	// stopRatio is the evidence that ends a canary at once, doubtRatio that which
-	// is enough when its time is over: a bad version that is kept harms callers,
-	// a good one that is rolled back can be ordered again. shiftRatio is that
-	// which turns a shift back, where no old version is left to compare with.
-	stopRatio  = 60.0
-	doubtRatio = 2.0
-	shiftRatio = 1000.0
-	// reserveShare is the part of a roll-out's time that is kept for the shift,
-	// between reserveLeast and reserveMost.
-	reserveShare = 0.4
-	reserveLeast = 3500 * time.Millisecond
-	reserveMost  = 10 * time.Second
-	// enoughSamples is how many answers of the new version a good verdict needs at
-	// the usual time, fewSamples what it needs at the latest.
-	enoughSamples = 20
-	fewSamples    = 10
-	// lastReserve is what has to be left of the time for a shift to begin.
-	lastReserve = 2500 * time.Millisecond
-	// reportTTL is how long a report tells what an instance does now.
+	// The likelihood ratios that roll a rollout back: immediateRollBackRatio at any time of
+	// the canary, deadlineRollBackRatio once its time is over, promotedRollBackRatio during
+	// the promotion, when no server of the old version is left to compare with. The ratio at
+	// the deadline is low because a bad version that is promoted harms callers, while a good
+	// one that is rolled back can be rolled out again.
+	immediateRollBackRatio = 60.0
+	deadlineRollBackRatio  = 2.0
+	promotedRollBackRatio  = 1000.0
+	// promotionShare is the part of a rollout's duration that is reserved for the promotion,
+	// between minPromotionTime and maxPromotionTime.
+	promotionShare   = 0.4
+	minPromotionTime = 3500 * time.Millisecond
+	maxPromotionTime = 10 * time.Second
+	// minSamples is the number of answers of the new version that a promotion requires,
+	// minSamplesAtDeadline that which it requires when the canary can't wait any longer.
+	minSamples           = 20
+	minSamplesAtDeadline = 10
+	// minRemaining is the time that must remain of the rollout for a promotion to start.
+	minRemaining = 2500 * time.Millisecond
+	// reportTTL is the time after which a report no longer says what an instance does.
 	reportTTL = 2500 * time.Millisecond
-	// leastServing is the part of the old version's servers that has to be there
-	// of the new one before everything goes to it.
-	leastServing = 0.75
+	// minServerRatio is the number of the new version's servers, as a share of the old
+	// version's, that a promotion requires.
+	minServerRatio = 0.75
 )
 
-// View is what a controller knows beside the reports.
+// View is the state of the system, beside the reports, that a controller decides by.
 type View struct {
-	// Live are the instances that may send to the service's servers.
+	// Live lists the instances that may send requests to the service's servers.
 	Live []string
-	// Old and New are the numbers of servers of each version that take requests.
-	Old, New int
+	// OldServers and NewServers are the numbers of servers of each version that accept
+	// requests.
+	OldServers, NewServers int
 }
 
 // Action is [Wait] or [Write].
 type Action interface{ action() }
 
-// Wait means that there is nothing to be written yet. Why says for what.
-type Wait struct{ Why string }
+// Wait means that there is nothing to write yet, and why.
+type Wait struct{ Reason string }
 
-// Write means that the platform is to be told a state.
+// Write means that the rollout's status is to be written to the platform.
 type Write struct {
 	Stage  Stage
 	Reason string
@@ -54,83 +56,83 @@
 func (Wait) action()  {}
 func (Write) action() {}
 
-type reported struct {
+type receivedReport struct {
 	Report
-	at time.Time
+	receivedAt time.Time
 }
 
-// Controller collects what the instances report of one roll-out and decides its
-// stages. Any instance can be the one that decides: what it needs comes with the
-// next reports.
+// Controller aggregates the instances' reports on one rollout and decides its stages. Any
+// instance can take over as the coordinator: the next reports hold all that it needs.
 type Controller struct {
-	Order Order
-	limit Limits
-	began time.Time
-	stage Stage
-	// reports are by instance, past what starts before the present one had.
-	reports map[string]reported
-	past    *Counts
-	// seen is how many requests were answered so far.
-	seen int
-	// Evidence is the last comparison of the two versions.
+	Spec      Spec
+	limits    Limits
+	startedAt time.Time
+	stage     Stage
+	// reports holds the last report of each instance, earlier the counts of its earlier
+	// incarnations.
+	reports map[string]receivedReport
+	earlier *Counts
+	// answers is the number of requests that both versions have answered.
+	answers int
+	// Evidence is the result of the last comparison of the two versions.
 	Evidence Evidence
 	Reason   string
 }
 
-// NewController returns a controller that knows of an order since now.
-func NewController(now time.Time, o Order, l Limits) *Controller {
-	return &Controller{Order: o, limit: l, began: now, stage: StageCanary, reports: map[string]reported{}, past: NewCounts()}
+// NewController returns a controller of a rollout that started at now.
+func NewController(now time.Time, spec Spec, l Limits) *Controller {
+	return &Controller{Spec: spec, limits: l, startedAt: now, stage: StageCanary, reports: map[string]receivedReport{}, earlier: NewCounts()}
 }
 
-// Take takes over a report and returns the lease that answers it.
-func (c *Controller) Take(now time.Time, r Report) Lease {
-	known, ok := c.reports[r.By]
+// Apply records a report and returns the lease that answers it.
+func (c *Controller) Apply(now time.Time, r Report) Lease {
+	previous, ok := c.reports[r.Instance]
 	switch {
-	case ok && (r.Started < known.Started || r.Started == known.Started && r.Sequence <= known.Sequence):
+	case ok && (r.Incarnation < previous.Incarnation || r.Incarnation == previous.Incarnation && r.Sequence <= previous.Sequence):
 		return c.Lease(now)
-	case ok && r.Started > known.Started:
-		c.past.Add(known.Cells)
+	case ok && r.Incarnation > previous.Incarnation:
+		c.earlier.Add(previous.Cells)
 	}
-	c.reports[r.By] = reported{r, now}
-	if began := now.Add(-time.Duration(r.AgeMillis) * time.Millisecond); began.Before(c.began) {
-		c.began = began
+	c.reports[r.Instance] = receivedReport{r, now}
+	if startedAt := now.Add(-time.Duration(r.AgeMillis) * time.Millisecond); startedAt.Before(c.startedAt) {
+		c.startedAt = startedAt
 	}
-	c.advance(r.Stage, "reported by "+r.By)
+	c.advance(r.Stage, "reported by instance "+r.Instance)
 	return c.Lease(now)
 }
 
-// Lease returns the present lease.
+// Lease returns the current lease.
 func (c *Controller) Lease(now time.Time) Lease {
-	age := now.Sub(c.began)
-	return Lease{Order: c.Order.ID, Stage: c.stage, AgeMillis: age.Milliseconds(), Share: c.limit.canaryShare(c.expected(age))}
+	age := now.Sub(c.startedAt)
+	return Lease{RolloutID: c.Spec.ID, Stage: c.stage, AgeMillis: age.Milliseconds(), Share: c.limits.canaryShare(c.expectedRequests(age))}
 }
 
-// rateAge is from which age on the rate of requests is known.
-const rateAge = time.Second
+// minRateAge is the age of a rollout from which on its rate of requests is known.
+const minRateAge = time.Second
 
-// expected returns how many requests are expected to come during the roll-out, or
-// 0 while that isn't known.
-func (c *Controller) expected(age time.Duration) float64 {
-	if age < rateAge {
+// expectedRequests returns how many requests are expectedRequests during the rollout, or 0 while
+// that is unknown.
+func (c *Controller) expectedRequests(age time.Duration) float64 {
+	if age < minRateAge {
 		return 0
 	}
-	return float64(c.seen) * float64(c.Order.Duration) / float64(max(age, rateAge))
+	return float64(c.answers) * float64(c.Spec.Duration) / float64(max(age, minRateAge))
 }
 
-// Forget drops what instances do now, after a pause of this one of which its
-// clock knows nothing.
-func (c *Controller) Forget() {
+// ExpireReports makes all reports outdated. It is called after this instance was
+// suspended, which its monotonic clock doesn't count.
+func (c *Controller) ExpireReports() {
 	for by, r := range c.reports {
-		r.at = time.Time{}
+		r.receivedAt = time.Time{}
 		c.reports[by] = r
 	}
 }
 
-// Stage returns the stage.
+// Stage returns the rollout's stage.
 func (c *Controller) Stage() Stage { return c.stage }
 
-// Advance takes over a stage that was heard of elsewhere.
-func (c *Controller) Advance(s Stage) { c.advance(s, "told by another instance") }
+// Advance applies a stage that another instance decided on.
+func (c *Controller) Advance(s Stage) { c.advance(s, "decided by another instance") }
 
 func (c *Controller) advance(s Stage, reason string) {
 	if later := c.stage.Later(s); later != c.stage {
@@ -138,17 +140,17 @@
 	}
 }
 
-// Counts returns what all instances have seen.
+// Counts returns the counts of all instances.
 func (c *Controller) Counts() *Counts {
 	all := NewCounts()
-	all.Add(c.past.Cells())
+	all.Add(c.earlier.Cells())
 	for _, r := range c.reports {
 		all.Add(r.Cells)
 	}
 	return all
 }
 
-// Step decides what comes next.
+// Step decides what to do next.
 func (c *Controller) Step(now time.Time, v View) Action {
 	if c.stage.Ended() {
 		return Wait{"ended"}
@@ -156,63 +158,63 @@
 	counts := c.Counts()
 	stable, _ := counts.Total(Stable)
 	canary, _ := counts.Total(Canary)
-	c.seen = stable + canary
-	c.Evidence = Judge(counts)
+	c.answers = stable + canary
+	c.Evidence = Compare(counts)
 	if c.stage == StageCanary {
-		c.judge(now, v, counts)
+		c.evaluateCanary(now, v, counts)
 	}
-	if c.stage == StageShift && c.Evidence.Ratio >= shiftRatio {
-		c.advance(StageBack, "bad under all requests: "+c.Evidence.Reason)
+	if c.stage == StagePromoting && c.Evidence.Ratio >= promotedRollBackRatio {
+		c.advance(StageRollingBack, "rolled back after promotion: "+c.Evidence.Reason)
 	}
 	switch c.stage {
-	case StageBack:
+	case StageRollingBack:
 		return Write{StageRolledBack, c.Reason}
-	case StageShift:
+	case StagePromoting:
 		return c.finish(now, v)
 	}
 	return Wait{"canary"}
 }
 
-// judge ends the canary when enough is known, or when its time is over.
-func (c *Controller) judge(now time.Time, v View, counts *Counts) {
+// evaluateCanary ends the canary once there is enough evidence, or when its time is over.
+func (c *Controller) evaluateCanary(now time.Time, v View, counts *Counts) {
 	number, failed := counts.Total(Canary)
-	left := c.Order.Duration - now.Sub(c.began)
-	enough := number >= enoughSamples
+	remaining := c.Spec.Duration - now.Sub(c.startedAt)
+	enoughSamples := number >= minSamples
 	switch {
-	case c.Evidence.Ratio >= stopRatio:
-		c.advance(StageBack, "bad: "+c.Evidence.Reason)
-	case left > c.reserve():
+	case c.Evidence.Ratio >= immediateRollBackRatio:
+		c.advance(StageRollingBack, "bad: "+c.Evidence.Reason)
+	case remaining > c.promotionTime():
 		return
-	case c.Evidence.Ratio >= doubtRatio && number >= fewSamples:
-		c.advance(StageBack, "in doubt: "+c.Evidence.Reason)
-	case enough && c.room(v), left <= lastReserve && number >= fewSamples && c.room(v):
-		c.advance(StageShift, fmt.Sprintf("good: %d of %d answers failed, likelihood ratio %.2f", failed, number, c.Evidence.Ratio))
-	case left <= lastReserve:
-		c.advance(StageBack, fmt.Sprintf("not judged in time: %d answers, %d servers for %d", number, v.New, v.Old))
+	case c.Evidence.Ratio >= deadlineRollBackRatio && number >= minSamplesAtDeadline:
+		c.advance(StageRollingBack, "rolled back at the deadline: "+c.Evidence.Reason)
+	case enoughSamples && c.enoughServers(v), remaining <= minRemaining && number >= minSamplesAtDeadline && c.enoughServers(v):
+		c.advance(StagePromoting, fmt.Sprintf("promoted: %d of %d answers failed, likelihood ratio %.2f", failed, number, c.Evidence.Ratio))
+	case remaining <= minRemaining:
+		c.advance(StageRollingBack, fmt.Sprintf("rolled back for lack of samples or servers: %d answers, %d new and %d old servers", number, v.NewServers, v.OldServers))
 	}
 }
 
-func (c *Controller) reserve() time.Duration {
-	return min(reserveMost, max(reserveLeast, time.Duration(float64(c.Order.Duration)*reserveShare)))
+func (c *Controller) promotionTime() time.Duration {
+	return min(maxPromotionTime, max(minPromotionTime, time.Duration(float64(c.Spec.Duration)*promotionShare)))
 }
 
-// room reports whether the new version's servers can take everything.
-func (c *Controller) room(v View) bool {
-	return v.New > 0 && float64(v.New) >= leastServing*float64(v.Old)
+// enoughServers reports whether the new version's servers can take all requests.
+func (c *Controller) enoughServers(v View) bool {
+	return v.NewServers > 0 && float64(v.NewServers) >= minServerRatio*float64(v.OldServers)
 }
 
-// finish completes the roll-out once nothing is left on the old servers: they stop
-// at once then.
+// finish completes the rollout once no request is left on the old servers: the platform
+// stops them as soon as it is completed.
 func (c *Controller) finish(now time.Time, v View) Action {
 	for _, id := range v.Live {
 		r, ok := c.reports[id]
 		switch {
-		case !ok || now.Sub(r.at) > reportTTL:
-			return Wait{"no report of " + id}
-		case r.Stage != StageShift:
-			return Wait{id + " hasn't heard of the shift"}
-		case r.Left > 0:
-			return Wait{fmt.Sprintf("%d requests left on the old version at %s", r.Left, id)}
+		case !ok || now.Sub(r.receivedAt) > reportTTL:
+			return Wait{"no recent report from " + id}
+		case r.Stage != StagePromoting:
+			return Wait{id + " hasn't applied the promotion"}
+		case r.Remaining > 0:
+			return Wait{fmt.Sprintf("%d requests remaining on the old version at %s", r.Remaining, id)}
 		}
 	}
 	return Write{StageCompleted, c.Reason}
--- a/internal/rollout/counts.go
+++ b/internal/rollout/counts.go
@@ -9,49 +9,50 @@
 )
 
 const (
-	// windows is into how many parts the time of a roll-out is divided: a version
-	// may turn bad after some time.
-	windows = 6
-	// bucketBase is the ratio of one bucket of a histogram to the one before.
+	// windowCount is the number of windowCount that a rollout's duration is divided into. Windows
+	// show a version that turns bad after some time.
+	windowCount = 6
+	// bucketBase is the ratio between the bounds of adjacent histogram buckets.
 	bucketBase = 1.2
 )
 
-// Aspect is what a latency is of.
+// Aspect names what a sample measures.
 type Aspect string
 
-// The aspects of an answer: the time to it or to its first event, and the time
-// between two events of a stream.
+// The metrics: the answer to a request (for a stream its first event), and the gap between
+// two events of a stream.
 const (
 	Answer Aspect = "answer"
 	Pace   Aspect = "pace"
 )
 
-// Sample is one answer, or one stretch of a stream.
+// Sample is one answer, or one gap between events of a stream.
 type Sample struct {
 	Route  string
 	Server string
 	Track  Track
-	Aspect Aspect
-	// Failed answers have no time.
-	Failed bool
-	Took   time.Duration
-	// Warming is set while the server has just started: it is slow whatever its
+	Metric Aspect
+	// Failed answers have no latency.
+	Failed  bool
+	Latency time.Duration
+	// ColdStart is set while the server has just started: it is slow then, whatever its
 	// version.
-	Warming bool
+	ColdStart bool
 }
 
-// Cell counts the samples of one route on one track. Those of the canary are by
-// server, so that one broken server isn't taken for a bad version.
+// Cell counts the samples of one route, track and metric in one window. Those of the
+// canary are also split by server, so that one broken server isn't mistaken for a bad
+// version.
 type Cell struct {
 	Window int    `json:"window"`
 	Route  string `json:"route"`
 	Track  Track  `json:"track"`
 	Server string `json:"server,omitempty"`
-	Aspect Aspect `json:"aspect"`
-	Number int    `json:"number"`
+	Metric Aspect `json:"aspect"`
+	Count  int    `json:"number"`
 	Failed int    `json:"failed"`
-	// Times has the number of answers by bucket of their time.
-	Times map[int]int `json:"times,omitempty"`
+	// Histogram holds the number of answers by latency bucket.
+	Histogram map[int]int `json:"times,omitempty"`
 }
 
 type cellKey struct {
@@ -59,89 +60,89 @@
 	route  string
 	track  Track
 	server string
-	aspect Aspect
+	metric Aspect
 }
 
-// Counts adds up samples.
+// Counts aggregates samples.
 type Counts struct{ cells map[cellKey]*Cell }
 
-// NewCounts returns counts of nothing.
+// NewCounts returns empty counts.
 func NewCounts() *Counts { return &Counts{cells: map[cellKey]*Cell{}} }
 
-// Note counts a sample in a window.
-func (c *Counts) Note(window int, s Sample) {
-	key := cellKey{window: window, route: s.Route, track: s.Track, aspect: s.Aspect}
+// Record counts a sample in a window.
+func (c *Counts) Record(window int, s Sample) {
+	key := cellKey{window: window, route: s.Route, track: s.Track, metric: s.Metric}
 	if s.Track == Canary {
 		key.server = s.Server
 	}
 	cell := c.cell(key)
-	cell.Number++
+	cell.Count++
 	switch {
 	case s.Failed:
 		cell.Failed++
-	case !s.Warming:
-		cell.Times[bucket(s.Took)]++
+	case !s.ColdStart:
+		cell.Histogram[bucket(s.Latency)]++
 	}
 }
 
 func (c *Counts) cell(key cellKey) *Cell {
 	cell, ok := c.cells[key]
 	if !ok {
-		cell = &Cell{Window: key.window, Route: key.route, Track: key.track, Server: key.server, Aspect: key.aspect, Times: map[int]int{}}
+		cell = &Cell{Window: key.window, Route: key.route, Track: key.track, Server: key.server, Metric: key.metric, Histogram: map[int]int{}}
 		c.cells[key] = cell
 	}
 	return cell
 }
 
-// Add adds cells of another instance.
+// Add adds the cells of another instance.
 func (c *Counts) Add(cells []Cell) {
 	for i := range cells {
 		from := &cells[i]
-		to := c.cell(cellKey{from.Window, from.Route, from.Track, from.Server, from.Aspect})
-		to.Number += from.Number
+		to := c.cell(cellKey{from.Window, from.Route, from.Track, from.Server, from.Metric})
+		to.Count += from.Count
 		to.Failed += from.Failed
-		for b, n := range from.Times {
-			to.Times[b] += n
+		for b, n := range from.Histogram {
+			to.Histogram[b] += n
 		}
 	}
 }
 
-// Cells returns all cells, in a fixed order.
+// Cells returns copies of all cells in a fixed order.
 func (c *Counts) Cells() []Cell {
 	out := make([]Cell, 0, len(c.cells))
 	for _, cell := range c.cells {
 		copied := *cell
-		copied.Times = maps.Clone(cell.Times)
+		copied.Histogram = maps.Clone(cell.Histogram)
 		out = append(out, copied)
 	}
 	slices.SortFunc(out, func(a, b Cell) int {
 		return cmp.Or(cmp.Compare(a.Window, b.Window), cmp.Compare(a.Route, b.Route), cmp.Compare(a.Track, b.Track),
-			cmp.Compare(a.Server, b.Server), cmp.Compare(a.Aspect, b.Aspect))
+			cmp.Compare(a.Server, b.Server), cmp.Compare(a.Metric, b.Metric))
 	})
 	return out
 }
 
-// Total returns the answers of a track and how many of them failed.
+// Total returns the number of a track's answers and how many of them failed.
 func (c *Counts) Total(track Track) (number, failed int) {
 	for key, cell := range c.cells {
-		if key.track == track && key.aspect == Answer {
-			number += cell.Number
+		if key.track == track && key.metric == Answer {
+			number += cell.Count
 			failed += cell.Failed
 		}
 	}
 	return number, failed
 }
 
-// bucket returns the bucket of a time.
+// bucket returns the histogram bucket of a latency.
 func bucket(d time.Duration) int {
 	millis := max(float64(d)/float64(time.Millisecond), 0.1)
 	return int(math.Floor(math.Log(millis) / math.Log(bucketBase)))
 }
 
-// window returns the window of a roll-out's age.
+// window returns the window that a rollout of this age is in.
 func window(age, duration time.Duration) int {
 	if duration <= 0 {
 		return 0
 	}
-	return min(windows-1, max(0, int(windows*age/duration)))
+	return min(windowCount-1, max(0, int(windowCount*age/duration)))
 }
--- a/internal/rolloutpeer/decide.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -20,54 +20,55 @@
 
 const (
 	reportProcedure = "/pollenspindle.rollout.v1.Rollout/Report"
-	// callTimeout bounds a report, writeTimeout a call to the platform.
+	// callTimeout limits a report, writeTimeout a write to the platform.
 	callTimeout  = 300 * time.Millisecond
 	writeTimeout = time.Second
 )
 
-// errNotDecider means that this instance doesn't decide, as far as it knows.
-var errNotDecider = merry.Sentinel("this instance doesn't decide on roll-outs")
+// errNotCoordinator is returned when this instance isn't the coordinator of a rollout, as
+// far as it knows.
+var errNotCoordinator = merry.Sentinel("this instance isn't the coordinator of the rollout")
 
-// report tells the instance that decides what was seen here, and takes over its
-// lease.
-func (p *Peer) report(ctx context.Context, now time.Time, r *dialect.Rollout, one *part, decider membership.Record, here bool) {
-	left := p.left(r.Service)
+// report sends this instance's report to the coordinator and applies the lease in the
+// answer.
+func (p *Peer) report(ctx context.Context, now time.Time, r *dialect.Rollout, lr *localRollout, coordinator membership.Record, isCoordinator bool) {
+	remaining := p.remaining(r.Service)
 	p.mu.Lock()
-	one.reported = now
+	lr.reportedAt = now
 	p.sequence++
-	report := one.Report(now, p.opts.Self, p.opts.Table.Self().Started, p.sequence, left)
+	report := lr.Report(now, p.opts.Self, p.opts.Table.Self().Started, p.sequence, remaining)
 	p.mu.Unlock()
-	if here {
-		if lease, err := p.takeReport(now, report); err == nil {
-			one.Hold(now, lease)
+	if isCoordinator {
+		if lease, err := p.applyReport(now, report); err == nil {
+			lr.ApplyLease(now, lease)
 		}
 		return
 	}
-	if decider.ID == "" {
+	if coordinator.ID == "" {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	client := connect.NewClient[rollout.Report, rollout.Lease](p.caller.HTTP, "http://"+decider.Peer+reportProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[rollout.Report, rollout.Lease](p.caller.HTTP, "http://"+coordinator.Peer+reportProcedure, peerrpc.ClientOptions()...)
 	req := connect.NewRequest(&report)
 	p.caller.Sign(now, req.Header(), reportProcedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
-		p.opts.Log.Info().Str("service", r.Service).Str("decider", decider.ID).Err(err).Msg("report of a roll-out not answered")
+		p.opts.Log.Info().Str("service", r.Service).Str("decider", coordinator.ID).Err(err).Msg("report of a roll-out not answered")
 		return
 	}
-	// The lease counts from when it was asked for: the answer may have been late.
-	one.Hold(now, *res.Msg)
+	// The lease is valid from the time of the request: the answer may have been late.
+	lr.ApplyLease(now, *res.Msg)
 }
 
-// Handlers answer other instances, by path.
+// Handlers returns the handlers for other instances by path.
 func (p *Peer) Handlers() map[string]http.Handler {
 	report := func(_ context.Context, req *connect.Request[rollout.Report]) (*connect.Response[rollout.Lease], error) {
 		now := p.opts.Now()
 		if err := peerrpc.Check(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
 			return nil, err
 		}
-		lease, err := p.takeReport(now, *req.Msg)
+		lease, err := p.applyReport(now, *req.Msg)
 		if err != nil {
 			return nil, connect.NewError(connect.CodeUnavailable, err)
 		}
@@ -78,68 +79,69 @@
 	}
 }
 
-// takeReport takes over a report where this instance decides.
-func (p *Peer) takeReport(now time.Time, r rollout.Report) (rollout.Lease, error) {
-	if _, here := p.decider(); !here {
-		return rollout.Lease{}, errNotDecider
+// applyReport applies a report if this instance is the coordinator.
+func (p *Peer) applyReport(now time.Time, r rollout.Report) (rollout.Lease, error) {
+	if _, isCoordinator := p.coordinator(); !isCoordinator {
+		return rollout.Lease{}, errNotCoordinator
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one, ok := p.parts[r.Order]
-	if !ok || one.Stage().Ended() || !one.Joined(now) {
-		return rollout.Lease{}, errNotDecider
+	lr, ok := p.rollouts[r.RolloutID]
+	if !ok || lr.Stage().Ended() || !lr.Joined(now) {
+		return rollout.Lease{}, errNotCoordinator
 	}
-	return p.controller(now, one).Take(now, r), nil
+	return p.controller(now, lr).Apply(now, r), nil
 }
 
-func (p *Peer) controller(now time.Time, one *part) *rollout.Controller {
-	c, ok := p.controllers[one.Order.ID]
+func (p *Peer) controller(now time.Time, lr *localRollout) *rollout.Controller {
+	c, ok := p.controllers[lr.Spec.ID]
 	if !ok {
-		c = rollout.NewController(now.Add(-one.Age(now)), one.Order, p.opts.Limits)
-		p.controllers[one.Order.ID] = c
-		p.opts.Log.Info().Str("service", one.Order.Service).Str("to", one.Order.To).Stringer("stage", one.Stage()).Msg("this instance decides on the roll-out")
+		c = rollout.NewController(now.Add(-lr.Age(now)), lr.Spec, p.opts.Limits)
+		p.controllers[lr.Spec.ID] = c
+		p.opts.Log.Info().Str("service", lr.Spec.Service).Str("to", lr.Spec.To).Stringer("stage", lr.Stage()).Msg("this instance decides on the roll-out")
 	}
-	c.Advance(one.Stage())
+	c.Advance(lr.Stage())
 	return c
 }
 
-// decide has the roll-out go on, and tells the platform.
-func (p *Peer) decide(ctx context.Context, now time.Time, r *dialect.Rollout, one *part) {
+// decide takes the next step of a rollout as its coordinator and writes the result to the
+// platform.
+func (p *Peer) decide(ctx context.Context, now time.Time, r *dialect.Rollout, lr *localRollout) {
 	p.mu.Lock()
-	if now.Sub(one.stepped) < stepGap || !one.Joined(now) {
+	if now.Sub(lr.steppedAt) < stepInterval || !lr.Joined(now) {
 		p.mu.Unlock()
 		return
 	}
-	one.stepped = now
-	c := p.controller(now, one)
+	lr.steppedAt = now
+	c := p.controller(now, lr)
 	before := c.Stage()
 	action := c.Step(now, p.view(r))
-	one.Advance(c.Stage())
+	lr.Advance(c.Stage())
 	if c.Stage() != before {
 		p.logVerdict(r, c)
 	}
 	p.mu.Unlock()
 	switch action := action.(type) {
 	case rollout.Write:
-		p.write(ctx, r, one, action)
+		p.write(ctx, r, lr, action)
 	case rollout.Wait:
-		if action.Why != one.wait {
-			one.wait = action.Why
-			p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Str("for", action.Why).Msg("roll-out waits")
+		if action.Reason != lr.waitReason {
+			lr.waitReason = action.Reason
+			p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Str("for", action.Reason).Msg("roll-out waits")
 		}
 		if r.Told == rollout.StageNone {
-			p.write(ctx, r, one, rollout.Write{Stage: rollout.StageCanary, Reason: "begun"})
+			p.write(ctx, r, lr, rollout.Write{Stage: rollout.StageCanary, Reason: "begun"})
 		}
 	}
 }
 
-// view is what is known of the service's servers and of the instances.
+// view returns the state of the service's servers and of the instances.
 func (p *Peer) view(r *dialect.Rollout) rollout.View {
 	var v rollout.View
 	for _, m := range p.opts.Table.Running() {
 		v.Live = append(v.Live, m.ID)
 	}
-	v.New, v.Old = p.opts.State.OfVersion(r.Service, r.To)
+	v.NewServers, v.OldServers = p.opts.State.CountByVersion(r.Service, r.To)
 	return v
 }
 
@@ -153,10 +155,10 @@
 	p.opts.Scope.Tagged(map[string]string{"stage": c.Stage().String()}).Counter("verdicts").Inc(1)
 }
 
-// write tells the platform a state, on the condition that nobody has told it since.
-// A write whose answer is lost is made again; the condition then fails, and what
-// the platform has is read.
-func (p *Peer) write(ctx context.Context, r *dialect.Rollout, one *part, w rollout.Write) {
+// write writes the rollout's status to the platform, on the condition that its object
+// hasn't changed. If the answer is lost, the write is repeated; the condition then fails,
+// and the object is read again.
+func (p *Peer) write(ctx context.Context, r *dialect.Rollout, lr *localRollout, w rollout.Write) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	kind := p.opts.Dialect.Kinds.Rollouts
@@ -165,15 +167,15 @@
 		Int64("revision", r.Revision).Err(err).Msg("platform told of a roll-out")
 	var conflict *objectapi.ConflictError
 	if errors.As(err, &conflict) {
-		p.opts.State.Doubt(p.opts.Now())
+		p.opts.State.MarkDiverged(p.opts.Now())
 		return
 	}
 	if err == nil && w.Stage.Ended() {
-		one.Advance(w.Stage)
+		lr.Advance(w.Stage)
 	}
 }
 
-// Shown is a roll-out as operators see it.
+// Shown describes a rollout for operators.
 type Shown struct {
 	Service  string  `json:"service"`
 	To       string  `json:"to"`
@@ -182,8 +184,8 @@
 	Share    float64 `json:"share"`
 	AgeMs    int64   `json:"ageMs"`
 	Deciding bool    `json:"deciding"`
-	// Answers and Failed count those of the new version and of the old one: of all
-	// instances where this one decides, of its own otherwise.
+	// Answers and Failed count those of the new version, OldAnswers and OldFailed those of the
+	// old one: of all instances if this one is the coordinator, otherwise its own.
 	Answers    int    `json:"answers"`
 	Failed     int    `json:"failed"`
 	OldAnswers int    `json:"oldAnswers"`
@@ -193,27 +195,27 @@
 	Waits      string `json:"waits,omitempty"`
 }
 
-// Show returns the roll-outs, by service.
+// Show returns the rollouts in order of their services.
 func (p *Peer) Show() []Shown {
 	now := p.opts.Now()
 	rollouts := p.opts.State.Rollouts()
 	out := make([]Shown, 0, len(rollouts))
 	for i := range rollouts {
 		r := &rollouts[i]
-		shown := Shown{Service: r.Service, To: r.To, Stage: r.Stage.String(), Told: r.Told.String(), Left: p.left(r.Service)}
+		status := Shown{Service: r.Service, To: r.To, Stage: r.Stage.String(), Told: r.Told.String(), Left: p.remaining(r.Service)}
 		p.mu.Lock()
-		if one, ok := p.parts[r.ID]; ok {
+		if lr, ok := p.rollouts[r.ID]; ok {
 			counts := rollout.NewCounts()
-			counts.Add(one.Report(now, "", 0, 0, 0).Cells)
+			counts.Add(lr.Report(now, "", 0, 0, 0).Cells)
 			if c, ok := p.controllers[r.ID]; ok {
-				counts, shown.Deciding, shown.Reason = c.Counts(), true, c.Reason
+				counts, status.Deciding, status.Reason = c.Counts(), true, c.Reason
 			}
-			shown.AgeMs, shown.Share, shown.Waits = one.Age(now).Milliseconds(), one.Share(now), one.wait
-			shown.Answers, shown.Failed = counts.Total(rollout.Canary)
-			shown.OldAnswers, shown.OldFailed = counts.Total(rollout.Stable)
+			status.AgeMs, status.Share, status.Waits = lr.Age(now).Milliseconds(), lr.Share(now), lr.waitReason
+			status.Answers, status.Failed = counts.Total(rollout.Canary)
+			status.OldAnswers, status.OldFailed = counts.Total(rollout.Stable)
 		}
 		p.mu.Unlock()
-		out = append(out, shown)
+		out = append(out, status)
 	}
 	slices.SortFunc(out, func(a, b Shown) int { return cmp.Compare(a.Service, b.Service) })
 	return out
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -1,17 +1,17 @@
-// Package rolloutpeer carries roll-outs out together with the other instances.
-// Each reports what it sees of the two versions to the one that decides, found by
-// hashing among those that reach the platform, and is answered with a lease: the
-// stage, and the share of requests that may go to the new version. An instance
-// that isn't answered sends nothing there. The one that decides tells the platform
-// under the condition that nobody has told it since. What it knows comes with the
-// next reports, so that any other can take its place.
+// Package rolloutpeer carries out rollouts together with the other instances. Each
+// instance reports what it observes of the two versions to the coordinator, which is
+// chosen by hashing among the instances that reach the platform, and gets a lease in
+// return: the stage, and the share of requests that may go to the new version. An instance
+// that gets no answer sends nothing to the new version. The coordinator writes the status
+// to the platform, on the condition that nobody has changed it. The next reports hold all
+// that it needs, so any other instance can take over.
 //
 // # Usage
 //
 //	p := rolloutpeer.New(rolloutpeer.Options{...})
 //	go p.Run(ctx)
 //	servers, canary := p.Canary(now, "desk", rng.Float64())
-//	p.Note(now, "desk", server, rolloutpeer.Seen{Route: "bookings", Took: took})
+//	p.Record(now, server, rolloutpeer.Observation{Route: "bookings", Latency: latency})
 package rolloutpeer
 
 import (
@@ -33,19 +33,19 @@
 )
 
 const (
-	// tick is how often roll-outs are looked at.
+	// tick is the interval between checks of all rollouts.
 	tick = 100 * time.Millisecond
-	// reportLeast is the least time between two reports, reportEach what it grows
-	// by with each instance, so that the one that decides bears the same load.
-	reportLeast = 400 * time.Millisecond
-	reportEach  = 4 * time.Millisecond
-	// stepGap is the time between two decisions.
-	stepGap = 250 * time.Millisecond
-	// warmTime is for how long a server that has started isn't compared by its
-	// times.
-	warmTime = 2 * time.Second
-	// pauseMargin is by how much the time of day may run ahead of the steady clock
-	// between two looks before this instance takes itself for suspended.
+	// minReportInterval is the minimum interval between two reports. It grows by
+	// reportIntervalPerInstance with each instance, so that the coordinator's load stays the
+	// same.
+	minReportInterval         = 400 * time.Millisecond
+	reportIntervalPerInstance = 4 * time.Millisecond
+	// stepInterval is the time between two decisions.
+	stepInterval = 250 * time.Millisecond
+	// slowStartTime is the time after a server's start in which its latencies aren't compared.
+	slowStartTime = 2 * time.Second
+	// pauseMargin is by how much the wall clock may run ahead of the monotonic clock between
+	// two checks before this instance counts as suspended.
 	pauseMargin = time.Second
 )
 
@@ -58,37 +58,37 @@
 	Objects *objectapi.Client
 	Dialect dialect.Dialect
 	Limits  rollout.Limits
-	// Left returns how many requests of this instance are on a server.
+	// Remaining returns how many requests of this instance run on a server.
 	Left func(server string) int
-	// Announce has others told of a new stage. It doesn't wait.
+	// StageChanged is called after a stage has changed, to broadcast it. It must not block.
 	Announce func()
 	Log      zerolog.Logger
 	Scope    tally.Scope
 	Now      func() time.Time
 }
 
-// Peer is one instance's part in all roll-outs. It is safe for concurrent use.
+// Peer is one instance's part in all rollouts. It is safe for concurrent use.
 type Peer struct {
 	opts   Options
 	caller *peerrpc.Caller
 
 	mu sync.Mutex
-	// ready is set once the roll-outs of the platform are known.
-	ready bool
-	parts map[string]*part
-	// controllers are by order, while this instance decides.
+	// ready is set once the platform's rollouts are known.
+	ready    bool
+	rollouts map[string]*localRollout
+	// controllers holds the controllers by rollout ID, while this instance is the coordinator.
 	controllers map[string]*rollout.Controller
 	sequence    int64
-	looked      time.Time
+	checkedAt   time.Time
 }
 
-// part is one roll-out as this instance has it.
-type part struct {
+// localRollout is this instance's state of one rollout.
+type localRollout struct {
 	*rollout.Participant
-	reported time.Time
-	stepped  time.Time
-	// wait is what the roll-out waits for, as last logged.
-	wait string
+	reportedAt time.Time
+	steppedAt  time.Time
+	// waitReason is what the rollout waits for, as last logged.
+	waitReason string
 }
 
 // New returns a peer that is ready to run.
@@ -101,62 +101,62 @@
 	}
 	return &Peer{
 		opts: opts, caller: peerrpc.NewCaller(opts.Key, opts.Self, callTimeout),
-		parts: map[string]*part{}, controllers: map[string]*rollout.Controller{}, looked: opts.Now(),
+		rollouts: map[string]*localRollout{}, controllers: map[string]*rollout.Controller{}, checkedAt: opts.Now(),
 	}
 }
 
-// Run takes part in roll-outs until ctx ends.
+// Run takes part in rollouts until ctx ends.
 func (p *Peer) Run(ctx context.Context) {
 	for objectapi.Pause(ctx, tick) == nil {
 		now := p.opts.Now()
 		p.checkPause(now)
 		rollouts := p.opts.State.Rollouts()
-		p.follow(now, rollouts)
+		p.syncRollouts(now, rollouts)
 		for i := range rollouts {
 			if !rollouts[i].Stage.Ended() {
-				p.take(ctx, now, &rollouts[i])
+				p.participate(ctx, now, &rollouts[i])
 			}
 		}
 	}
 	p.caller.Drop()
 }
 
-// checkPause forgets what others were doing when this instance was suspended: the
-// steady clock doesn't count that time.
+// checkPause discards the reports from before a suspension of this instance: the monotonic
+// clock doesn't count that time.
 func (p *Peer) checkPause(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	steady, day := now.Sub(p.looked), now.Round(0).Sub(p.looked.Round(0))
-	p.looked = now
-	if day-steady <= pauseMargin {
+	monotonic, wall := now.Sub(p.checkedAt), now.Round(0).Sub(p.checkedAt.Round(0))
+	p.checkedAt = now
+	if wall-monotonic <= pauseMargin {
 		return
 	}
 	for _, c := range p.controllers {
-		c.Forget()
+		c.ExpireReports()
 	}
 }
 
-// follow begins and ends this instance's part in roll-outs.
-func (p *Peer) follow(now time.Time, rollouts []dialect.Rollout) {
+// syncRollouts adds and removes local rollouts to match those of the platform.
+func (p *Peer) syncRollouts(now time.Time, rollouts []dialect.Rollout) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := map[string]bool{}
 	for i := range rollouts {
 		r := &rollouts[i]
 		known[r.ID] = true
-		one, ok := p.parts[r.ID]
+		lr, ok := p.rollouts[r.ID]
 		if !ok {
-			one = p.begin(now, r)
+			lr = p.start(now, r)
 		}
-		if one.Advance(r.Stage) {
-			p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", r.Stage).Msg("roll-out goes on")
+		if lr.Advance(r.Stage) {
+			p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", r.Stage).Msg("rollout stage changed")
 		}
-		p.opts.State.SetStage(r.ID, one.Stage())
+		p.opts.State.SetStage(r.ID, lr.Stage())
 	}
-	for id := range p.parts {
+	for id := range p.rollouts {
 		if !known[id] {
-			p.opts.Log.Info().Str("service", p.parts[id].Order.Service).Str("to", p.parts[id].Order.To).Msg("roll-out withdrawn")
-			delete(p.parts, id)
+			p.opts.Log.Info().Str("service", p.rollouts[id].Spec.Service).Str("to", p.rollouts[id].Spec.To).Msg("rollout withdrawn")
+			delete(p.rollouts, id)
 			delete(p.controllers, id)
 		}
 	}
@@ -164,49 +164,49 @@
 	p.ready = p.ready || version > 0
 }
 
-func (p *Peer) begin(now time.Time, r *dialect.Rollout) *part {
-	order := orderOf(r)
-	one := &part{Participant: rollout.NewParticipant(now, order)}
+func (p *Peer) start(now time.Time, r *dialect.Rollout) *localRollout {
+	spec := specOf(r)
+	lr := &localRollout{Participant: rollout.NewParticipant(now, spec)}
 	if !p.ready {
-		one.Participant = rollout.JoinParticipant(now, order)
+		lr.Participant = rollout.JoinParticipant(now, spec)
 	}
-	p.parts[r.ID] = one
+	p.rollouts[r.ID] = lr
 	p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Dur("duration", r.Duration).Stringer("stage", r.Stage).
 		Bool("joins", !p.ready).Msg("roll-out begins")
-	return one
+	return lr
 }
 
-func orderOf(r *dialect.Rollout) rollout.Order {
-	return rollout.Order{ID: r.ID, Service: r.Service, To: r.To, Duration: r.Duration}
+func specOf(r *dialect.Rollout) rollout.Spec {
+	return rollout.Spec{ID: r.ID, Service: r.Service, To: r.To, Duration: r.Duration}
 }
 
-// take does this instance's part in one roll-out: it reports, and decides where
-// that is its turn.
-func (p *Peer) take(ctx context.Context, now time.Time, r *dialect.Rollout) {
+// participate does this instance's part in one rollout: it reports, and decides if it is
+// the coordinator.
+func (p *Peer) participate(ctx context.Context, now time.Time, r *dialect.Rollout) {
 	p.mu.Lock()
-	one := p.parts[r.ID]
-	due := now.Sub(one.reported) >= p.reportEvery(now)
+	lr := p.rollouts[r.ID]
+	due := now.Sub(lr.reportedAt) >= p.reportInterval(now)
 	p.mu.Unlock()
-	decider, here := p.decider()
+	coordinator, isCoordinator := p.coordinator()
 	if due {
-		p.report(ctx, now, r, one, decider, here)
+		p.report(ctx, now, r, lr, coordinator, isCoordinator)
 	}
-	if here {
-		p.decide(ctx, now, r, one)
+	if isCoordinator {
+		p.decide(ctx, now, r, lr)
 	}
-	if p.opts.State.SetStage(r.ID, one.Stage()) {
-		p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", one.Stage()).Str("decidedBy", decider.ID).Msg("roll-out goes on")
+	if p.opts.State.SetStage(r.ID, lr.Stage()) {
+		p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", lr.Stage()).Str("decidedBy", coordinator.ID).Msg("rollout stage changed")
 		p.opts.Announce()
 	}
 }
 
-func (p *Peer) reportEvery(now time.Time) time.Duration {
-	return max(reportLeast, time.Duration(p.opts.Table.Count(now))*reportEach)
+func (p *Peer) reportInterval(now time.Time) time.Duration {
+	return max(minReportInterval, time.Duration(p.opts.Table.Count(now))*reportIntervalPerInstance)
 }
 
-// decider returns the instance that decides, and whether it is this one: the first
-// in turn of those that reach the platform.
-func (p *Peer) decider() (membership.Record, bool) {
+// coordinator returns the coordinator of all rollouts, and whether it is this instance:
+// the first owner that reaches the platform.
+func (p *Peer) coordinator() (membership.Record, bool) {
 	owners := p.opts.Table.Owners("rollouts", 3)
 	if len(owners) == 0 {
 		return membership.Record{}, false
@@ -218,54 +218,54 @@
 	return first, first.ID == p.opts.Self
 }
 
-// left returns how many requests of this instance are on servers that are to be
-// left.
-func (p *Peer) left(service string) int {
+// remaining returns how many requests of this instance run on servers that are being
+// drained.
+func (p *Peer) remaining(service string) int {
 	n := 0
-	for _, id := range p.opts.State.VacatedOf(service) {
+	for _, id := range p.opts.State.DrainingServers(service) {
 		n += p.opts.Left(id)
 	}
 	return n
 }
 
-// Joined reports whether requests may be sent to a service: an instance that starts
-// in the middle of a roll-out has to be told its stage first.
+// Joined reports whether requests may be sent to a service: an instance that starts during
+// a rollout must learn its stage first.
 func (p *Peer) Joined(now time.Time, service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if one := p.partOf(service); one != nil {
-		return one.Joined(now)
+	if lr := p.rolloutOf(service); lr != nil {
+		return lr.Joined(now)
 	}
 	return true
 }
 
-func (p *Peer) partOf(service string) *part {
-	for _, one := range p.parts {
-		if one.Order.Service == service && !one.Stage().Ended() {
-			return one
+func (p *Peer) rolloutOf(service string) *localRollout {
+	for _, lr := range p.rollouts {
+		if lr.Spec.Service == service && !lr.Stage().Ended() {
+			return lr
 		}
 	}
 	return nil
 }
 
-// Canary returns the servers of the new version that a request goes to, or false
-// where it goes to the others. Draw is a random number from 0 to 1.
+// Canary returns the servers of the new version for a request of the canary, or false if
+// the request isn't one. draw is a random number from 0 to 1.
 func (p *Peer) Canary(now time.Time, service string, draw float64) ([]observed.Server, bool) {
 	p.mu.Lock()
-	one := p.partOf(service)
+	lr := p.rolloutOf(service)
 	p.mu.Unlock()
-	if one == nil || one.Track(now, draw) != rollout.Canary {
+	if lr == nil || lr.Track(now, draw) != rollout.Canary {
 		return nil, false
 	}
 	all := p.opts.State.Canaries(service)
 	servers := make([]observed.Server, 0, len(all))
-	for _, i := range rollout.Canaries(p.opts.Limits.Share, one.Window(now), len(all)) {
+	for _, i := range rollout.CanaryServers(p.opts.Limits.Share, lr.Window(now), len(all)) {
 		servers = append(servers, all[i])
 	}
 	return servers, len(servers) > 0
 }
 
-// Seen is how a server answered a request, or one stretch of a stream.
+// Seen is how a server answered a request, or one gap between events of a stream.
 type Seen struct {
 	Route  string
 	Aspect rollout.Aspect
@@ -273,16 +273,16 @@
 	Took   time.Duration
 }
 
-// Note counts an answer of a server whose service has a roll-out.
+// Note counts an observation of a server whose service has a rollout.
 func (p *Peer) Note(now time.Time, server observed.Server, s Seen) {
 	p.mu.Lock()
-	one := p.partOf(server.Service)
+	lr := p.rolloutOf(server.Service)
 	p.mu.Unlock()
-	if one == nil {
+	if lr == nil {
 		return
 	}
 	track, version := rollout.Stable, "old"
-	if server.Version == one.Order.To {
+	if server.Version == lr.Spec.To {
 		track, version = rollout.Canary, "new"
 	}
 	outcome := "answered"
@@ -290,8 +290,8 @@
 		outcome = "failed"
 	}
 	p.opts.Scope.Tagged(map[string]string{"version": version, "outcome": outcome}).Counter("answers").Inc(1)
-	one.Note(now, rollout.Sample{
-		Route: s.Route, Server: server.ID, Track: track, Aspect: s.Aspect, Failed: s.Failed, Took: s.Took,
-		Warming: now.Before(server.ColdUntil) || now.Sub(server.Since) < warmTime,
+	lr.Record(now, rollout.Sample{
+		Route: s.Route, Server: server.ID, Track: track, Metric: s.Aspect, Failed: s.Failed, Latency: s.Took,
+		ColdStart: now.Before(server.ColdUntil) || now.Sub(server.Since) < slowStartTime,
 	})
 }
