--- a/internal/gossip/news.go
+++ b/internal/gossip/broadcast.go
@@ -11,22 +11,22 @@
 	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
-// maxDepth bounds how far past instances that can't be reached news is told.
+// maxDepth limits how many levels of unreachable instances a broadcast skips.
 const maxDepth = 2
 
-// pending are changed records that wait to be told to all.
-type pending struct {
+// recordQueue holds changed records for the next broadcast.
+type recordQueue struct {
 	mu      sync.Mutex
 	records []membership.Record
 }
 
-func (p *pending) add(r membership.Record) {
+func (p *recordQueue) add(r membership.Record) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.records = append(p.records, r)
 }
 
-func (p *pending) take() []membership.Record {
+func (p *recordQueue) take() []membership.Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	records := p.records
@@ -34,23 +34,23 @@
 	return records
 }
 
-// maxSuspects bounds the suspects that wait to be told to all: a zone that is lost
-// makes hundreds, which its loss explains.
+// maxSuspects limits the crash suspects for the next broadcast: the outage of a zone
+// causes hundreds, but explains them.
 const maxSuspects = 256
 
-// pendingSuspects are suspects that wait to be told to all.
-type pendingSuspects struct {
+// suspectQueue holds crash suspects for the next broadcast.
+type suspectQueue struct {
 	mu      sync.Mutex
 	entries []suspect.Entry
 }
 
-func (p *pendingSuspects) add(entries []suspect.Entry) {
+func (p *suspectQueue) add(entries []suspect.Entry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.entries = append(p.entries, entries[:min(len(entries), maxSuspects-len(p.entries))]...)
 }
 
-func (p *pendingSuspects) take() []suspect.Entry {
+func (p *suspectQueue) take() []suspect.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	entries := p.entries
@@ -58,39 +58,38 @@
 	return entries
 }
 
-// TellSuspects has all told of requests that were running when servers crashed. It
-// doesn't wait.
+// TellSuspects broadcasts requests that were running when servers crashed. It doesn't
+// block.
 func (g *Gossip) TellSuspects(entries []suspect.Entry) {
-	g.suspects.add(entries)
+	g.pendingSuspects.add(entries)
 	g.Announce()
 }
 
-// published is the version of the servers that was last told to all.
-type published struct {
+// lastBroadcast is the version of the servers as of the last broadcast.
+type lastBroadcast struct {
 	begun   bool
 	servers int64
 }
 
-// tell passes on what this instance has heard, as one message for all that came
-// in the meantime.
-func (g *Gossip) tell(ctx context.Context) {
+// broadcastLoop broadcasts changes, with one message for all since the last one.
+func (g *Gossip) broadcastLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-g.wake:
 		}
-		g.pass(ctx, g.news(g.opts.Now()))
-		if objectapi.Pause(ctx, newsGap) != nil {
+		g.forward(ctx, g.nextBroadcast(g.opts.Now()))
+		if objectapi.Pause(ctx, broadcastInterval) != nil {
 			return
 		}
 	}
 }
 
-// news is what all are to be told. What was known before the first news isn't
-// part of it: those that lack it fetch it.
-func (g *Gossip) news(now time.Time) *Message {
-	p := &g.published
+// nextBroadcast returns the message to broadcast. The state before the first one isn't
+// part of it: instances that lack it fetch it.
+func (g *Gossip) nextBroadcast(now time.Time) *Message {
+	p := &g.lastBroadcast
 	if !p.begun {
 		p.begun = true
 		p.servers, _ = g.opts.State.Version(observed.Servers)
@@ -99,27 +98,26 @@
 	p.servers = u.Versions[observed.Servers].Version
 	return &Message{
 		Origin: g.self, Started: g.opts.Table.Self().Started, Sequence: g.sequence.Add(1),
-		Records: g.urgent.take(), Suspects: g.suspects.take(), Update: &u,
+		Records: g.pendingRecords.take(), Suspects: g.pendingSuspects.take(), Update: &u,
 	}
 }
 
-// pass tells the next instances of the origin's tree.
-func (g *Gossip) pass(ctx context.Context, m *Message) {
+// forward sends a message to the next instances of the origin's tree.
+func (g *Gossip) forward(ctx context.Context, m *Message) {
 	for _, r := range g.opts.Table.Children(m.Origin) {
-		g.send(ctx, m, r, 0)
+		g.sendTo(ctx, m, r, 0)
 	}
 }
 
-// send tells one instance, and its children in its place where it can't be
-// reached.
-func (g *Gossip) send(ctx context.Context, m *Message, r membership.Record, depth int) {
+// sendTo sends a message to one instance, or to its children if it can't be reached.
+func (g *Gossip) sendTo(ctx context.Context, m *Message, r membership.Record, depth int) {
 	if r.ID == m.Origin || r.ID == g.self {
 		return
 	}
 	g.submit("news", func() {
 		if !g.inBackoff(r.ID) {
 			copied := *m
-			if _, err := g.call(ctx, r.Peer, newsProcedure, newsTimeout, &copied); err == nil || ctx.Err() != nil {
+			if _, err := g.call(ctx, r.Peer, broadcastProcedure, broadcastTimeout, &copied); err == nil || ctx.Err() != nil {
 				return
 			}
 			g.backOff(r.ID)
@@ -128,48 +126,47 @@
 			return
 		}
 		for _, child := range g.opts.Table.ChildrenOf(m.Origin, r.ID) {
-			g.send(ctx, m, child, depth+1)
+			g.sendTo(ctx, m, child, depth+1)
 		}
 	})
 }
 
-func (g *Gossip) answerNews(ctx context.Context, m *Message) *Message {
+func (g *Gossip) handleBroadcast(ctx context.Context, m *Message) *Message {
 	ctx = context.WithoutCancel(ctx)
 	now := g.opts.Now()
-	fresh := g.seen.first(m.Origin, m.Started, m.Sequence)
-	g.merge(now, m.Records)
+	fresh := g.deliveries.isNew(m.Origin, m.Started, m.Sequence)
+	g.mergeRecords(now, m.Records)
 	g.opts.TakeSuspects(now, m.Suspects)
 	if m.Update != nil {
-		g.apply(ctx, now, m.Update, m.From)
+		g.applyOrFetch(ctx, now, m.Update, m.From)
 	}
 	sender, ok := g.opts.Table.Get(m.From)
 	lacks := ok && m.Update != nil && g.lacksConfiguration(&m.Update.Versions)
 	switch {
 	case fresh && lacks:
-		// Those that are told by this instance fetch it here.
+		// The children of this instance fetch the configuration from it.
 		g.submit("news", func() {
-			g.configureFrom(ctx, sender.Peer)
-			g.pass(ctx, m)
+			g.fetchConfiguration(ctx, sender.Peer)
+			g.forward(ctx, m)
 		})
 	case fresh:
-		g.pass(ctx, m)
+		g.forward(ctx, m)
 	}
 	return &Message{}
 }
 
-// apply takes over an update, and fetches what is missing before it.
-func (g *Gossip) apply(ctx context.Context, now time.Time, u *observed.Update, from string) {
-	if !g.takeUpdate(now, u, from) && !g.opts.State.BehindExcept(u.Versions, observed.Configuration) {
+// applyOrFetch applies an update, and fetches the changes missing before it.
+func (g *Gossip) applyOrFetch(ctx context.Context, now time.Time, u *observed.Update, from string) {
+	if !g.applyUpdate(now, u, from) && !g.opts.State.BehindExcept(u.Versions, observed.Configuration) {
 		return
 	}
 	if r, ok := g.opts.Table.Get(from); ok {
-		g.fetch(ctx, r.Peer)
+		g.fetchMissing(ctx, r.Peer)
 	}
 }
 
-// takeUpdate takes over an update and reports whether changes are missing before
-// it.
-func (g *Gossip) takeUpdate(now time.Time, u *observed.Update, from string) (missing bool) {
+// applyUpdate applies an update and reports whether changes before it are missing.
+func (g *Gossip) applyUpdate(now time.Time, u *observed.Update, from string) (missing bool) {
 	parts := []observed.Resource{observed.Servers, observed.Zones}
 	var before [2]uint64
 	for i, p := range parts {
@@ -191,11 +188,12 @@
 	return missing
 }
 
-// newsBackoff is how long an instance that couldn't be told news is told past.
-const newsBackoff = 1500 * time.Millisecond
+// broadcastBackoff is how long broadcasts skip an instance that couldn't be reached.
+const broadcastBackoff = 1500 * time.Millisecond
 
-// seen remembers which news have come, and who couldn't be told any.
-type seen struct {
+// deliveries tracks which broadcasts were received, and which instances couldn't be
+// reached.
+type deliveries struct {
 	mu      sync.Mutex
 	origins map[string]origin
 	backoff map[string]time.Time
@@ -203,14 +201,16 @@
 
 type origin struct {
 	started, highest int64
-	// window has a bit for each of the counts below the highest.
+	// window has a bit for each of the 64 sequence numbers below the highest.
 	window uint64
 }
 
-func newSeen() *seen { return &seen{origins: map[string]origin{}, backoff: map[string]time.Time{}} }
+func newDeliveries() *deliveries {
+	return &deliveries{origins: map[string]origin{}, backoff: map[string]time.Time{}}
+}
 
-// first reports whether news comes for the first time.
-func (s *seen) first(id string, started, sequence int64) bool {
+// isNew reports whether a broadcast is received for the first time.
+func (s *deliveries) isNew(id string, started, sequence int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o, ok := s.origins[id]
@@ -236,19 +236,19 @@
 }
 
 func (g *Gossip) backOff(id string) {
-	g.seen.mu.Lock()
-	defer g.seen.mu.Unlock()
-	g.seen.backoff[id] = g.opts.Now().Add(newsBackoff)
+	g.deliveries.mu.Lock()
+	defer g.deliveries.mu.Unlock()
+	g.deliveries.backoff[id] = g.opts.Now().Add(broadcastBackoff)
 	g.opts.Log.Info().Str("instance", id).Msg("instance can't be told news")
 }
 
 func (g *Gossip) inBackoff(id string) bool {
 	now := g.opts.Now()
-	g.seen.mu.Lock()
-	defer g.seen.mu.Unlock()
-	until, ok := g.seen.backoff[id]
+	g.deliveries.mu.Lock()
+	defer g.deliveries.mu.Unlock()
+	until, ok := g.deliveries.backoff[id]
 	if ok && !now.Before(until) {
-		delete(g.seen.backoff, id)
+		delete(g.deliveries.backoff, id)
 		return false
 	}
 	return ok
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,11 +1,11 @@
-// Package gossip keeps the instances of a deployment informed of each other and
-// of the platform without a coordinator.
+// Package gossip keeps the instances of a deployment informed of each other and of the
+// platform state, without a coordinator.
 //
-// Three calls carry it. A probe asks one instance after the other whether it is
-// there; both sides pass on the records that changed lately and say which state
-// of the platform they have. News goes down a tree of instances, from the one
-// that has it to all: what the platform told, and changes that callers must not
-// run into. A sync fetches what one has missed from an instance that has it.
+// It uses three calls. A probe checks one instance after the other; both sides exchange
+// the records that changed recently and the versions of their platform state. A broadcast
+// goes down a tree of instances from its origin to all: updates of the platform state, and
+// changes of records that callers depend on. A sync fetches missing state from an instance
+// that has it.
 //
 // # Usage
 //
@@ -40,32 +40,32 @@
 )
 
 const (
-	servicePath    = "/pollenspindle.gossip.v2.Gossip/"
-	probeProcedure = servicePath + "Probe"
-	helpProcedure  = servicePath + "Help"
-	newsProcedure  = servicePath + "News"
-	syncProcedure  = servicePath + "Sync"
-	// probePeriod is the time between two probes up to probeSize instances; with
-	// more it grows up to twice that, as others probe the same ones.
-	probePeriod  = 400 * time.Millisecond
-	probeSize    = 100
-	probeTimeout = 700 * time.Millisecond
-	newsTimeout  = 350 * time.Millisecond
-	syncTimeout  = 2 * time.Second
-	readTimeout  = time.Second
-	// idleTime is above what callers keep an unused connection for.
-	idleTime        = time.Minute
-	helpers         = 2
-	seedOneIn       = 8
-	downOneIn       = 3
-	concurrentCalls = 48
-	// newsGap is the least time between two messages of news of this instance,
-	// so that changes in quick succession travel together.
-	newsGap = 100 * time.Millisecond
-	// joinEvery is how often an instance that starts tries to reach a seed, for
-	// joinFast: all of them may start in the same moment.
-	joinEvery = 150 * time.Millisecond
-	joinFast  = 2 * time.Second
+	servicePath            = "/pollenspindle.gossip.v2.Gossip/"
+	probeProcedure         = servicePath + "Probe"
+	indirectProbeProcedure = servicePath + "Help"
+	broadcastProcedure     = servicePath + "News"
+	syncProcedure          = servicePath + "Sync"
+	// probePeriod is the time between two probes with up to fullRateInstances instances. With
+	// more, it grows up to twice that, as others probe the same instances.
+	probePeriod       = 400 * time.Millisecond
+	fullRateInstances = 100
+	probeTimeout      = 700 * time.Millisecond
+	broadcastTimeout  = 350 * time.Millisecond
+	syncTimeout       = 2 * time.Second
+	readTimeout       = time.Second
+	// idleTimeout is longer than callers keep an unused connection.
+	idleTimeout        = time.Minute
+	maxIndirectProbes  = 2
+	seedProbeOdds      = 8
+	downProbeOdds      = 3
+	maxConcurrentCalls = 48
+	// broadcastInterval is the minimum time between two broadcasts of this instance, so that
+	// changes in quick succession are sent together.
+	broadcastInterval = 100 * time.Millisecond
+	// joinInterval is how often an instance that starts calls a seed for fastJoinTime, on
+	// average: all instances may start at the same time.
+	joinInterval = 150 * time.Millisecond
+	fastJoinTime = 2 * time.Second
 )
 
 // Options configures a [Gossip].
@@ -73,56 +73,57 @@
 	Table *membership.Table
 	State *observed.State
 	Key   peer.Key
-	// Seeds are addresses of others to begin with; some may be out of date.
+	// Seeds are the addresses of instances to join; some may be outdated.
 	Seeds []string
-	// Status returns what this instance says of itself.
+	// Status returns the status of this instance.
 	Status func() membership.Status
-	// TakeRaw takes over a configuration that another instance has told.
+	// TakeRaw applies a serialized configuration from another instance.
 	TakeRaw func(now time.Time, value []byte, source string)
-	// TakeSuspects takes over requests that were running when servers crashed, and
-	// Suspects returns those that an instance which starts is told; nil for none.
+	// TakeSuspects applies crash suspects from other instances, and Suspects returns those for
+	// an instance that joins; nil for none.
 	TakeSuspects func(now time.Time, entries []suspect.Entry)
 	Suspects     func(now time.Time) []suspect.Entry
-	// Handlers are further calls that instances may make, by path.
+	// Handlers are further handlers for calls of instances, by path.
 	Handlers map[string]http.Handler
 	Log      zerolog.Logger
 	Scope    tally.Scope
 	Now      func() time.Time
 }
 
-// Gossip exchanges what instances know. Run and Serve are its duties.
+// Gossip exchanges records and platform state with other instances. Run and Serve are its
+// two tasks.
 type Gossip struct {
-	opts   Options
-	self   string
-	caller *peerrpc.Caller
-	calls  *ants.Pool
-	seen   *seen
-	// wake has an entry while there is something to tell all. It holds one:
-	// what is told is what is known when it is told.
-	wake      chan struct{}
-	sequence  atomic.Int64
-	published published
-	packed    packed
-	snapshot  packed
-	// served bounds what is handed over.
-	served *rate.Limiter
-	// configuring is held while a configuration is fetched.
-	configuring sync.Mutex
-	syncing     atomic.Bool
-	urgent      pending
-	suspects    pendingSuspects
-	joining     addresses
-	// refused is set while an instance that starts was refused what it lacks.
-	refused atomic.Bool
-	// joined is set once another instance has told what it knows.
+	opts       Options
+	self       string
+	caller     *peerrpc.Caller
+	calls      *ants.Pool
+	deliveries *deliveries
+	// wake holds a value while there is something to broadcast. One is enough: a broadcast
+	// holds the state at the time at which it is sent.
+	wake               chan struct{}
+	sequence           atomic.Int64
+	lastBroadcast      lastBroadcast
+	configurationCache compressedCache
+	snapshotCache      compressedCache
+	// serveLimiter limits the bytes of state that are served.
+	serveLimiter *rate.Limiter
+	// configurationMu is held while a configuration is fetched.
+	configurationMu sync.Mutex
+	fetching        atomic.Bool
+	pendingRecords  recordQueue
+	pendingSuspects suspectQueue
+	joining         addressSet
+	// seedRefused is set while another instance refuses to serve the missing state.
+	seedRefused atomic.Bool
+	// joined is set once another instance has answered a sync.
 	joined atomic.Bool
 }
 
 // New returns a gossip that is ready to run.
 func New(opts Options) (*Gossip, error) {
-	calls, err := ants.NewPool(concurrentCalls, ants.WithNonblocking(true))
+	calls, err := ants.NewPool(maxConcurrentCalls, ants.WithNonblocking(true))
 	if err != nil {
-		return nil, merry.Prepend(err, "make pool of calls to instances")
+		return nil, merry.Prepend(err, "create pool for calls to instances")
 	}
 	if opts.TakeSuspects == nil {
 		opts.TakeSuspects = func(time.Time, []suspect.Entry) {}
@@ -135,13 +136,12 @@
 	}
 	self := opts.Table.Self().ID
 	return &Gossip{
-		opts: opts, self: self, caller: peerrpc.NewCaller(opts.Key, self, probeTimeout), calls: calls, seen: newSeen(),
-		wake: make(chan struct{}, 1), served: rate.NewLimiter(servedPerSecond, servedPerSecond),
+		opts: opts, self: self, caller: peerrpc.NewCaller(opts.Key, self, probeTimeout), calls: calls, deliveries: newDeliveries(),
+		wake: make(chan struct{}, 1), serveLimiter: rate.NewLimiter(servedPerSecond, servedPerSecond),
 	}, nil
 }
 
-// Announce has all instances told of what this one knows of the platform and of
-// itself. It doesn't wait.
+// Announce broadcasts this instance's platform state and record. It doesn't block.
 func (g *Gossip) Announce() {
 	select {
 	case g.wake <- struct{}{}:
@@ -149,35 +149,35 @@
 	}
 }
 
-// Leave tells all that callers are not to be sent here any more.
+// Leave broadcasts that callers must no longer use this instance.
 func (g *Gossip) Leave() {
-	g.refresh(g.opts.Now())
+	g.updateSelf(g.opts.Now())
 	g.Announce()
 }
 
-// refresh puts the state of this instance into its record.
-func (g *Gossip) refresh(now time.Time) {
+// updateSelf updates the record of this instance.
+func (g *Gossip) updateSelf(now time.Time) {
 	if g.opts.Table.Set(now, g.opts.Status()) {
-		g.urgent.add(g.opts.Table.Self())
+		g.pendingRecords.add(g.opts.Table.Self())
 		g.Announce()
 	}
 }
 
-// Run probes others and passes news on until ctx ends.
+// Run probes other instances and sends broadcasts until ctx ends.
 func (g *Gossip) Run(ctx context.Context) {
 	defer g.calls.Release()
-	var telling sync.WaitGroup
-	telling.Go(func() { g.tell(ctx) })
+	var background sync.WaitGroup
+	background.Go(func() { g.broadcastLoop(ctx) })
 	rng := rand.New(rand.NewPCG(rand.Uint64(), 0))
 	started := g.opts.Now()
 	for {
 		now := g.opts.Now()
-		g.refresh(now)
+		g.updateSelf(now)
 		pause := periodFor(g.opts.Table.Count(now))
 		if !g.joined.Load() || !g.opts.State.Known() {
-			g.joinSeed(ctx, rng)
-			if now.Sub(started) < joinFast {
-				pause = joinEvery/2 + time.Duration(rng.Int64N(int64(joinEvery)))
+			g.join(ctx, rng)
+			if now.Sub(started) < fastJoinTime {
+				pause = joinInterval/2 + time.Duration(rng.Int64N(int64(joinInterval)))
 			}
 		}
 		g.probeNext(ctx, rng)
@@ -185,17 +185,17 @@
 			break
 		}
 	}
-	telling.Wait()
+	background.Wait()
 	g.caller.Drop()
 }
 
 // periodFor returns the time between two probes of one of n instances.
 func periodFor(n int) time.Duration {
-	return time.Duration(float64(probePeriod) * min(2, max(1, float64(n)/probeSize)))
+	return time.Duration(float64(probePeriod) * min(2, max(1, float64(n)/fullRateInstances)))
 }
 
-// submit runs a call to another instance beside others. With all of them busy
-// the call isn't made: probes and news come again.
+// submit runs a call to another instance in the background. If too many are running, the
+// call is dropped: probes and broadcasts are repeated.
 func (g *Gossip) submit(kind string, call func()) {
 	counter := "calls"
 	if g.calls.Submit(call) != nil {
@@ -204,39 +204,38 @@
 	g.opts.Scope.Tagged(map[string]string{"kind": kind}).Counter(counter).Inc(1)
 }
 
-// Message is the question and the answer of all calls.
+// Message is the request and the response of all calls.
 type Message struct {
-	// From is the sender.
+	// From is the ID of the sender.
 	From    string              `json:"from"`
 	Records []membership.Record `json:"records,omitempty"`
-	// Versions are what the sender has, Update is what the receiver lacks.
+	// Versions are the sender's versions, Update is what the receiver lacks.
 	Versions *observed.Versions `json:"versions,omitempty"`
-	// Instances is how many instances the sender knows.
+	// Instances is the number of instances that the sender knows.
 	Instances int `json:"instances,omitempty"`
-	// Digest tells apart which instances the sender knows.
+	// Digest is the digest of the running processes that the sender knows.
 	Digest uint64           `json:"digest,omitempty"`
 	Update *observed.Update `json:"update,omitempty"`
-	// Snapshot says that what the receiver lacks is to be fetched whole.
+	// Snapshot tells the receiver to fetch a snapshot instead of an update.
 	Snapshot bool `json:"snapshot,omitempty"`
-	// Suspects are requests that were running when servers crashed.
+	// Suspects are crash suspects.
 	Suspects []suspect.Entry `json:"suspects,omitempty"`
-	// News are told apart by their origin, its start and a count.
+	// Origin, Started and Sequence identify a broadcast.
 	Origin   string `json:"origin,omitempty"`
 	Started  int64  `json:"started,omitempty"`
 	Sequence int64  `json:"sequence,omitempty"`
-	// Target is an instance that is to be probed for the sender, Reached whether
-	// it answered.
+	// Target is the instance of an indirect probe, Reached whether it answered.
 	Target  string `json:"target,omitempty"`
 	Reached bool   `json:"reached,omitempty"`
 }
 
-// call asks another instance.
-func (g *Gossip) call(ctx context.Context, address, procedure string, timeout time.Duration, question *Message) (*Message, error) {
+// call calls another instance.
+func (g *Gossip) call(ctx context.Context, address, procedure string, timeout time.Duration, m *Message) (*Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	question.From = g.self
+	m.From = g.self
 	client := connect.NewClient[Message, Message](g.caller.HTTP, "http://"+address+procedure, peerrpc.ClientOptions()...)
-	req := connect.NewRequest(question)
+	req := connect.NewRequest(m)
 	g.caller.Sign(g.opts.Now(), req.Header(), procedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
@@ -247,7 +246,7 @@
 	return res.Msg, nil
 }
 
-// handler answers calls of instances that hold the key.
+// handler returns a handler for calls of instances that have the key.
 func (g *Gossip) handler(procedure string, answer func(ctx context.Context, m *Message) *Message) http.Handler {
 	return connect.NewUnaryHandler(procedure, func(ctx context.Context, req *connect.Request[Message]) (*connect.Response[Message], error) {
 		if err := peerrpc.Check(g.opts.Key, g.opts.Now(), req.Header(), procedure); err != nil {
@@ -259,19 +258,19 @@
 	}, peerrpc.HandlerOptions()...)
 }
 
-// Serve answers others on the listener until ctx ends.
+// Serve serves other instances on the listener until ctx ends.
 func (g *Gossip) Serve(ctx context.Context, listener net.Listener) error {
 	mux := http.NewServeMux()
-	mux.Handle(probeProcedure, g.handler(probeProcedure, g.answerProbe))
-	mux.Handle(helpProcedure, g.handler(helpProcedure, g.answerHelp))
-	mux.Handle(newsProcedure, g.handler(newsProcedure, g.answerNews))
-	mux.Handle(syncProcedure, g.handler(syncProcedure, g.answerSync))
+	mux.Handle(probeProcedure, g.handler(probeProcedure, g.handleProbe))
+	mux.Handle(indirectProbeProcedure, g.handler(indirectProbeProcedure, g.handleIndirectProbe))
+	mux.Handle(broadcastProcedure, g.handler(broadcastProcedure, g.handleBroadcast))
+	mux.Handle(syncProcedure, g.handler(syncProcedure, g.handleSync))
 	mux.HandleFunc(configurationProcedure, g.serveConfiguration)
 	mux.HandleFunc(snapshotProcedure, g.serveSnapshot)
 	for path, handler := range g.opts.Handlers {
 		mux.Handle(path, handler)
 	}
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: readTimeout, IdleTimeout: idleTime}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readTimeout, IdleTimeout: idleTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(listener); ctx.Err() == nil {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -27,8 +27,8 @@
 	testTick    = 5 * time.Millisecond
 )
 
-// one is an instance with its listener.
-type one struct {
+// testInstance is an instance with its listener.
+type testInstance struct {
 	*Gossip
 	state   *observed.State
 	table   *membership.Table
@@ -38,14 +38,15 @@
 
 func secret(c string) string { return strings.Repeat(c, 32) }
 
-// startOne starts an instance that answers; with run it also probes and tells.
-func startOne(t *testing.T, id, secret string, run bool, seeds ...string) *one {
+// startInstance starts an instance that answers calls; with run it also probes and
+// broadcasts.
+func startInstance(t *testing.T, id, secret string, run bool, seeds ...string) *testInstance {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	key, err := peer.NewKey(base64.StdEncoding.EncodeToString([]byte(secret)))
 	require.NoError(t, err)
-	o := &one{state: observed.NewState(), address: l.Addr().String()}
+	o := &testInstance{state: observed.NewState(), address: l.Addr().String()}
 	o.table = membership.NewTable(membership.Record{ID: id, Peer: o.address, Caller: id, Zone: "z", Started: time.Now().UnixMilli()})
 	o.Gossip, err = New(Options{
 		Table: o.table, State: o.state, Key: key, Seeds: seeds,
@@ -57,18 +58,18 @@
 	})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
-	duties.Go(func() { _ = o.Serve(ctx, l) })
+	var tasks sync.WaitGroup
+	tasks.Go(func() { _ = o.Serve(ctx, l) })
 	if run {
-		duties.Go(func() { o.Run(ctx) })
+		tasks.Go(func() { o.Run(ctx) })
 	}
-	o.stop = sync.OnceFunc(func() { cancel(); duties.Wait(); o.caller.Drop() })
+	o.stop = sync.OnceFunc(func() { cancel(); tasks.Wait(); o.caller.Drop() })
 	t.Cleanup(o.stop)
 	return o
 }
 
-// learn has an instance read a state of the platform.
-func (o *one) learn(version int64, zones []string, servers ...string) {
+// setPlatformState sets an instance's platform state.
+func (o *testInstance) setPlatformState(version int64, zones []string, servers ...string) {
 	now := time.Now()
 	o.state.Configure(now, routes.Configuration{Version: version}, []byte(strings.Repeat("7", int(version))))
 	var list []dialect.Server
@@ -82,58 +83,59 @@
 	}
 }
 
-// has reports whether an instance knows a state of the platform.
-func (o *one) has(version int64, zones, servers int) bool {
+// hasPlatformState reports whether an instance has a platform state.
+func (o *testInstance) hasPlatformState(version int64, zones, servers int) bool {
 	table := o.state.Table()
 	out, _ := o.state.DrainedZones()
 	return table != nil && table.Version == version && len(out) == zones && len(o.state.Servers("llm")) == servers
 }
 
-// An instance that the platform turns away hears of a revoked key, a server that
-// left and a zone taken out from another one, with its next probe.
-func TestCutOffInstanceHearsFromOthers(t *testing.T) {
-	a, b := startOne(t, "a", secret("k"), false), startOne(t, "b", secret("k"), false)
-	a.learn(1, nil, "s1", "s2")
-	b.learn(2, []string{"z1"}, "s1")
-	require.NoError(t, a.ask(t.Context(), b.address, "b"))
-	require.Eventually(t, func() bool { return a.has(2, 1, 1) }, testTimeout, testTick)
+// Guards against an instance that the platform doesn't answer keeping a revoked key, a
+// removed server or an active zone that was drained: it learns of them from another one
+// with its next probe.
+func TestProbeExchangesPlatformState(t *testing.T) {
+	a, b := startInstance(t, "a", secret("k"), false), startInstance(t, "b", secret("k"), false)
+	a.setPlatformState(1, nil, "s1", "s2")
+	b.setPlatformState(2, []string{"z1"}, "s1")
+	require.NoError(t, a.exchange(t.Context(), b.address, "b"))
+	require.Eventually(t, func() bool { return a.hasPlatformState(2, 1, 1) }, testTimeout, testTick)
 	require.Equal(t, 2, a.table.Count(time.Now()))
 	require.Equal(t, 2, b.table.Count(time.Now()))
 	require.Less(t, a.state.Age(time.Now(), observed.Configuration), time.Second)
-	// The answerer fetches what it lacks too.
-	a.learn(3, nil, "s1", "s3")
-	require.NoError(t, a.ask(t.Context(), b.address, "b"))
-	require.Eventually(t, func() bool { return b.has(3, 0, 2) }, testTimeout, testTick)
+	// The other side also fetches what it lacks.
+	a.setPlatformState(3, nil, "s1", "s3")
+	require.NoError(t, a.exchange(t.Context(), b.address, "b"))
+	require.Eventually(t, func() bool { return b.hasPlatformState(3, 0, 2) }, testTimeout, testTick)
 }
 
-// Changes that one instance hears of reach all, in order, and instances that one
-// of them can't reach are told past it.
-func TestNewsReachesAll(t *testing.T) {
+// Guards against instances that miss a broadcast, also below one that can't be reached,
+// and against broadcasts applied out of order.
+func TestBroadcastReachesAll(t *testing.T) {
 	const n = 12
-	first := startOne(t, "i00", secret("k"), true)
-	fleet := []*one{first}
+	first := startInstance(t, "i00", secret("k"), true)
+	fleet := []*testInstance{first}
 	for i := 1; i < n; i++ {
-		fleet = append(fleet, startOne(t, fmt.Sprintf("i%02d", i), secret("k"), true, first.address))
+		fleet = append(fleet, startInstance(t, fmt.Sprintf("i%02d", i), secret("k"), true, first.address))
 	}
-	first.learn(1, nil, "s1")
+	first.setPlatformState(1, nil, "s1")
 	first.Announce()
-	all := func(what func(o *one) bool) {
+	all := func(condition func(o *testInstance) bool) {
 		t.Helper()
 		require.Eventually(t, func() bool {
 			for _, o := range fleet {
-				if !what(o) {
+				if !condition(o) {
 					return false
 				}
 			}
 			return true
 		}, testTimeout, testTick)
 	}
-	all(func(o *one) bool { return o.table.Count(time.Now()) == n && o.has(1, 0, 1) })
+	all(func(o *testInstance) bool { return o.table.Count(time.Now()) == n && o.hasPlatformState(1, 0, 1) })
 	for version := int64(2); version < 20; version++ {
-		first.learn(version, []string{"z1"}, "s1", fmt.Sprint("s", version))
+		first.setPlatformState(version, []string{"z1"}, "s1", fmt.Sprint("s", version))
 		first.Announce()
 	}
-	all(func(o *one) bool { return o.has(19, 1, 2) })
+	all(func(o *testInstance) bool { return o.hasPlatformState(19, 1, 2) })
 	children := first.table.Children("i00")
 	require.NotEmpty(t, children)
 	for i, o := range fleet {
@@ -143,113 +145,112 @@
 			break
 		}
 	}
-	first.learn(20, nil, "s1", "s2", "s3")
+	first.setPlatformState(20, nil, "s1", "s2", "s3")
 	first.Announce()
-	all(func(o *one) bool { return o.has(20, 0, 3) })
-	all(func(o *one) bool { r, _ := o.table.Get(children[0].ID); return r.Down })
+	all(func(o *testInstance) bool { return o.hasPlatformState(20, 0, 3) })
+	all(func(o *testInstance) bool { r, _ := o.table.Get(children[0].ID); return r.Down })
 }
 
-// Guards against large configurations being written and compressed anew for every
-// message to every instance, also those that can't be reached.
-func TestNewsLeavesTheConfigurationOut(t *testing.T) {
-	a := startOne(t, "a", secret("k"), false)
-	a.learn(400_000, nil, "s1")
-	data, err := json.Marshal(a.news(time.Now()))
+// Guards against serializing and compressing large configurations for every message to
+// every instance, also to unreachable ones.
+func TestBroadcastOmitsConfiguration(t *testing.T) {
+	a := startInstance(t, "a", secret("k"), false)
+	a.setPlatformState(400_000, nil, "s1")
+	data, err := json.Marshal(a.nextBroadcast(time.Now()))
 	require.NoError(t, err)
 	require.Less(t, len(data), 4000)
 
-	b := startOne(t, "b", secret("k"), false)
+	b := startInstance(t, "b", secret("k"), false)
 	b.table.Merge(time.Now(), []membership.Record{a.table.Self()})
 	a.table.Merge(time.Now(), []membership.Record{b.table.Self()})
-	_, err = a.call(t.Context(), b.address, newsProcedure, testTimeout, a.news(time.Now()))
+	_, err = a.call(t.Context(), b.address, broadcastProcedure, testTimeout, a.nextBroadcast(time.Now()))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return b.has(400_000, 0, 1) }, testTimeout, testTick)
-	first, err := a.packed.configuration(a.state)
+	require.Eventually(t, func() bool { return b.hasPlatformState(400_000, 0, 1) }, testTimeout, testTick)
+	first, err := a.configurationCache.configuration(a.state)
 	require.NoError(t, err)
-	again, err := a.packed.configuration(a.state)
+	again, err := a.configurationCache.configuration(a.state)
 	require.NoError(t, err)
 	require.Same(t, &first[0], &again[0])
 }
 
-// Guards against an instance that starts waiting for a seed without power while
-// another one answers.
-func TestJoinGoesPastASilentSeed(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+// Guards against an instance that starts waiting for an unresponsive seed while another
+// one answers.
+func TestJoinSkipsUnresponsiveSeed(t *testing.T) {
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = silent.Close() })
-	seed := startOne(t, "seed", secret("k"), false)
-	seed.learn(3, nil, "s1")
-	newcomer := startOne(t, "new", secret("k"), false, silent.Addr().String(), seed.address)
+	t.Cleanup(func() { _ = unresponsive.Close() })
+	seed := startInstance(t, "seed", secret("k"), false)
+	seed.setPlatformState(3, nil, "s1")
+	newcomer := startInstance(t, "new", secret("k"), false, unresponsive.Addr().String(), seed.address)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2 {
-		newcomer.joinSeed(t.Context(), rng)
+		newcomer.join(t.Context(), rng)
 	}
-	require.Eventually(t, func() bool { return newcomer.has(3, 0, 1) }, testTimeout, testTick)
-	require.True(t, newcomer.joining.has(silent.Addr().String()), "the silent one hasn't been given up yet")
+	require.Eventually(t, func() bool { return newcomer.hasPlatformState(3, 0, 1) }, testTimeout, testTick)
+	require.True(t, newcomer.joining.has(unresponsive.Addr().String()), "call to the unresponsive seed still running")
 }
 
-// Guards against hundreds of instances that start together being told thousands of
-// servers, written and compressed anew for each, by the same few.
-func TestStartIsToldASnapshot(t *testing.T) {
-	seed, newcomer := startOne(t, "seed", secret("k"), false), startOne(t, "new", secret("k"), false)
+// Guards against overloading a few instances when hundreds start at once, by serializing
+// and compressing thousands of servers for each.
+func TestJoinFetchesSnapshot(t *testing.T) {
+	seed, newcomer := startInstance(t, "seed", secret("k"), false), startInstance(t, "new", secret("k"), false)
 	var servers []string
 	for i := range 2000 {
 		servers = append(servers, fmt.Sprintf("engine-%d", i))
 	}
-	seed.learn(3, []string{"z1"}, servers...)
+	seed.setPlatformState(3, []string{"z1"}, servers...)
 	newcomer.sync(t.Context(), seed.address, testTimeout, []membership.Record{newcomer.table.Self()})
-	require.True(t, newcomer.has(3, 1, 2000))
+	require.True(t, newcomer.hasPlatformState(3, 1, 2000))
 	none := observed.NewState().Versions(time.Now())
 	answer, err := newcomer.call(t.Context(), seed.address, syncProcedure, testTimeout, &Message{Versions: &none})
 	require.NoError(t, err)
 	require.True(t, answer.Snapshot)
-	require.Nil(t, answer.Update, "servers written anew for each")
+	require.Nil(t, answer.Update, "servers serialized for each")
 	require.Positive(t, newcomer.state.Age(time.Now(), observed.Servers))
 
-	first, _, err := seed.snapshot.snapshot(time.Now(), seed.state)
+	first, _, err := seed.snapshotCache.snapshot(time.Now(), seed.state)
 	require.NoError(t, err)
-	again, age, err := seed.snapshot.snapshot(time.Now(), seed.state)
+	again, age, err := seed.snapshotCache.snapshot(time.Now(), seed.state)
 	require.NoError(t, err)
 	require.Same(t, &first[0], &again[0])
 	require.Less(t, age, snapshotTTL)
 
-	seed.served.AllowN(time.Now(), servedPerSecond)
-	_, _, err = newcomer.fetchPacked(t.Context(), seed.address, snapshotProcedure)
-	require.ErrorIs(t, err, ErrFetch, "one instance hands over to all")
+	seed.serveLimiter.AllowN(time.Now(), servedPerSecond)
+	_, _, err = newcomer.fetchCompressed(t.Context(), seed.address, snapshotProcedure)
+	require.ErrorIs(t, err, ErrFetch, "one instance serves all")
 }
 
-// Guards against a configuration being handed to one who doesn't hold the key.
-func TestConfigurationNeedsTheKey(t *testing.T) {
-	a, b := startOne(t, "a", secret("k"), false), startOne(t, "b", secret("x"), false)
-	a.learn(3, nil, "s1")
+// Guards against serving state to a caller without the key.
+func TestServingRequiresKey(t *testing.T) {
+	a, b := startInstance(t, "a", secret("k"), false), startInstance(t, "b", secret("x"), false)
+	a.setPlatformState(3, nil, "s1")
 	for _, procedure := range []string{configurationProcedure, snapshotProcedure} {
-		_, _, err := b.fetchPacked(t.Context(), a.address, procedure)
+		_, _, err := b.fetchCompressed(t.Context(), a.address, procedure)
 		require.ErrorIs(t, err, ErrFetch)
 	}
 }
 
-// Guards against seeds that tell everything to each of hundreds of instances that
-// start in the same moment.
-func TestSeedTellsNewcomersOfAFew(t *testing.T) {
-	seed, newcomer := startOne(t, "seed", secret("k"), false), startOne(t, "new", secret("k"), false)
+// Guards against overloading the seeds, by sending all records to each of hundreds of
+// instances that start at once.
+func TestSeedSendsFewRecords(t *testing.T) {
+	seed, newcomer := startInstance(t, "seed", secret("k"), false), startInstance(t, "new", secret("k"), false)
 	var others []membership.Record
 	for i := range 300 {
 		others = append(others, membership.Record{ID: fmt.Sprint(i), Peer: "127.0.0.1:1", Started: 1})
 	}
 	seed.table.Merge(time.Now(), others)
-	seed.learn(3, nil, "s1")
+	seed.setPlatformState(3, nil, "s1")
 	newcomer.sync(t.Context(), seed.address, testTimeout, []membership.Record{newcomer.table.Self()})
-	require.True(t, newcomer.has(3, 0, 1))
-	require.Len(t, newcomer.table.All(time.Now()), 1+joinRecords)
-	require.Equal(t, 302, newcomer.table.Count(time.Now()), "shares are those of all")
+	require.True(t, newcomer.hasPlatformState(3, 0, 1))
+	require.Len(t, newcomer.table.All(time.Now()), 1+maxJoinRecords)
+	require.Equal(t, 302, newcomer.table.Count(time.Now()), "instances known to others are counted")
 	newcomer.sync(t.Context(), seed.address, testTimeout, newcomer.table.All(time.Now()))
 	require.Len(t, newcomer.table.All(time.Now()), 302)
 }
 
-// An instance that was cut off is taken for down by all; once it answers, all
-// know within moments.
-func TestInstanceTakenForDownIsBack(t *testing.T) {
-	a, b := startOne(t, "a", secret("k"), true), startOne(t, "b", secret("k"), false)
+// Guards against an instance that stays marked as down after it answers again.
+func TestDownInstanceRecovers(t *testing.T) {
+	a, b := startInstance(t, "a", secret("k"), true), startInstance(t, "b", secret("k"), false)
 	a.table.Merge(time.Now(), []membership.Record{b.table.Self()})
 	r, _ := a.table.Get("b")
 	_, ok := a.table.MarkDown(time.Now(), r)
@@ -257,36 +258,36 @@
 	require.Eventually(t, func() bool { r, _ := a.table.Get("b"); return !r.Down }, testTimeout, testTick)
 }
 
-// Somebody who doesn't hold the instances' key can tell them nothing.
-func TestStrangerIsNotBelieved(t *testing.T) {
-	a, stranger := startOne(t, "a", secret("k"), false), startOne(t, "x", secret("o"), false)
-	stranger.learn(9, nil, "s1")
-	for _, pair := range [][2]*one{{stranger, a}, {a, stranger}} {
-		require.Error(t, pair[0].ask(t.Context(), pair[1].address, ""))
+// Guards against applying state from a caller without the key.
+func TestCallsRequireKey(t *testing.T) {
+	a, unauthorized := startInstance(t, "a", secret("k"), false), startInstance(t, "x", secret("o"), false)
+	unauthorized.setPlatformState(9, nil, "s1")
+	for _, pair := range [][2]*testInstance{{unauthorized, a}, {a, unauthorized}} {
+		require.Error(t, pair[0].exchange(t.Context(), pair[1].address, ""))
 		pair[0].sync(t.Context(), pair[1].address, testTimeout, pair[0].table.All(time.Now()))
 	}
 	require.Equal(t, 1, a.table.Count(time.Now()))
 	require.Nil(t, a.state.Table())
 }
 
-func TestNewsIsPassedOnOnce(t *testing.T) {
-	type news struct{ started, sequence int64 }
+func TestBroadcastIsForwardedOnce(t *testing.T) {
+	type broadcast struct{ started, sequence int64 }
 	tests := map[string]struct {
-		come  []news
-		first []bool
+		received []broadcast
+		first    []bool
 	}{
-		"in order":          {[]news{{1, 1}, {1, 2}, {1, 3}}, []bool{true, true, true}},
-		"twice":             {[]news{{1, 1}, {1, 1}, {1, 2}, {1, 1}}, []bool{true, false, true, false}},
-		"overtaken":         {[]news{{1, 1}, {1, 3}, {1, 2}, {1, 2}}, []bool{true, true, true, false}},
-		"far behind":        {[]news{{1, 100}, {1, 30}}, []bool{true, false}},
-		"a new process":     {[]news{{1, 9}, {2, 1}, {1, 10}}, []bool{true, true, false}},
-		"after a long jump": {[]news{{1, 1}, {1, 200}, {1, 199}, {1, 200}}, []bool{true, true, true, false}},
+		"in order":          {[]broadcast{{1, 1}, {1, 2}, {1, 3}}, []bool{true, true, true}},
+		"duplicate":         {[]broadcast{{1, 1}, {1, 1}, {1, 2}, {1, 1}}, []bool{true, false, true, false}},
+		"out of order":      {[]broadcast{{1, 1}, {1, 3}, {1, 2}, {1, 2}}, []bool{true, true, true, false}},
+		"below the window":  {[]broadcast{{1, 100}, {1, 30}}, []bool{true, false}},
+		"new incarnation":   {[]broadcast{{1, 9}, {2, 1}, {1, 10}}, []bool{true, true, false}},
+		"after a long jump": {[]broadcast{{1, 1}, {1, 200}, {1, 199}, {1, 200}}, []bool{true, true, true, false}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := newSeen()
-			for i, n := range tt.come {
-				require.Equal(t, tt.first[i], s.first("a", n.started, n.sequence), "message %d", i)
+			s := newDeliveries()
+			for i, n := range tt.received {
+				require.Equal(t, tt.first[i], s.isNew("a", n.started, n.sequence), "message %d", i)
 			}
 		})
 	}
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -22,34 +22,33 @@
 const (
 	configurationProcedure = servicePath + "Configuration"
 	snapshotProcedure      = servicePath + "Snapshot"
-	// ageField says how old a snapshot is, in milliseconds.
-	ageField = "Snapshot-Age-Millis"
-	// fetchTimeout bounds a fetch, which is some tens of kilobytes as it is sent.
+	// ageHeader is the header for the age of a snapshot in milliseconds.
+	ageHeader = "Snapshot-Age-Millis"
+	// fetchTimeout limits a fetch, which is some tens of kilobytes when compressed.
 	fetchTimeout = 1500 * time.Millisecond
-	// snapshotTTL is for how long a snapshot is handed out: what has changed since
-	// follows with the news.
+	// snapshotTTL is how long a snapshot is served: later changes follow with broadcasts.
 	snapshotTTL = 400 * time.Millisecond
-	// snapshotFrom is from how many servers on they are fetched as a snapshot.
-	snapshotFrom = 100
-	// servedPerSecond bounds the bytes that are handed out: where hundreds start in
-	// the same moment, those that have something hand it on to a few each.
+	// minSnapshotServers is the number of servers from which on they are fetched as a
+	// snapshot.
+	minSnapshotServers = 100
+	// servedPerSecond limits the bytes served: if hundreds of instances start at once, each
+	// instance that has the state passes it on to a few.
 	servedPerSecond = 512 << 10
 )
 
-// ErrFetch means that another instance didn't hand over what it has.
-var ErrFetch = merry.Sentinel("not fetched from another instance")
+// ErrFetch means that another instance didn't return its state.
+var ErrFetch = merry.Sentinel("failed to fetch from another instance")
 
-// packed holds what is handed over as it is sent: compressed once for all that
-// fetch it.
-type packed struct {
+// compressedCache holds state as it is served: compressed once for all that fetch it.
+type compressedCache struct {
 	mu      sync.Mutex
 	version int64
 	at      time.Time
 	data    []byte
 }
 
-// configuration returns the packed configuration.
-func (p *packed) configuration(state *observed.State) ([]byte, error) {
+// configuration returns the compressed configuration.
+func (p *compressedCache) configuration(state *observed.State) ([]byte, error) {
 	raw, version := state.RawConfiguration()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,9 +63,9 @@
 	return p.data, nil
 }
 
-// snapshot returns all that is known of the platform but the configuration, packed,
-// and how old it is.
-func (p *packed) snapshot(now time.Time, state *observed.State) ([]byte, time.Duration, error) {
+// snapshot returns a compressed snapshot of the platform state without the configuration,
+// and its age.
+func (p *compressedCache) snapshot(now time.Time, state *observed.State) ([]byte, time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if age := now.Sub(p.at); p.data != nil && age >= 0 && age < snapshotTTL {
@@ -95,22 +94,22 @@
 	return out.Bytes(), nil
 }
 
-// serveConfiguration and serveSnapshot hand over what this instance has to one that
-// holds the key.
+// serveConfiguration and serveSnapshot serve this instance's state to instances that have
+// the key.
 func (g *Gossip) serveConfiguration(w http.ResponseWriter, r *http.Request) {
-	g.servePacked(w, r, configurationProcedure, func() ([]byte, time.Duration, error) {
-		data, err := g.packed.configuration(g.opts.State)
+	g.serveCompressed(w, r, configurationProcedure, func() ([]byte, time.Duration, error) {
+		data, err := g.configurationCache.configuration(g.opts.State)
 		return data, 0, err
 	})
 }
 
 func (g *Gossip) serveSnapshot(w http.ResponseWriter, r *http.Request) {
-	g.servePacked(w, r, snapshotProcedure, func() ([]byte, time.Duration, error) {
-		return g.snapshot.snapshot(g.opts.Now(), g.opts.State)
+	g.serveCompressed(w, r, snapshotProcedure, func() ([]byte, time.Duration, error) {
+		return g.snapshotCache.snapshot(g.opts.Now(), g.opts.State)
 	})
 }
 
-func (g *Gossip) servePacked(w http.ResponseWriter, r *http.Request, procedure string, get func() ([]byte, time.Duration, error)) {
+func (g *Gossip) serveCompressed(w http.ResponseWriter, r *http.Request, procedure string, get func() ([]byte, time.Duration, error)) {
 	if peerrpc.Check(g.opts.Key, g.opts.Now(), r.Header, procedure) != nil {
 		w.WriteHeader(http.StatusUnauthorized)
 		return
@@ -124,12 +123,12 @@
 	case err != nil || len(data) == 0:
 		w.WriteHeader(http.StatusNotFound)
 		return
-	case !g.served.AllowN(g.opts.Now(), min(len(data), servedPerSecond)):
+	case !g.serveLimiter.AllowN(g.opts.Now(), min(len(data), servedPerSecond)):
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/gzip")
-	w.Header().Set(ageField, strconv.FormatInt(age.Milliseconds(), 10))
+	w.Header().Set(ageHeader, strconv.FormatInt(age.Milliseconds(), 10))
 	_, _ = w.Write(data)
 }
 
@@ -139,24 +138,24 @@
 	return v[observed.Configuration].Version > version
 }
 
-// configure fetches the configuration of another instance in the background where
-// that one's is newer.
-func (g *Gossip) configure(ctx context.Context, v *observed.Versions, address string) {
+// fetchNewerConfiguration fetches the configuration of another instance in the background
+// if it is newer.
+func (g *Gossip) fetchNewerConfiguration(ctx context.Context, v *observed.Versions, address string) {
 	if g.lacksConfiguration(v) {
-		g.submit("configuration", func() { g.configureFrom(ctx, address) })
+		g.submit("configuration", func() { g.fetchConfiguration(ctx, address) })
 	}
 }
 
-// configureFrom fetches the configuration of another instance, one fetch at a time:
-// those that come meanwhile wait for it, as it is the same as a rule.
-func (g *Gossip) configureFrom(ctx context.Context, address string) {
+// fetchConfiguration fetches the configuration of another instance, one fetch at a time:
+// concurrent calls wait, as they usually want the same one.
+func (g *Gossip) fetchConfiguration(ctx context.Context, address string) {
 	before, _ := g.opts.State.Version(observed.Configuration)
-	g.configuring.Lock()
-	defer g.configuring.Unlock()
+	g.configurationMu.Lock()
+	defer g.configurationMu.Unlock()
 	if now, _ := g.opts.State.Version(observed.Configuration); now != before {
 		return
 	}
-	raw, _, err := g.fetchPacked(ctx, address, configurationProcedure)
+	raw, _, err := g.fetchCompressed(ctx, address, configurationProcedure)
 	if err != nil {
 		g.opts.Log.Info().Str("peer", address).Err(err).Msg("configuration not fetched from another instance")
 		return
@@ -164,10 +163,10 @@
 	g.opts.TakeRaw(g.opts.Now(), raw, address)
 }
 
-// takeSnapshot fetches all that another instance knows of the platform but its
+// fetchSnapshot fetches and applies another instance's platform state without the
 // configuration.
-func (g *Gossip) takeSnapshot(ctx context.Context, address, from string) (*observed.Update, error) {
-	raw, age, err := g.fetchPacked(ctx, address, snapshotProcedure)
+func (g *Gossip) fetchSnapshot(ctx context.Context, address, from string) (*observed.Update, error) {
+	raw, age, err := g.fetchCompressed(ctx, address, snapshotProcedure)
 	if err != nil {
 		return nil, err
 	}
@@ -175,12 +174,12 @@
 	if err := gojson.Unmarshal(raw, &u); err != nil {
 		return nil, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
-	g.takeUpdate(g.opts.Now().Add(-age), &u, from)
+	g.applyUpdate(g.opts.Now().Add(-age), &u, from)
 	return &u, nil
 }
 
-// fetchPacked fetches what another instance hands over, and how old it is.
-func (g *Gossip) fetchPacked(ctx context.Context, address, procedure string) ([]byte, time.Duration, error) {
+// fetchCompressed fetches state from another instance, and returns its age.
+func (g *Gossip) fetchCompressed(ctx context.Context, address, procedure string) ([]byte, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	asked := g.opts.Now()
@@ -194,7 +193,7 @@
 		return nil, 0, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
 	defer res.Body.Close()
-	g.refused.Store(res.StatusCode == http.StatusServiceUnavailable)
+	g.seedRefused.Store(res.StatusCode == http.StatusServiceUnavailable)
 	if res.StatusCode != http.StatusOK {
 		return nil, 0, merry.Wrap(ErrFetch, merry.AppendMessagef("status %d", res.StatusCode))
 	}
@@ -206,7 +205,7 @@
 	if err != nil {
 		return nil, 0, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
-	millis, _ := strconv.ParseInt(res.Header.Get(ageField), 10, 64)
-	// The transfer counts towards the age.
+	millis, _ := strconv.ParseInt(res.Header.Get(ageHeader), 10, 64)
+	// The transfer time is part of the age.
 	return raw, time.Duration(millis)*time.Millisecond + g.opts.Now().Sub(asked), nil
 }
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -11,55 +11,53 @@
 	"pollenspindle.example/pollenspindle/internal/observed"
 )
 
-// joinRecords is how many records an instance is told that knows nobody yet. It
-// gets the others from these: hundreds may start in the same moment, and ask the
+// maxJoinRecords is the number of records sent to an instance that knows no others yet. It
+// gets the rest from these instances: hundreds may start at the same time, and call the
 // same few seeds.
-const joinRecords = 24
+const maxJoinRecords = 24
 
-// seedOneOfJoins is how many instances are asked for each seed once a seed has too
-// many to hand over to.
-const seedOneOfJoins = 3
+// seedJoinOdds makes one in this many calls go to a seed once the seeds are overloaded.
+const seedJoinOdds = 3
 
-// joinTimeout bounds a call to a seed that may not have started yet: a machine
-// without power doesn't refuse a connection.
+// joinTimeout limits a call to a seed that may not have started yet: a machine without
+// power doesn't refuse a connection.
 const joinTimeout = 350 * time.Millisecond
 
-// joinSeed asks one of the seeds, or where they have too many to hand over to one of
-// the instances that they have told of, for other instances and for what is in force.
-// Each is asked once at a time.
-func (g *Gossip) joinSeed(ctx context.Context, rng *rand.Rand) {
+// join calls a seed, or if the seeds are overloaded one of the instances learned from
+// them, for other instances and the platform state. It makes one call at a time to each.
+func (g *Gossip) join(ctx context.Context, rng *rand.Rand) {
 	seeds := slices.DeleteFunc(slices.Clone(g.opts.Seeds), func(s string) bool { return s == g.opts.Table.Self().Peer || g.joining.has(s) })
-	if r, ok := g.opts.Table.Any(rng); ok && (len(seeds) == 0 || g.refused.Load() && rng.IntN(seedOneOfJoins) > 0) {
+	if r, ok := g.opts.Table.RandomRunning(rng); ok && (len(seeds) == 0 || g.seedRefused.Load() && rng.IntN(seedJoinOdds) > 0) {
 		seeds = []string{r.Peer}
 	}
 	if len(seeds) == 0 {
 		return
 	}
 	address := seeds[rng.IntN(len(seeds))]
-	if !g.joining.begin(address) {
+	if !g.joining.add(address) {
 		return
 	}
 	if g.calls.Submit(func() {
-		defer g.joining.end(address)
+		defer g.joining.remove(address)
 		g.sync(ctx, address, joinTimeout, []membership.Record{g.opts.Table.Self()})
 	}) != nil {
-		g.joining.end(address)
+		g.joining.remove(address)
 	}
 }
 
-// addresses are those that are being asked.
-type addresses struct {
+// addressSet holds the addresses of ongoing calls.
+type addressSet struct {
 	mu  sync.Mutex
 	all map[string]bool
 }
 
-func (a *addresses) has(address string) bool {
+func (a *addressSet) has(address string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.all[address]
 }
 
-func (a *addresses) begin(address string) bool {
+func (a *addressSet) add(address string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.all[address] {
@@ -72,29 +70,29 @@
 	return true
 }
 
-func (a *addresses) end(address string) {
+func (a *addressSet) remove(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.all, address)
 }
 
-// fetch gets what is missing of the platform from an instance that has it. One
-// fetch at a time is enough: what it misses shows with the next probe.
-func (g *Gossip) fetch(ctx context.Context, address string) {
-	if !g.syncing.CompareAndSwap(false, true) {
+// fetchMissing fetches missing platform state from an instance that has it. One fetch at a
+// time is enough: what it misses shows up with the next probe.
+func (g *Gossip) fetchMissing(ctx context.Context, address string) {
+	if !g.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	if g.calls.Submit(func() {
-		defer g.syncing.Store(false)
+		defer g.fetching.Store(false)
 		g.sync(ctx, address, syncTimeout, nil)
 	}) != nil {
-		g.syncing.Store(false)
+		g.fetching.Store(false)
 	}
 	g.opts.Scope.Counter("fetches").Inc(1)
 }
 
-// sync exchanges records with an instance and takes over what is missing of the
-// platform. Timeout bounds the call, what is fetched after it has its own.
+// sync exchanges records with an instance and fetches missing platform state. timeout
+// limits the call; fetches after it have their own.
 func (g *Gossip) sync(ctx context.Context, address string, timeout time.Duration, records []membership.Record) {
 	now := g.opts.Now()
 	versions := g.opts.State.Versions(now)
@@ -103,59 +101,59 @@
 		return
 	}
 	now = g.opts.Now()
-	g.merge(now, m.Records)
+	g.mergeRecords(now, m.Records)
 	g.opts.TakeSuspects(now, m.Suspects)
-	g.opts.Table.NoteCount(now, m.Instances)
+	g.opts.Table.RecordCount(now, m.Instances)
 	g.joined.Store(true)
 	u := m.Update
 	switch {
 	case m.Snapshot:
-		if u, err = g.takeSnapshot(ctx, address, m.From); err != nil {
-			g.opts.Log.Info().Str("instance", m.From).Err(err).Msg("snapshot not fetched from another instance")
+		if u, err = g.fetchSnapshot(ctx, address, m.From); err != nil {
+			g.opts.Log.Info().Str("instance", m.From).Err(err).Msg("failed to fetch snapshot from another instance")
 			return
 		}
 	case u != nil:
-		g.takeUpdate(now, u, m.From)
+		g.applyUpdate(now, u, m.From)
 	default:
 		return
 	}
 	if g.lacksConfiguration(&u.Versions) {
-		g.configureFrom(ctx, address)
+		g.fetchConfiguration(ctx, address)
 	}
 }
 
-// answerSync returns the records that the sender lacks, where it tells its own,
-// and what it lacks of the platform.
-func (g *Gossip) answerSync(ctx context.Context, m *Message) *Message {
+// handleSync returns the platform state that the sender lacks, and the records if it sent
+// its own.
+func (g *Gossip) handleSync(ctx context.Context, m *Message) *Message {
 	now := g.opts.Now()
-	has := make(map[string]membership.Record, len(m.Records))
+	sent := make(map[string]membership.Record, len(m.Records))
 	for _, r := range m.Records {
-		has[r.ID] = r
+		sent[r.ID] = r
 	}
-	var lacks []membership.Record
+	var missing []membership.Record
 	if len(m.Records) > 0 {
 		for _, r := range g.opts.Table.All(now) {
-			if known, ok := has[r.ID]; !ok || known != r {
-				lacks = append(lacks, r)
+			if known, ok := sent[r.ID]; !ok || known != r {
+				missing = append(missing, r)
 			}
 		}
 	}
-	if len(m.Records) == 1 && len(lacks) > joinRecords {
-		rand.Shuffle(len(lacks), func(i, j int) { lacks[i], lacks[j] = lacks[j], lacks[i] })
-		lacks = lacks[:joinRecords]
+	if len(m.Records) == 1 && len(missing) > maxJoinRecords {
+		rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
+		missing = missing[:maxJoinRecords]
 	}
-	g.merge(now, m.Records)
-	answer := &Message{Records: lacks, Suspects: g.opts.Suspects(now), Instances: g.opts.Table.Count(now)}
+	g.mergeRecords(now, m.Records)
+	answer := &Message{Records: missing, Suspects: g.opts.Suspects(now), Instances: g.opts.Table.Count(now)}
 	if m.Versions != nil {
 		if r, ok := g.opts.Table.Get(m.From); ok {
 			if g.opts.State.BehindExcept(*m.Versions, observed.Configuration) {
-				g.fetch(context.WithoutCancel(ctx), r.Peer)
+				g.fetchMissing(context.WithoutCancel(ctx), r.Peer)
 			}
-			g.configure(context.WithoutCancel(ctx), m.Versions, r.Peer)
+			g.fetchNewerConfiguration(context.WithoutCancel(ctx), m.Versions, r.Peer)
 		}
 		u := g.opts.State.UpdateFor(now, *m.Versions)
 		answer.Update = &u
-		if u.Snapshot && len(u.Servers) >= snapshotFrom && g.opts.State.Known() {
+		if u.Snapshot && len(u.Servers) >= minSnapshotServers && g.opts.State.Known() {
 			answer.Update, answer.Snapshot = nil, true
 		}
 	}
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -12,17 +12,17 @@
 // probeRound is the time between two probes of an instance in these tests.
 const probeRound = 400 * time.Millisecond
 
-// fleet is a number of instances that probe each other and pass news on, without
-// sockets and on a clock of its own.
+// fleet simulates instances that probe each other and forward broadcasts, without sockets
+// and on a simulated clock.
 type fleet struct {
 	tables []*Table
 	index  map[string]int
 	now    time.Time
 	rng    *rand.Rand
-	// reaches reports whether a call of one instance to another is answered.
+	// reaches reports whether a call from one instance to another is answered.
 	reaches func(from, to int) bool
 	lost    float64
-	// calls counts the calls that an instance made or answered.
+	// calls counts the calls that each instance made or answered.
 	calls []int
 	syncs int
 }
@@ -38,8 +38,8 @@
 	return f
 }
 
-// know has all instances know of each other.
-func (f *fleet) know() {
+// introduceAll makes all instances known to each other.
+func (f *fleet) introduceAll() {
 	var all []Record
 	for _, t := range f.tables {
 		all = append(all, t.Self())
@@ -55,7 +55,7 @@
 	return f.reaches(from, to) && f.rng.Float64() >= f.lost
 }
 
-// probe exchanges what changed, and all where the digests differ.
+// probe exchanges recent changes, and all records if the digests differ.
 func (f *fleet) probe(from, to int) bool {
 	a, b := f.tables[from], f.tables[to]
 	digests := [2]uint64{a.Digest(), b.Digest()}
@@ -63,7 +63,7 @@
 		return false
 	}
 	a.Merge(f.now, b.Recent(f.now, a.Self().ID))
-	if a.Sync(f.now, digests[1]) || b.Sync(f.now, digests[0]) {
+	if a.SyncDue(f.now, digests[1]) || b.SyncDue(f.now, digests[0]) {
 		f.syncs++
 		f.sync(from, to)
 	}
@@ -83,11 +83,11 @@
 	return true
 }
 
-// round has each instance probe once, and ask others where there is no answer.
+// round lets each instance probe once, and indirectly if there is no answer.
 func (f *fleet) round() {
 	f.now = f.now.Add(probeRound)
 	for i, t := range f.tables {
-		if r, ok := t.NextDown(f.rng); ok && f.rng.IntN(3) == 0 {
+		if r, ok := t.RandomDown(f.rng); ok && f.rng.IntN(3) == 0 {
 			f.probe(i, f.index[r.ID])
 		}
 		r, ok := t.NextProbe(f.rng)
@@ -99,22 +99,22 @@
 			continue
 		}
 		reached := false
-		for _, helper := range t.Helpers(f.rng, r, 2) {
-			via := f.index[helper.ID]
+		for _, prober := range t.IndirectProbers(f.rng, r, 2) {
+			via := f.index[prober.ID]
 			reached = reached || f.call(i, via) && f.call(via, to)
 		}
 		if reached {
 			continue
 		}
 		if r, ok := t.MarkDown(f.now, r); ok {
-			f.news(i, []Record{r})
+			f.broadcast(i, []Record{r})
 		}
 	}
 }
 
-// news tells all along the tree, past instances that can't be reached, and
-// returns how many were told and the most hops.
-func (f *fleet) news(origin int, records []Record) (told, hops int) {
+// broadcast sends records down the tree, skipping unreachable instances, and returns the
+// number of instances that received them and of hops.
+func (f *fleet) broadcast(origin int, records []Record) (received, hops int) {
 	id := f.tables[origin].Self().ID
 	seen := map[int]bool{origin: true}
 	type step struct{ at, hops int }
@@ -150,23 +150,24 @@
 	return len(seen) - 1, hops
 }
 
-func (f *fleet) everyone(what func(t *Table) bool) bool {
+func (f *fleet) allRunning(condition func(t *Table) bool) bool {
 	for i, t := range f.tables {
-		if f.reaches(i, i) && !what(t) {
+		if f.reaches(i, i) && !condition(t) {
 			return false
 		}
 	}
 	return true
 }
 
-// News reaches all instances, each once, in few hops, and no instance tells many.
-func TestNewsReachesAll(t *testing.T) {
+// Guards against broadcasts that miss instances, reach one twice, take many hops or
+// overload one instance.
+func TestBroadcastReachesAll(t *testing.T) {
 	for _, n := range []int{1, 7, 78, 295, 350} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newFleet(n, min(n, 5))
-			f.know()
-			told, hops := f.news(n/2, nil)
-			require.Equal(t, n-1, told)
+			f.introduceAll()
+			delivered, hops := f.broadcast(n/2, nil)
+			require.Equal(t, n-1, delivered)
 			require.LessOrEqual(t, hops, 5)
 			received := 0
 			for i, calls := range f.calls {
@@ -178,47 +179,47 @@
 	}
 }
 
-// Guards against a branch of the tree that hears nothing as the instance above it
-// is dead and not yet known to be.
-func TestNewsGoesPastTheDead(t *testing.T) {
+// Guards against a subtree that misses a broadcast because the instance above it is down
+// but not yet marked.
+func TestBroadcastSkipsUnreachable(t *testing.T) {
 	for _, n := range []int{20, 295} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newFleet(n, 5)
-			f.know()
-			dead := func(i int) bool { return i%10 == 3 }
-			f.reaches = func(from, to int) bool { return !dead(from) && !dead(to) }
-			alive := 0
+			f.introduceAll()
+			isDown := func(i int) bool { return i%10 == 3 }
+			f.reaches = func(from, to int) bool { return !isDown(from) && !isDown(to) }
+			running := 0
 			for i := range n {
-				if !dead(i) {
-					alive++
+				if !isDown(i) {
+					running++
 				}
 			}
-			told, _ := f.news(0, nil)
-			require.GreaterOrEqual(t, told, (alive-1)*98/100)
+			received, _ := f.broadcast(0, nil)
+			require.GreaterOrEqual(t, received, (running-1)*98/100)
 		})
 	}
 }
 
-// An instance dies: callers aren't sent to it for long, whatever the size, and
-// those that live aren't taken for dead though calls are lost.
-func TestDeadInstanceIsFound(t *testing.T) {
-	const within = 3 * time.Second
+// Guards against sending callers to an instance that is down for long at any size, and
+// against marking running instances as down when calls are lost.
+func TestDownInstanceIsDetected(t *testing.T) {
+	const maxDetectionTime = 3 * time.Second
 	for _, n := range []int{3, 7, 78, 295, 350} {
-		for name, lost := range map[string]float64{"links well": 0, "calls lost": 0.03} {
+		for name, lost := range map[string]float64{"no loss": 0, "calls are lost": 0.03} {
 			t.Run(fmt.Sprintf("%d, %s", n, name), func(t *testing.T) {
 				f := newFleet(n, min(n, 5))
-				f.know()
+				f.introduceAll()
 				f.lost = lost
 				for range 5 {
 					f.round()
 				}
 				f.reaches = func(from, to int) bool { return from != 1 && to != 1 }
-				died := f.now
-				gone := func(t *Table) bool { r, _ := t.Get("i001"); return r.Down }
-				for !f.everyone(gone) && f.now.Sub(died) < time.Minute {
+				downSince := f.now
+				down := func(t *Table) bool { r, _ := t.Get("i001"); return r.Down }
+				for !f.allRunning(down) && f.now.Sub(downSince) < time.Minute {
 					f.round()
 				}
-				require.LessOrEqual(t, f.now.Sub(died), within)
+				require.LessOrEqual(t, f.now.Sub(downSince), maxDetectionTime)
 				for range 20 {
 					f.round()
 				}
@@ -236,9 +237,9 @@
 	}
 }
 
-// Two zones can't reach each other while a third reaches both, or calls pass one
-// way only: nobody is taken for dead for long.
-func TestCutBetweenZonesTakesNobodyForDead(t *testing.T) {
+// Guards against marking instances as down for long when two zones can't reach each other
+// but a third reaches both, or when calls pass in one direction only.
+func TestPartitionMarksNoInstanceDown(t *testing.T) {
 	zone := func(i int) int { return i % 3 }
 	tests := map[string]func(from, to int) bool{
 		"bridge":  func(from, to int) bool { return zone(from)+zone(to) != 1 || zone(from) == zone(to) },
@@ -247,31 +248,30 @@
 	for name, reaches := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(30, 3)
-			f.know()
+			f.introduceAll()
 			f.reaches = reaches
-			taken, looks := 0, 0
+			markedDown, checks := 0, 0
 			for range 100 {
 				f.round()
 				for i := range f.tables {
 					for j := range f.tables {
 						r, _ := f.tables[i].Get(f.tables[j].Self().ID)
-						looks++
+						checks++
 						if r.Down {
-							taken++
+							markedDown++
 						}
 					}
 				}
 			}
-			require.LessOrEqual(t, taken, looks/10)
+			require.LessOrEqual(t, markedDown, checks/10)
 		})
 	}
 }
 
-// A zone is cut off and comes back, or all instances are paused for seconds: each
-// knows all again soon.
-func TestCutOffZoneIsBack(t *testing.T) {
+// Guards against instances that stay unknown after the partition of a zone has ended.
+func TestZoneRejoinsAfterPartition(t *testing.T) {
 	f := newFleet(60, 5)
-	f.know()
+	f.introduceAll()
 	f.reaches = func(from, to int) bool { return (from%5 == 0) == (to%5 == 0) }
 	for range 15 {
 		f.round()
@@ -279,16 +279,16 @@
 	r, _ := f.tables[1].Get("i000")
 	require.True(t, r.Down)
 	f.reaches = func(int, int) bool { return true }
-	back := f.now
+	healedAt := f.now
 	all := func(t *Table) bool { return len(t.Callers(newRNG(), "elsewhere", 1000)) == 60 }
-	for !f.everyone(all) && f.now.Sub(back) < time.Minute {
+	for !f.allRunning(all) && f.now.Sub(healedAt) < time.Minute {
 		f.round()
 	}
-	require.LessOrEqual(t, f.now.Sub(back), 5*time.Second)
+	require.LessOrEqual(t, f.now.Sub(healedAt), 5*time.Second)
 }
 
-// All instances start at once, each knowing one seed: all know all in seconds, by
-// syncs that are soon seldom.
+// Guards against a slow or costly start when all instances start at once, each knowing one
+// seed: they know each other within seconds, and then stop syncing.
 func TestAllStartAtOnce(t *testing.T) {
 	for _, n := range []int{7, 78, 350} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -296,43 +296,43 @@
 			for i := 1; i < n; i++ {
 				f.sync(i, f.rng.IntN(min(i, 3)))
 			}
-			began := f.now
+			startedAt := f.now
 			all := func(t *Table) bool { return t.Count(f.now) == n }
-			for !f.everyone(all) && f.now.Sub(began) < time.Minute {
+			for !f.allRunning(all) && f.now.Sub(startedAt) < time.Minute {
 				f.round()
 			}
-			require.LessOrEqual(t, f.now.Sub(began), 4*time.Second)
+			require.LessOrEqual(t, f.now.Sub(startedAt), 4*time.Second)
 			f.syncs = 0
 			for range 25 {
 				f.round()
 			}
-			require.Zero(t, f.syncs, "syncs of instances that know all")
+			require.Zero(t, f.syncs, "syncs between instances that know all others")
 		})
 	}
 }
 
-// Instances leave and return one after the other: at every moment callers are
-// sent to most of those that run, and to none that left long ago.
-func TestRestartsInSeries(t *testing.T) {
+// Guards against callers without addresses during a rolling restart, or with those of
+// instances that shut down long ago.
+func TestRollingRestart(t *testing.T) {
 	const n = 78
 	f := newFleet(n, 5)
-	f.know()
-	gone := -1
-	f.reaches = func(from, to int) bool { return from != gone && to != gone }
+	f.introduceAll()
+	stopped := -1
+	f.reaches = func(from, to int) bool { return from != stopped && to != stopped }
 	for i := range n {
 		f.tables[i].Set(f.now, Status{Leaving: true})
-		f.news(i, []Record{f.tables[i].Self()})
+		f.broadcast(i, []Record{f.tables[i].Self()})
 		f.round()
-		gone = i
+		stopped = i
 		f.round()
 		f.round()
 		r := f.tables[i].Self()
 		r.Started, r.Change, r.Status = r.Started+1, 0, Status{Ready: true}
-		f.tables[i], gone = NewTable(r), -1
+		f.tables[i], stopped = NewTable(r), -1
 		f.sync(i, (i+1)%n)
-		f.news(i, []Record{r})
+		f.broadcast(i, []Record{r})
 		for j, table := range f.tables {
-			require.GreaterOrEqual(t, len(table.Callers(newRNG(), "elsewhere", 1000)), n-3, "restart %d, seen by %d", i, j)
+			require.GreaterOrEqual(t, len(table.Callers(newRNG(), "elsewhere", 1000)), n-3, "restart %d, according to %d", i, j)
 		}
 	}
 }
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -4,28 +4,29 @@
 	"cmp"
 )
 
-// Status is what an instance says of itself.
+// Status is what an instance reports of itself.
 type Status struct {
-	// Ready instances take callers.
+	// Ready instances accept callers.
 	Ready bool `json:"ready,omitempty"`
-	// Leaving instances take no more duties.
+	// Leaving instances are shutting down and take on no tasks.
 	Leaving bool `json:"leaving,omitempty"`
-	// Blind instances aren't answered by the platform.
+	// Blind instances get no answer from the platform.
 	Blind bool `json:"blind,omitempty"`
 }
 
-// Record is what is known of one instance.
+// Record describes one instance.
 type Record struct {
 	ID     string `json:"id"`
 	Peer   string `json:"peer"`
 	Caller string `json:"caller"`
 	Zone   string `json:"zone"`
-	// Started is the start of the process, in milliseconds since 1970.
+	// Started is the start time of the process, in milliseconds since the Unix epoch. It
+	// identifies its incarnation.
 	Started int64 `json:"started"`
-	// Change counts the changes of the record by its instance.
+	// Change counts the changes that the instance made to its record.
 	Change int64 `json:"change"`
 	Status
-	// Down says that the instance doesn't answer others.
+	// Down means that the instance doesn't answer others.
 	Down bool `json:"down,omitempty"`
 }
 
@@ -36,8 +37,8 @@
 	return 0
 }
 
-// newer compares records of one instance: the later start, then the later
-// change, then the mark that it is down.
+// newer compares records of one instance: the later incarnation wins, then the later
+// change, then the one marked as down.
 func (r *Record) newer(than *Record) bool {
 	return cmp.Or(
 		cmp.Compare(r.Started, than.Started), cmp.Compare(r.Change, than.Change), cmp.Compare(bit(r.Down), bit(than.Down)),
--- a/internal/membership/choose.go
+++ b/internal/membership/select.go
@@ -8,48 +8,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// NextProbe returns the instance to probe next: each in turn, in an order that
-// is drawn anew for each round.
+// NextProbe returns the instance to probe next: each once per round, in a random order.
 func (t *Table) NextProbe(rng *rand.Rand) (Record, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for range 2 {
-		for len(t.order) > 0 {
-			id := t.order[len(t.order)-1]
-			t.order = t.order[:len(t.order)-1]
-			if e, ok := t.rest[id]; ok && !e.Down {
+		for len(t.probeOrder) > 0 {
+			id := t.probeOrder[len(t.probeOrder)-1]
+			t.probeOrder = t.probeOrder[:len(t.probeOrder)-1]
+			if e, ok := t.others[id]; ok && !e.Down {
 				return e.Record, true
 			}
 		}
-		for id, e := range t.rest {
+		for id, e := range t.others {
 			if !e.Down {
-				t.order = append(t.order, id)
+				t.probeOrder = append(t.probeOrder, id)
 			}
 		}
-		slices.Sort(t.order)
-		rng.Shuffle(len(t.order), func(i, j int) { t.order[i], t.order[j] = t.order[j], t.order[i] })
+		slices.Sort(t.probeOrder)
+		rng.Shuffle(len(t.probeOrder), func(i, j int) { t.probeOrder[i], t.probeOrder[j] = t.probeOrder[j], t.probeOrder[i] })
 	}
 	return Record{}, false
 }
 
-// NextDown returns an instance that is down, at random: it may be back.
-func (t *Table) NextDown(rng *rand.Rand) (Record, bool) {
+// RandomDown returns a random instance that is down, which may have restarted.
+func (t *Table) RandomDown(rng *rand.Rand) (Record, bool) {
 	return t.random(rng, func(e *entry) bool { return e.Down })
 }
 
-// Any returns an instance that runs, at random.
-func (t *Table) Any(rng *rand.Rand) (Record, bool) {
+// RandomRunning returns a random running instance.
+func (t *Table) RandomRunning(rng *rand.Rand) (Record, bool) {
 	return t.random(rng, func(e *entry) bool { return !e.Down })
 }
 
-// Helpers returns up to n instances that may try to reach another one. Those of
-// other availability zones than this one's and the other one's come first, as
-// links between two zones fail together, and each of a zone of its own.
-func (t *Table) Helpers(rng *rand.Rand, other Record, n int) []Record {
+// IndirectProbers returns up to n instances for an indirect probe of another one. As links between
+// two zones fail together, it prefers zones other than those of this instance and the
+// other one, and a different zone for each.
+func (t *Table) IndirectProbers(rng *rand.Rand, other Record, n int) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var all []Record
-	for id, e := range t.rest {
+	for id, e := range t.others {
 		if !e.Down && id != other.ID {
 			all = append(all, e.Record)
 		}
@@ -72,12 +71,12 @@
 	return out
 }
 
-func (t *Table) random(rng *rand.Rand, fits func(*entry) bool) (Record, bool) {
+func (t *Table) random(rng *rand.Rand, match func(*entry) bool) (Record, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var ids []string
-	for id, e := range t.rest {
-		if fits(e) {
+	for id, e := range t.others {
+		if match(e) {
 			ids = append(ids, id)
 		}
 	}
@@ -85,47 +84,47 @@
 		return Record{}, false
 	}
 	slices.Sort(ids)
-	return t.rest[ids[rng.IntN(len(ids))]].Record, true
+	return t.others[ids[rng.IntN(len(ids))]].Record, true
 }
 
-// Callers returns the addresses of up to most ready instances that a caller may
-// use, drawn at random: those of the caller's availability zone alone where there
-// are two or more, as bytes between zones are dear, and one address would leave
-// a caller with nowhere to turn.
-func (t *Table) Callers(rng *rand.Rand, zone string, most int) []string {
+// Callers returns the addresses of up to limit random ready instances for a caller. It
+// returns only those of the caller's availability zone if there are at least two:
+// cross-zone traffic is expensive, but a single address would leave the caller without an
+// alternative.
+func (t *Table) Callers(rng *rand.Rand, zone string, limit int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var all, near []string
+	var all, sameZone []string
 	add := func(r *Record) {
 		if !r.Ready || r.Down {
 			return
 		}
 		all = append(all, r.Caller)
 		if r.Zone == zone {
-			near = append(near, r.Caller)
+			sameZone = append(sameZone, r.Caller)
 		}
 	}
 	add(&t.self.Record)
-	for _, e := range t.rest {
+	for _, e := range t.others {
 		add(&e.Record)
 	}
-	if len(near) >= 2 {
-		all = near
+	if len(sameZone) >= 2 {
+		all = sameZone
 	}
 	slices.Sort(all)
-	if len(all) > most {
+	if len(all) > limit {
 		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		all = all[:most]
+		all = all[:limit]
 	}
 	return all
 }
 
-// Running returns all instances that aren't known to be down, this one included.
+// Running returns all instances that aren't known to be down, including this one.
 func (t *Table) Running() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := []Record{t.self.Record}
-	for _, e := range t.rest {
+	for _, e := range t.others {
 		if !e.Down {
 			out = append(out, e.Record)
 		}
@@ -134,29 +133,29 @@
 	return out
 }
 
-// Owners returns up to n ready instances for a key, the first to be asked first.
-// Instances that know of each other choose the same ones for a key (rendezvous
-// hashing), and different ones for others.
+// Owners returns up to n ready instances for a key, in order of preference. Instances with
+// the same records return the same owners for a key (rendezvous hashing), and different
+// ones for other keys.
 func (t *Table) Owners(key string, n int) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	owners, ok := t.derived.owners[key]
+	owners, ok := t.cache.owners[key]
 	if !ok {
 		owners = t.owners(key)
-		t.derived.owners[key] = owners
+		t.cache.owners[key] = owners
 	}
 	return owners[:min(n, len(owners))]
 }
 
-// OwnerIn returns the ready instance of an availability zone for a key.
+// OwnerIn returns the first ready instance of an availability zone for a key.
 func (t *Table) OwnerIn(zone, key string) (Record, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	cached := zone + "\n" + key
-	owners, ok := t.derived.owners[cached]
+	owners, ok := t.cache.owners[cached]
 	if !ok {
 		owners = t.ownersIn(zone, key)
-		t.derived.owners[cached] = owners
+		t.cache.owners[cached] = owners
 	}
 	if len(owners) == 0 {
 		return Record{}, false
@@ -172,7 +171,7 @@
 		}
 	}
 	add(&t.self.Record)
-	for _, e := range t.rest {
+	for _, e := range t.others {
 		add(&e.Record)
 	}
 	if best == nil {
@@ -181,7 +180,7 @@
 	return []Record{*best}
 }
 
-// maxOwners is how many owners of a key are remembered.
+// maxOwners is the number of owners that are cached for each key.
 const maxOwners = 3
 
 func (t *Table) owners(key string) []Record {
@@ -196,7 +195,7 @@
 		}
 	}
 	add(&t.self.Record)
-	for _, e := range t.rest {
+	for _, e := range t.others {
 		add(&e.Record)
 	}
 	slices.SortFunc(owners, func(a, b owner) int { return cmp.Compare(b.weight, a.weight) })
@@ -209,22 +208,22 @@
 
 func weight(key, id string) uint64 { return xxhash.Sum64String(key + "\n" + id) }
 
-// Rank returns the place of this instance, for a key, among those that run: those
-// that reach the platform before those that don't. Blind reports whether one of
-// the others doesn't reach it.
-func (t *Table) Rank(key string) (rank int, blind bool) {
+// Rank returns the rank of this instance for a key among the running ones: those that
+// reach the platform rank before those that don't, and instances that shut down last.
+// unreachable reports whether the platform doesn't answer one of the others.
+func (t *Table) Rank(key string) (rank int, unreachable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p, ok := t.derived.ranks[key]
+	p, ok := t.cache.ranks[key]
 	if !ok {
 		p = t.rankOf(key)
-		t.derived.ranks[key] = p
+		t.cache.ranks[key] = p
 	}
-	return p.rank, p.blind
+	return p.rank, p.unreachable
 }
 
-func (t *Table) rankOf(key string) place {
-	var p place
+func (t *Table) rankOf(key string) rankResult {
+	var p rankResult
 	own := weight(key, t.self.ID)
 	class := func(s Status) int {
 		switch {
@@ -235,11 +234,11 @@
 		}
 		return 0
 	}
-	for id, e := range t.rest {
+	for id, e := range t.others {
 		if e.Down {
 			continue
 		}
-		p.blind = p.blind || e.Blind
+		p.unreachable = p.unreachable || e.Blind
 		c := cmp.Or(cmp.Compare(class(e.Status), class(t.self.Status)), cmp.Compare(own, weight(key, id)))
 		if c < 0 {
 			p.rank++
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -9,15 +9,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Recent returns what another instance is told with a probe: this instance's
-// record, those that changed lately, the latest first, and that the other one is
-// taken for down, so that it can say otherwise.
+// Recent returns the records to send with a probe: that of this instance, those that
+// changed recently, newest first, and the other instance's if it is marked as down, so
+// that it can refute that.
 func (t *Table) Recent(now time.Time, other string) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var recent []*entry
-	for _, e := range t.rest {
-		if e.ID != other && now.Sub(e.changed) < recentFor {
+	for _, e := range t.others {
+		if e.ID != other && now.Sub(e.changed) < recentTime {
 			recent = append(recent, e)
 		}
 	}
@@ -25,7 +25,7 @@
 		return cmp.Or(b.changed.Compare(a.changed), cmp.Compare(a.ID, b.ID))
 	})
 	out := []Record{t.self.Record}
-	if e, ok := t.rest[other]; ok && e.Down {
+	if e, ok := t.others[other]; ok && e.Down {
 		out = append(out, e.Record)
 	}
 	for _, e := range recent[:min(len(recent), maxRecent)] {
@@ -34,14 +34,14 @@
 	return out
 }
 
-// Has reports whether an instance has this peer address.
-func (t *Table) Has(peer string) bool {
+// HasPeer reports whether an instance has this peer address.
+func (t *Table) HasPeer(peer string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.self.Peer == peer {
 		return true
 	}
-	for _, e := range t.rest {
+	for _, e := range t.others {
 		if e.Peer == peer {
 			return true
 		}
@@ -49,46 +49,46 @@
 	return false
 }
 
-// All returns the records of all instances but those that have been down for
-// some time, whose news mustn't go round for ever.
+// All returns the records of all instances except those that have been down for some time,
+// which would otherwise circulate forever.
 func (t *Table) All(now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := []Record{t.self.Record}
-	for _, e := range t.rest {
-		if !e.Down || now.Sub(e.changed) < tellDownFor {
+	for _, e := range t.others {
+		if !e.Down || now.Sub(e.changed) < downRecordTTL {
 			out = append(out, e.Record)
 		}
 	}
 	return out
 }
 
-// heardFor is how long it counts how many instances another one knows.
-const heardFor = 10 * time.Second
+// reportedCountTTL is how long another instance's number of instances counts.
+const reportedCountTTL = 10 * time.Second
 
-// NoteCount notes how many instances another one knows: one that has just started
-// knows few, and must not take a share of common limits as if there were no more.
-func (t *Table) NoteCount(now time.Time, instances int) {
+// RecordCount records how many instances another one knows. An instance that has just
+// started knows few, and without it would take too large a share of common limits.
+func (t *Table) RecordCount(now time.Time, instances int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if instances >= t.heard || now.Sub(t.heardAt) >= heardFor {
-		t.heard, t.heardAt = instances, now
+	if instances >= t.reportedCount || now.Sub(t.reportedAt) >= reportedCountTTL {
+		t.reportedCount, t.reportedAt = instances, now
 	}
 }
 
-// Count returns how many instances share common limits: all that are known,
-// since one that is down may be cut off and go on by itself.
+// Count returns the number of instances that share common limits: all known ones, since an
+// instance marked as down may be partitioned and still running.
 func (t *Table) Count(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n := 1 + len(t.rest)
-	if now.Sub(t.heardAt) < heardFor {
-		n = max(n, t.heard)
+	n := 1 + len(t.others)
+	if now.Sub(t.reportedAt) < reportedCountTTL {
+		n = max(n, t.reportedCount)
 	}
 	return n
 }
 
-// Digest tells apart which processes are known to run.
+// Digest returns a hash of the processes that are known to run.
 func (t *Table) Digest() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,16 +96,16 @@
 }
 
 func (t *Table) digest() uint64 {
-	if t.derived.digest != 0 {
-		return t.derived.digest
+	if t.cache.digest != 0 {
+		return t.cache.digest
 	}
 	sum := digestOf(&t.self.Record)
-	for _, e := range t.rest {
+	for _, e := range t.others {
 		if !e.Down {
 			sum += digestOf(&e.Record)
 		}
 	}
-	t.derived.digest = sum
+	t.cache.digest = sum
 	return sum
 }
 
@@ -113,14 +113,14 @@
 	return xxhash.Sum64String(r.ID + "\n" + strconv.FormatInt(r.Started, 36))
 }
 
-// Sync reports whether all records are to be exchanged with an instance that has
-// this digest: it knows others, and the last such exchange is some time ago.
-func (t *Table) Sync(now time.Time, digest uint64) bool {
+// SyncDue reports whether to exchange all records with an instance that has this digest:
+// it knows other processes, and the last such exchange is some time ago.
+func (t *Table) SyncDue(now time.Time, digest uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.synced) < syncLeast || digest == t.digest() {
+	if now.Sub(t.syncedAt) < minSyncInterval || digest == t.digest() {
 		return false
 	}
-	t.synced = now
+	t.syncedAt = now
 	return true
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,20 +1,19 @@
-// Package membership holds what one instance knows of the others: which of them
-// run, take callers and reach the platform. It has no sockets; the present time
-// is an argument.
+// Package membership holds what an instance knows of the others: which of them run, accept
+// callers and reach the platform. It does no I/O; the present time is an argument.
 //
-// Instances probe each other in turn and pass on the records that changed, so
-// that an instance's part of the traffic doesn't grow with their number. A
-// record is changed by its own instance alone, but for the mark that it is down,
-// which others set when it answers neither them nor those whom they asked to try.
-// An instance that hears that it is down says otherwise with a newer record.
+// Instances probe each other in turn and exchange the records that changed, so that the
+// traffic of an instance doesn't grow with their number. Only its own instance changes a
+// record, except that others mark it as down if neither their probes nor their indirect
+// probes are answered. An instance that learns that it is marked as down refutes that with
+// a newer record.
 //
 // # Usage
 //
 //	table := membership.NewTable(self)
 //	changed := table.Merge(now, records)
-//	target, ok := table.NextProbe(now, rng)
+//	target, ok := table.NextProbe(rng)
 //	table.MarkDown(now, target)
-//	children := table.Children(now, origin, self)
+//	children := table.Children(origin)
 package membership
 
 import (
@@ -24,71 +23,70 @@
 )
 
 const (
-	// forgetAfter is how long the record of an instance that is down is kept.
-	// Shares of common limits are counted with it until then, since it may be
-	// cut off and go on by itself.
+	// forgetAfter is how long the record of an instance that is down is kept. It counts in
+	// shares of common limits until then, since it may be partitioned and still running.
 	forgetAfter = 60 * time.Second
-	// tellDownFor is how long others are told that an instance is down.
-	tellDownFor = 10 * time.Second
-	// recentFor is how long a changed record is passed on with probes: a few
-	// times what it takes to reach several hundred instances.
-	recentFor = 4 * time.Second
-	// maxRecent bounds the records passed on with one probe.
+	// downRecordTTL is how long the record of an instance that is down is sent to others.
+	downRecordTTL = 10 * time.Second
+	// recentTime is how long a changed record is sent with probes: a few times as long as it
+	// takes to reach several hundred instances.
+	recentTime = 4 * time.Second
+	// maxRecent limits the number of records sent with one probe.
 	maxRecent = 48
-	// syncLeast is the least time between two exchanges of all records.
-	syncLeast = time.Second
+	// minSyncInterval is the minimum time between two exchanges of all records.
+	minSyncInterval = time.Second
 )
 
 type entry struct {
 	Record
-	// changed is when the record last changed here.
+	// changed is when the record last changed in this table.
 	changed time.Time
 }
 
 // Table holds the records of all instances. It is safe for concurrent use.
 type Table struct {
-	mu   sync.Mutex
-	self entry
-	rest map[string]*entry
-	// order is the rest of the present round of probes.
-	order []string
-	// synced is when all records were last exchanged.
-	synced time.Time
-	// heard is how many instances another one knows, as of heardAt.
-	heard   int
-	heardAt time.Time
-	// derived is what was worked out from the records since they last changed.
-	derived derived
+	mu     sync.Mutex
+	self   entry
+	others map[string]*entry
+	// probeOrder holds the remaining instances of the current round of probes.
+	probeOrder []string
+	// syncedAt is when all records were last exchanged.
+	syncedAt time.Time
+	// reportedCount is how many instances another one knows, as of reportedAt.
+	reportedCount int
+	reportedAt    time.Time
+	// cache holds results computed from the records since they last changed.
+	cache cache
 }
 
-// derived holds answers that many requests ask for and that depend on nothing but
-// the records.
-type derived struct {
+// cache holds frequently requested results that depend only on the records.
+type cache struct {
 	owners   map[string][]Record
-	ranks    map[string]place
+	ranks    map[string]rankResult
 	children map[string][]Record
 	digest   uint64
 }
 
-// place is the rank of this instance, and whether another one is blind.
-type place struct {
-	rank  int
-	blind bool
+// rankResult is the rank of this instance, and whether the platform doesn't answer another
+// one.
+type rankResult struct {
+	rank        int
+	unreachable bool
 }
 
-// alter forgets what was worked out from the records before.
-func (t *Table) alter() { t.derived = newDerived() }
+// invalidate clears the cache after a change of the records.
+func (t *Table) invalidate() { t.cache = newCache() }
 
-func newDerived() derived {
-	return derived{owners: map[string][]Record{}, ranks: map[string]place{}, children: map[string][]Record{}}
+func newCache() cache {
+	return cache{owners: map[string][]Record{}, ranks: map[string]rankResult{}, children: map[string][]Record{}}
 }
 
-// NewTable returns a table that knows only its own instance.
+// NewTable returns a table that holds only this instance.
 func NewTable(self Record) *Table {
-	return &Table{self: entry{Record: self}, rest: map[string]*entry{}, derived: newDerived()}
+	return &Table{self: entry{Record: self}, others: map[string]*entry{}, cache: newCache()}
 }
 
-// Set changes the record of this instance and reports whether it differs.
+// Set changes the status of this instance and reports whether it differs.
 func (t *Table) Set(now time.Time, s Status) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,7 +96,7 @@
 	t.self.Status = s
 	t.self.Change++
 	t.self.changed = now
-	t.alter()
+	t.invalidate()
 	return true
 }
 
@@ -109,8 +107,8 @@
 	return t.self.Record
 }
 
-// Merge takes over the records that are newer than those known and returns
-// them. Where this instance is said to be down, its own newer record is returned.
+// Merge applies the records that are newer than the known ones and returns them. If this
+// instance is marked as down, its own newer record is returned.
 func (t *Table) Merge(now time.Time, records []Record) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -127,38 +125,38 @@
 			}
 			continue
 		}
-		known, ok := t.rest[r.ID]
+		known, ok := t.others[r.ID]
 		if ok && !r.newer(&known.Record) {
 			continue
 		}
-		t.rest[r.ID] = &entry{Record: *r, changed: now}
+		t.others[r.ID] = &entry{Record: *r, changed: now}
 		changed = append(changed, *r)
 	}
-	if t.forget(now) || len(changed) > 0 {
-		t.alter()
+	if t.removeExpired(now) || len(changed) > 0 {
+		t.invalidate()
 	}
 	return changed
 }
 
-// forget drops instances that have been down for long, and reports whether any
-// was.
-func (t *Table) forget(now time.Time) bool {
-	n := len(t.rest)
-	maps.DeleteFunc(t.rest, func(_ string, e *entry) bool { return e.Down && now.Sub(e.changed) > forgetAfter })
-	return len(t.rest) != n
+// removeExpired removes instances that have been down for long, and reports whether there
+// were any.
+func (t *Table) removeExpired(now time.Time) bool {
+	n := len(t.others)
+	maps.DeleteFunc(t.others, func(_ string, e *entry) bool { return e.Down && now.Sub(e.changed) > forgetAfter })
+	return len(t.others) != n
 }
 
-// MarkDown notes that an instance answered nobody who tried since it had this
-// record, and returns the record to pass on.
+// MarkDown marks an instance as down that answered no probe since it had this record, and
+// returns the record to send.
 func (t *Table) MarkDown(now time.Time, r Record) (Record, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e, ok := t.rest[r.ID]
+	e, ok := t.others[r.ID]
 	if !ok || e.Down || e.Started != r.Started || e.Change != r.Change {
 		return Record{}, false
 	}
 	e.Down, e.changed = true, now
-	t.alter()
+	t.invalidate()
 	return e.Record, true
 }
 
@@ -169,7 +167,7 @@
 	if id == t.self.ID {
 		return t.self.Record, true
 	}
-	e, ok := t.rest[id]
+	e, ok := t.others[id]
 	if !ok {
 		return Record{}, false
 	}
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -19,7 +19,7 @@
 
 func newRNG() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func TestCallersAreSentToWhoIsThere(t *testing.T) {
+func TestCallers(t *testing.T) {
 	leaving := record("b", "z1")
 	leaving.Status = Status{Leaving: true}
 	var many []Record
@@ -32,13 +32,13 @@
 		want   []string
 		number int
 	}{
-		"alone":             {ready: true, want: []string{"caller-a"}, number: 1},
-		"alone and leaving": {},
-		"two of the zone":   {ready: true, others: []Record{record("b", "z1"), record("c", "z2")}, want: []string{"caller-a", "caller-b"}, number: 2},
-		"one of the zone":   {ready: true, others: []Record{record("c", "z2")}, want: []string{"caller-a", "caller-c"}, number: 2},
-		"down ones are out": {ready: true, others: []Record{down(record("b", "z1"))}, want: []string{"caller-a"}, number: 1},
-		"leaving ones too":  {ready: true, others: []Record{leaving}, want: []string{"caller-a"}, number: 1},
-		"more than fit":     {ready: true, others: many, number: 64},
+		"alone":                     {ready: true, want: []string{"caller-a"}, number: 1},
+		"alone and shutting down":   {},
+		"two in the zone":           {ready: true, others: []Record{record("b", "z1"), record("c", "z2")}, want: []string{"caller-a", "caller-b"}, number: 2},
+		"one in the zone":           {ready: true, others: []Record{record("c", "z2")}, want: []string{"caller-a", "caller-c"}, number: 2},
+		"another one down":          {ready: true, others: []Record{down(record("b", "z1"))}, want: []string{"caller-a"}, number: 1},
+		"another one shutting down": {ready: true, others: []Record{leaving}, want: []string{"caller-a"}, number: 1},
+		"more than the limit":       {ready: true, others: many, number: 64},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -54,28 +54,28 @@
 	}
 }
 
-// Guards against a dead process that comes to life by old news, and a new one
-// under its name that is taken for dead.
+// Guards against an old record that marks a dead process as running, and against one that
+// marks its new incarnation as down.
 func TestNewerRecordWins(t *testing.T) {
 	first := record("b", "z1")
 	changed, restarted := first, first
 	changed.Change, changed.Ready = 2, false
 	restarted.Started, restarted.Change = 2, 0
-	tests := map[string]struct{ known, told, want Record }{
-		"a change":             {first, changed, changed},
-		"an older change":      {changed, first, changed},
-		"down":                 {first, down(first), down(first)},
-		"down, before":         {changed, down(first), changed},
-		"no longer down":       {down(first), first, down(first)},
-		"answers that it runs": {down(first), changed, changed},
-		"a new process":        {down(changed), restarted, restarted},
-		"the old process":      {restarted, changed, restarted},
+	tests := map[string]struct{ known, received, want Record }{
+		"a newer change":            {first, changed, changed},
+		"an older change":           {changed, first, changed},
+		"down":                      {first, down(first), down(first)},
+		"down before a change":      {changed, down(first), changed},
+		"no longer down":            {down(first), first, down(first)},
+		"refuted by a newer record": {down(first), changed, changed},
+		"newer incarnation":         {down(changed), restarted, restarted},
+		"older incarnation":         {restarted, changed, restarted},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable(record("a", "z1"))
 			table.Merge(start, []Record{tt.known})
-			changed := table.Merge(start, []Record{tt.told})
+			changed := table.Merge(start, []Record{tt.received})
 			require.Equal(t, tt.want != tt.known, len(changed) == 1)
 			got, ok := table.Get("b")
 			require.True(t, ok)
@@ -84,8 +84,8 @@
 	}
 }
 
-// An instance that runs and is taken for down says so with a newer record.
-func TestInstanceAnswersThatItRuns(t *testing.T) {
+// An instance that runs but is marked as down refutes that with a newer record.
+func TestInstanceRefutesDown(t *testing.T) {
 	self := record("a", "z1")
 	table := NewTable(self)
 	changed := table.Merge(start, []Record{down(self)})
@@ -98,12 +98,11 @@
 	require.False(t, got.Down)
 	old := self
 	old.Started = 0
-	require.Empty(t, table.Merge(start, []Record{down(old)}), "an earlier process is down")
+	require.Empty(t, table.Merge(start, []Record{down(old)}), "an earlier incarnation is down")
 }
 
-// Guards against a mark that comes too late: the instance has said since that it
-// runs, or has restarted.
-func TestMarkDownOnlyWhatWasProbed(t *testing.T) {
+// Guards against marking an instance as down after it has refuted that or restarted.
+func TestMarkDownOnlyProbedRecord(t *testing.T) {
 	table := NewTable(record("a", "z1"))
 	probed := record("b", "z1")
 	table.Merge(start, []Record{probed})
@@ -116,26 +115,26 @@
 	require.True(t, ok)
 	require.True(t, r.Down)
 	_, ok = table.MarkDown(start, newer)
-	require.False(t, ok, "already known")
+	require.False(t, ok, "already marked as down")
 }
 
-// An instance that is down counts in shared limits for a while, since it may be
-// cut off and go on by itself; nobody is told of it for long.
-func TestDownInstancesAreForgotten(t *testing.T) {
+// Guards against an instance that is down being dropped from common limits too soon, since
+// it may be partitioned and still running, and against its record circulating for long.
+func TestDownInstancesExpire(t *testing.T) {
 	table := NewTable(record("a", "z1"))
 	table.Merge(start, []Record{down(record("b", "z1"))})
 	require.Equal(t, 2, table.Count(start))
 	require.Len(t, table.All(start), 2)
-	require.Len(t, table.All(start.Add(tellDownFor)), 1)
+	require.Len(t, table.All(start.Add(downRecordTTL)), 1)
 	table.Merge(start.Add(forgetAfter), nil)
 	require.Equal(t, 2, table.Count(start))
 	table.Merge(start.Add(forgetAfter+time.Second), nil)
 	require.Equal(t, 1, table.Count(start))
 }
 
-// Of instances that know of each other exactly one has each turn; those that the
-// platform doesn't answer come last, those that leave after all others.
-func TestRanksAreAllDifferent(t *testing.T) {
+// Guards against equal ranks: instances with the same records have different ranks, those
+// that the platform doesn't answer after the others, and those that shut down last.
+func TestRanksAreUnique(t *testing.T) {
 	statuses := map[string]Status{"a": {Ready: true}, "b": {Ready: true}, "c": {Ready: true, Blind: true}, "d": {Ready: true, Blind: true}, "e": {Leaving: true}}
 	tables := map[string]*Table{}
 	for id, status := range statuses {
@@ -149,9 +148,9 @@
 	}
 	ranks := map[int]string{}
 	for id, table := range tables {
-		rank, blind := table.Rank("servers")
+		rank, unreachable := table.Rank("servers")
 		ranks[rank] = id
-		require.True(t, blind)
+		require.True(t, unreachable)
 	}
 	require.Len(t, ranks, 5)
 	require.ElementsMatch(t, []string{"a", "b"}, []string{ranks[0], ranks[1]})
@@ -163,8 +162,8 @@
 	require.Zero(t, rank)
 }
 
-// Instances that know of each other ask the same one, and the same second one.
-func TestOwnersAreTheSameEverywhere(t *testing.T) {
+// Instances with the same records choose the same first and second owner of a key.
+func TestOwnersAreConsistent(t *testing.T) {
 	ids := []string{"a", "b", "c", "d"}
 	var records []Record
 	for _, id := range ids {
@@ -188,8 +187,8 @@
 	require.Len(t, firsts, len(ids))
 }
 
-// Each instance is probed once before any is probed again.
-func TestProbesGoRound(t *testing.T) {
+// Each instance is probed once per round.
+func TestProbeRound(t *testing.T) {
 	const n = 40
 	table := NewTable(record("self", "z1"))
 	for i := range n {
@@ -207,15 +206,15 @@
 	}
 }
 
-// Guards against shares of common limits that are too large while an instance
-// that has started knows few others.
-func TestSharesCountWhatOthersKnow(t *testing.T) {
+// Guards against too large shares of common limits while an instance that has started
+// knows few others.
+func TestCountIncludesReported(t *testing.T) {
 	table := NewTable(record("a", "z1"))
 	table.Merge(start, []Record{record("b", "z1")})
-	table.NoteCount(start, 295)
-	table.NoteCount(start.Add(time.Second), 3)
+	table.RecordCount(start, 295)
+	table.RecordCount(start.Add(time.Second), 3)
 	require.Equal(t, 295, table.Count(start.Add(time.Second)))
-	require.Equal(t, 2, table.Count(start.Add(heardFor)))
-	table.NoteCount(start.Add(heardFor), 3)
-	require.Equal(t, 3, table.Count(start.Add(heardFor)))
+	require.Equal(t, 2, table.Count(start.Add(reportedCountTTL)))
+	table.RecordCount(start.Add(reportedCountTTL), 3)
+	require.Equal(t, 3, table.Count(start.Add(reportedCountTTL)))
 }
--- a/internal/membership/tree.go
+++ b/internal/membership/tree.go
@@ -5,27 +5,26 @@
 	"slices"
 )
 
-// fanout is how many instances of its zone each passes a message on to. Three
-// hops within a zone reach 85 instances.
+// fanout is the number of instances of its zone that each instance forwards a message to.
+// Three hops within a zone reach 85 instances.
 const fanout = 4
 
-// Children returns the instances to which this one passes on a message of
-// origin's. Origin tells one instance of each other availability zone, and each
-// zone passes a message on among its own instances, along a tree of the origin's
-// own: a message crosses to each zone once, and no instance bears the load of
-// many.
+// Children returns the instances to which this one forwards a broadcast of origin. The
+// origin sends it to one instance of each other availability zone, and the instances of a
+// zone forward it along a tree that depends on the origin: a broadcast is sent to each
+// zone once, and the load is spread over all instances.
 func (t *Table) Children(origin string) []Record { return t.ChildrenOf(origin, t.Self().ID) }
 
-// ChildrenOf returns the children of another instance, for the case that it
-// can't be reached and its children have to be told past it.
+// ChildrenOf returns the children of another instance that can't be reached, so that a
+// broadcast can skip it.
 func (t *Table) ChildrenOf(origin, id string) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	key := origin + "\n" + id
-	children, ok := t.derived.children[key]
+	children, ok := t.cache.children[key]
 	if !ok {
 		children = t.children(origin, id)
-		t.derived.children[key] = children
+		t.cache.children[key] = children
 	}
 	return children
 }
@@ -35,7 +34,7 @@
 	if !ok {
 		return nil
 	}
-	own := t.branch(origin, r.Zone)
+	own := t.zoneOrder(origin, r.Zone)
 	var children []Record
 	if at := slices.IndexFunc(own, func(m Record) bool { return m.ID == id }); at >= 0 {
 		first := at*fanout + 1
@@ -48,8 +47,8 @@
 		if zone == r.Zone {
 			continue
 		}
-		if branch := t.branch(origin, zone); len(branch) > 0 {
-			children = append(children, branch[0])
+		if order := t.zoneOrder(origin, zone); len(order) > 0 {
+			children = append(children, order[0])
 		}
 	}
 	return children
@@ -59,16 +58,16 @@
 	if id == t.self.ID {
 		return &t.self.Record, true
 	}
-	e, ok := t.rest[id]
+	e, ok := t.others[id]
 	if !ok {
 		return nil, false
 	}
 	return &e.Record, true
 }
 
-// branch returns the instances of a zone that run, in an order of the origin's
-// own that begins with the origin.
-func (t *Table) branch(origin, zone string) []Record {
+// zoneOrder returns the running instances of a zone in an order that depends on the origin
+// and starts with it.
+func (t *Table) zoneOrder(origin, zone string) []Record {
 	type member struct {
 		record *Record
 		weight uint64
@@ -85,7 +84,7 @@
 		members = append(members, member{r, w})
 	}
 	add(&t.self.Record)
-	for _, e := range t.rest {
+	for _, e := range t.others {
 		add(&e.Record)
 	}
 	slices.SortFunc(members, func(a, b member) int { return cmp.Compare(a.weight, b.weight) })
@@ -98,7 +97,7 @@
 
 func (t *Table) zones() []string {
 	zones := []string{t.self.Zone}
-	for _, e := range t.rest {
+	for _, e := range t.others {
 		if !slices.Contains(zones, e.Zone) {
 			zones = append(zones, e.Zone)
 		}
