--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -67,8 +67,8 @@
 
 // lastBroadcast is the version of the servers as of the last broadcast.
 type lastBroadcast struct {
-	begun   bool
-	servers int64
+	initialized bool
+	servers     int64
 }
 
 // broadcastLoop broadcasts changes, with one message for all since the last one.
@@ -90,8 +90,8 @@
 // part of it: instances that lack it fetch it.
 func (g *Gossip) nextBroadcast(now time.Time) *Message {
 	p := &g.lastBroadcast
-	if !p.begun {
-		p.begun = true
+	if !p.initialized {
+		p.initialized = true
 		p.servers, _ = g.opts.State.Version(observed.Servers)
 	}
 	u := g.opts.State.UpdateSince(now, p.servers)
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -225,7 +225,7 @@
 
 // Guards the limits on bad versions, and the promotion of good ones, in simulated fleets
 // of 7, 70 and 350 instances. Prints how many rollouts of each kind complete.
-func TestVerdicts(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	all := [3]int{100, 100, 100}
 	fleets := []struct {
 		name  string
--- a/internal/rollout/takeover_test.go
+++ b/internal/rollout/takeover_test.go
@@ -16,32 +16,32 @@
 	state    rollout.Stage
 }
 
-// world is a state of the bounded model check: two instances that may both act as
+// modelState is a state of the bounded model check: two instances that may both act as
 // coordinator.
-type world struct {
+type modelState struct {
 	// stage is each instance's stage, revision the one that its writes are conditional on.
 	stage    [2]rollout.Stage
 	revision [2]int
 	// drained is set when an instance has no requests left on the old version.
 	drained [2]bool
-	// reported and clear are the stage in each instance's last report to the other, and
+	// reported and reportedDrained are the stage in each instance's last report to the other, and
 	// whether it was promoting and drained then.
-	reported [2]rollout.Stage
-	clear    [2]bool
-	up       [2]bool
-	plat     platform
+	reported        [2]rollout.Stage
+	reportedDrained [2]bool
+	up              [2]bool
+	plat            platform
 }
 
 // steps returns all possible next states: decisions, reports in any order, crashes with a
 // restart from nothing, refreshes and writes.
-func (w world) steps() map[string]world {
-	out := map[string]world{}
+func (w modelState) steps() map[string]modelState {
+	out := map[string]modelState{}
 	for i := range 2 {
 		j := 1 - i
 		if !w.up[i] {
 			n := w
 			n.up[i], n.stage[i], n.revision[i], n.drained[i] = true, rollout.StageNone, w.plat.revision, true
-			n.reported[j], n.clear[j] = rollout.StageNone, false
+			n.reported[j], n.reportedDrained[j] = rollout.StageNone, false
 			if w.plat.state.Ended() {
 				n.stage[i] = w.plat.state
 			}
@@ -67,7 +67,7 @@
 		}
 		if w.up[j] {
 			n := w
-			n.reported[i], n.clear[i] = w.stage[i], w.stage[i] == rollout.StagePromoting && w.drained[i]
+			n.reported[i], n.reportedDrained[i] = w.stage[i], w.stage[i] == rollout.StagePromoting && w.drained[i]
 			n.stage[j] = w.stage[j].Later(w.stage[i])
 			// The answer holds the receiver's stage.
 			n.stage[i] = w.stage[i].Later(n.stage[j])
@@ -95,14 +95,14 @@
 }
 
 // wantsWrite returns what an instance would write as the coordinator.
-func (w world) wantsWrite(i int) (rollout.Stage, bool) {
+func (w modelState) wantsWrite(i int) (rollout.Stage, bool) {
 	j := 1 - i
 	switch {
 	case w.plat.state.Ended() || w.stage[i].Ended():
 		return 0, false
 	case w.stage[i] == rollout.StageRollingBack:
 		return rollout.StageRolledBack, true
-	case w.stage[i] == rollout.StagePromoting && w.drained[i] && (!w.up[j] || w.reported[j] == rollout.StagePromoting && w.clear[j]):
+	case w.stage[i] == rollout.StagePromoting && w.drained[i] && (!w.up[j] || w.reported[j] == rollout.StagePromoting && w.reportedDrained[j]):
 		return rollout.StageCompleted, true
 	}
 	return 0, false
@@ -113,14 +113,14 @@
 // up to a depth.
 func TestTakeoverInEveryOrder(t *testing.T) {
 	const depth = 12
-	begin := world{
+	begin := modelState{
 		stage: [2]rollout.Stage{rollout.StageCanary, rollout.StageCanary}, up: [2]bool{true, true}, plat: platform{1, rollout.StageCanary},
 	}
-	seen := map[world]string{begin: ""}
-	layer := []world{begin}
+	seen := map[modelState]string{begin: ""}
+	layer := []modelState{begin}
 	completed, rolledBack := 0, 0
 	for range depth {
-		var next []world
+		var next []modelState
 		for _, w := range layer {
 			for name, n := range w.steps() {
 				if w.plat.state.Ended() {
--- a/internal/rolloutpeer/coordinator.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -118,7 +118,7 @@
 	action := c.Step(now, p.view(r))
 	lr.Advance(c.Stage())
 	if c.Stage() != before {
-		p.logVerdict(r, c)
+		p.logDecision(r, c)
 	}
 	p.mu.Unlock()
 	switch action := action.(type) {
@@ -145,7 +145,7 @@
 	return v
 }
 
-func (p *Peer) logVerdict(r *dialect.Rollout, c *rollout.Controller) {
+func (p *Peer) logDecision(r *dialect.Rollout, c *rollout.Controller) {
 	counts := c.Counts()
 	number, failed := counts.Total(rollout.Canary)
 	oldNumber, oldFailed := counts.Total(rollout.Stable)
