--- a/internal/ingressserve/serve.go
+++ b/internal/ingressserve/serve.go
@@ -252,7 +252,7 @@
 
 // showRollouts answers operators who ask how roll-outs go.
 func (in *instance) showRollouts(w http.ResponseWriter, _ *http.Request) {
-	shown := []rolloutpeer.Shown{}
+	shown := []rolloutpeer.Status{}
 	if in.rollouts != nil {
 		shown = in.rollouts.Show()
 	}
--- a/internal/rolloutpeer/coordinator.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// Shown describes a rollout for operators.
-type Shown struct {
+// Status describes a rollout for operators.
+type Status struct {
 	Service  string  `json:"service"`
 	To       string  `json:"to"`
 	Stage    string  `json:"stage"`
@@ -196,13 +196,13 @@
 }
 
 // Show returns the rollouts in order of their services.
-func (p *Peer) Show() []Shown {
+func (p *Peer) Show() []Status {
 	now := p.opts.Now()
 	rollouts := p.opts.State.Rollouts()
-	out := make([]Shown, 0, len(rollouts))
+	out := make([]Status, 0, len(rollouts))
 	for i := range rollouts {
 		r := &rollouts[i]
-		status := Shown{Service: r.Service, To: r.To, Stage: r.Stage.String(), Told: r.Told.String(), Left: p.remaining(r.Service)}
+		status := Status{Service: r.Service, To: r.To, Stage: r.Stage.String(), Told: r.Told.String(), Left: p.remaining(r.Service)}
 		p.mu.Lock()
 		if lr, ok := p.rollouts[r.ID]; ok {
 			counts := rollout.NewCounts()
@@ -217,6 +217,6 @@
 		p.mu.Unlock()
 		out = append(out, status)
 	}
-	slices.SortFunc(out, func(a, b Shown) int { return cmp.Compare(a.Service, b.Service) })
+	slices.SortFunc(out, func(a, b Status) int { return cmp.Compare(a.Service, b.Service) })
 	return out
 }
--- a/pkg/cmd/rollout/list/list.go
+++ b/pkg/cmd/rollout/list/list.go
@@ -75,7 +75,7 @@
 	return o.Print(o.Factory.Streams, shown, table)
 }
 
-func fetch(ctx context.Context, address string) ([]rolloutpeer.Shown, error) {
+func fetch(ctx context.Context, address string) ([]rolloutpeer.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/rollouts", nil)
@@ -90,7 +90,7 @@
 	if res.StatusCode != http.StatusOK {
 		return nil, merry.Wrap(ErrUnanswered, merry.AppendMessagef("status %d", res.StatusCode))
 	}
-	var shown []rolloutpeer.Shown
+	var shown []rolloutpeer.Status
 	if err := json.NewDecoder(io.LimitReader(res.Body, maxBytes)).Decode(&shown); err != nil {
 		return nil, merry.Wrap(ErrUnanswered, merry.WithCause(err))
 	}
