--- a/internal/rolloutpeer/coordinator.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -177,13 +177,13 @@
 
 // Status describes a rollout for operators.
 type Status struct {
-	Service  string  `json:"service"`
-	To       string  `json:"to"`
-	Stage    string  `json:"stage"`
-	Told     string  `json:"told"`
-	Share    float64 `json:"share"`
-	AgeMs    int64   `json:"ageMs"`
-	Deciding bool    `json:"deciding"`
+	Service       string  `json:"service"`
+	To            string  `json:"to"`
+	Stage         string  `json:"stage"`
+	PlatformStage string  `json:"told"`
+	Share         float64 `json:"share"`
+	AgeMs         int64   `json:"ageMs"`
+	Deciding      bool    `json:"deciding"`
 	// Answers and Failed count those of the new version, OldAnswers and OldFailed those of the
 	// old one: of all instances if this one is the coordinator, otherwise its own.
 	Answers    int    `json:"answers"`
@@ -202,7 +202,7 @@
 	out := make([]Status, 0, len(rollouts))
 	for i := range rollouts {
 		r := &rollouts[i]
-		status := Status{Service: r.Service, To: r.To, Stage: r.Stage.String(), Told: r.Told.String(), Left: p.remaining(r.Service)}
+		status := Status{Service: r.Service, To: r.To, Stage: r.Stage.String(), PlatformStage: r.Told.String(), Left: p.remaining(r.Service)}
 		p.mu.Lock()
 		if lr, ok := p.rollouts[r.ID]; ok {
 			counts := rollout.NewCounts()
