--- a/internal/rolloutpeer/coordinator.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -183,7 +183,7 @@
 	PlatformStage string  `json:"told"`
 	Share         float64 `json:"share"`
 	AgeMs         int64   `json:"ageMs"`
-	Deciding      bool    `json:"deciding"`
+	Coordinator   bool    `json:"deciding"`
 	// Answers and Failed count those of the new version, OldAnswers and OldFailed those of the
 	// old one: of all instances if this one is the coordinator, otherwise its own.
 	Answers    int    `json:"answers"`
@@ -208,7 +208,7 @@
 			counts := rollout.NewCounts()
 			counts.Add(lr.Report(now, "", 0, 0, 0).Cells)
 			if c, ok := p.controllers[r.ID]; ok {
-				counts, status.Deciding, status.Reason = c.Counts(), true, c.Reason
+				counts, status.Coordinator, status.Reason = c.Counts(), true, c.Reason
 			}
 			status.AgeMs, status.Share, status.Waits = lr.Age(now).Milliseconds(), lr.Share(now), lr.waitReason
 			status.Answers, status.Failed = counts.Total(rollout.Canary)
