--- a/internal/rolloutpeer/coordinator.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -190,7 +190,7 @@
 	Failed     int    `json:"failed"`
 	OldAnswers int    `json:"oldAnswers"`
 	OldFailed  int    `json:"oldFailed"`
-	Left       int    `json:"left"`
+	Remaining  int    `json:"left"`
 	Reason     string `json:"reason,omitempty"`
 	Waits      string `json:"waits,omitempty"`
 }
@@ -202,7 +202,7 @@
 	out := make([]Status, 0, len(rollouts))
 	for i := range rollouts {
 		r := &rollouts[i]
-		status := Status{Service: r.Service, To: r.To, Stage: r.Stage.String(), PlatformStage: r.Told.String(), Left: p.remaining(r.Service)}
+		status := Status{Service: r.Service, To: r.To, Stage: r.Stage.String(), PlatformStage: r.Told.String(), Remaining: p.remaining(r.Service)}
 		p.mu.Lock()
 		if lr, ok := p.rollouts[r.ID]; ok {
 			counts := rollout.NewCounts()
--- a/pkg/cmd/rollout/list/list.go
+++ b/pkg/cmd/rollout/list/list.go
@@ -69,7 +69,7 @@
 		table.Rows = append(table.Rows, []string{
 			s.Service, s.To, s.Stage, strconv.FormatFloat(s.Share, 'f', 2, 64), (time.Duration(s.AgeMs) * time.Millisecond).String(),
 			fmt.Sprintf("%d of %d", s.Failed, s.Answers), fmt.Sprintf("%d of %d", s.OldFailed, s.OldAnswers),
-			strconv.Itoa(s.Left), strconv.FormatBool(s.Coordinator), reason,
+			strconv.Itoa(s.Remaining), strconv.FormatBool(s.Coordinator), reason,
 		})
 	}
 	return o.Print(o.Factory.Streams, shown, table)
