--- a/internal/rolloutpeer/coordinator.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -192,7 +192,7 @@
 	OldFailed  int    `json:"oldFailed"`
 	Remaining  int    `json:"left"`
 	Reason     string `json:"reason,omitempty"`
-	Waits      string `json:"waits,omitempty"`
+	WaitReason string `json:"waits,omitempty"`
 }
 
 // Show returns the rollouts in order of their services.
@@ -210,7 +210,7 @@
 			if c, ok := p.controllers[r.ID]; ok {
 				counts, status.Coordinator, status.Reason = c.Counts(), true, c.Reason
 			}
-			status.AgeMs, status.Share, status.Waits = lr.Age(now).Milliseconds(), lr.Share(now), lr.waitReason
+			status.AgeMs, status.Share, status.WaitReason = lr.Age(now).Milliseconds(), lr.Share(now), lr.waitReason
 			status.Answers, status.Failed = counts.Total(rollout.Canary)
 			status.OldAnswers, status.OldFailed = counts.Total(rollout.Stable)
 		}
--- a/pkg/cmd/rollout/list/list.go
+++ b/pkg/cmd/rollout/list/list.go
@@ -64,7 +64,7 @@
 	for _, s := range shown {
 		reason := s.Reason
 		if reason == "" {
-			reason = s.Waits
+			reason = s.WaitReason
 		}
 		table.Rows = append(table.Rows, []string{
 			s.Service, s.To, s.Stage, strconv.FormatFloat(s.Share, 'f', 2, 64), (time.Duration(s.AgeMs) * time.Millisecond).String(),
