--- a/internal/ingressserve/serve.go
+++ b/internal/ingressserve/serve.go
@@ -254,7 +254,7 @@
 func (in *instance) showRollouts(w http.ResponseWriter, _ *http.Request) {
 	shown := []rolloutpeer.Status{}
 	if in.rollouts != nil {
-		shown = in.rollouts.Show()
+		shown = in.rollouts.Statuses()
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(shown)
--- a/internal/rolloutpeer/coordinator.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -195,8 +195,8 @@
 	WaitReason string `json:"waits,omitempty"`
 }
 
-// Show returns the rollouts in order of their services.
-func (p *Peer) Show() []Status {
+// Statuses returns the rollouts in order of their services.
+func (p *Peer) Statuses() []Status {
 	now := p.opts.Now()
 	rollouts := p.opts.State.Rollouts()
 	out := make([]Status, 0, len(rollouts))
