--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -265,8 +265,8 @@
 	return servers, len(servers) > 0
 }
 
-// Seen is how a server answered a request, or one gap between events of a stream.
-type Seen struct {
+// Observation is how a server answered a request, or one gap between events of a stream.
+type Observation struct {
 	Route  string
 	Aspect rollout.Aspect
 	Failed bool
@@ -274,7 +274,7 @@
 }
 
 // Note counts an observation of a server whose service has a rollout.
-func (p *Peer) Note(now time.Time, server observed.Server, s Seen) {
+func (p *Peer) Note(now time.Time, server observed.Server, s Observation) {
 	p.mu.Lock()
 	lr := p.rolloutOf(server.Service)
 	p.mu.Unlock()
