--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -267,10 +267,10 @@
 
 // Observation is how a server answered a request, or one gap between events of a stream.
 type Observation struct {
-	Route  string
-	Metric rollout.Aspect
-	Failed bool
-	Took   time.Duration
+	Route   string
+	Metric  rollout.Aspect
+	Failed  bool
+	Latency time.Duration
 }
 
 // Note counts an observation of a server whose service has a rollout.
@@ -291,7 +291,7 @@
 	}
 	p.opts.Scope.Tagged(map[string]string{"version": version, "outcome": outcome}).Counter("answers").Inc(1)
 	lr.Record(now, rollout.Sample{
-		Route: s.Route, Server: server.ID, Track: track, Metric: s.Metric, Failed: s.Failed, Latency: s.Took,
+		Route: s.Route, Server: server.ID, Track: track, Metric: s.Metric, Failed: s.Failed, Latency: s.Latency,
 		ColdStart: now.Before(server.ColdUntil) || now.Sub(server.Since) < slowStartTime,
 	})
 }
