--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -78,7 +78,7 @@
 		s.opts.Outliers.Note(server, r.route.Name, failed)
 	}
 	if s.opts.Rollouts != nil {
-		s.opts.Rollouts.Note(s.opts.Now(), server, rolloutpeer.Observation{Route: r.route.Name, Metric: aspect, Failed: failed, Latency: took})
+		s.opts.Rollouts.Record(s.opts.Now(), server, rolloutpeer.Observation{Route: r.route.Name, Metric: aspect, Failed: failed, Latency: took})
 	}
 }
 
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -273,8 +273,8 @@
 	Latency time.Duration
 }
 
-// Note counts an observation of a server whose service has a rollout.
-func (p *Peer) Note(now time.Time, server observed.Server, s Observation) {
+// Record counts an observation of a server whose service has a rollout.
+func (p *Peer) Record(now time.Time, server observed.Server, s Observation) {
 	p.mu.Lock()
 	lr := p.rolloutOf(server.Service)
 	p.mu.Unlock()
