--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -59,7 +59,7 @@
 	Dialect dialect.Dialect
 	Limits  rollout.Limits
 	// Remaining returns how many requests of this instance run on a server.
-	Left func(server string) int
+	Remaining func(server string) int
 	// StageChanged is called after a stage has changed, to broadcast it. It must not block.
 	Announce func()
 	Log      zerolog.Logger
@@ -223,7 +223,7 @@
 func (p *Peer) remaining(service string) int {
 	n := 0
 	for _, id := range p.opts.State.DrainingServers(service) {
-		n += p.opts.Left(id)
+		n += p.opts.Remaining(id)
 	}
 	return n
 }
