--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -61,10 +61,10 @@
 	// Remaining returns how many requests of this instance run on a server.
 	Remaining func(server string) int
 	// StageChanged is called after a stage has changed, to broadcast it. It must not block.
-	Announce func()
-	Log      zerolog.Logger
-	Scope    tally.Scope
-	Now      func() time.Time
+	StageChanged func()
+	Log          zerolog.Logger
+	Scope        tally.Scope
+	Now          func() time.Time
 }
 
 // Peer is one instance's part in all rollouts. It is safe for concurrent use.
@@ -93,8 +93,8 @@
 
 // New returns a peer that is ready to run.
 func New(opts Options) *Peer {
-	if opts.Announce == nil {
-		opts.Announce = func() {}
+	if opts.StageChanged == nil {
+		opts.StageChanged = func() {}
 	}
 	if opts.Scope == nil {
 		opts.Scope = tally.NoopScope
@@ -196,7 +196,7 @@
 	}
 	if p.opts.State.SetStage(r.ID, lr.Stage()) {
 		p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", lr.Stage()).Str("decidedBy", coordinator.ID).Msg("rollout stage changed")
-		p.opts.Announce()
+		p.opts.StageChanged()
 	}
 }
 
