--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -65,7 +65,7 @@
 // the new version by server.
 type group struct {
 	route  string
-	metric Aspect
+	metric Metric
 	stable *Cell
 	canary map[string]*Cell
 }
--- a/internal/rollout/counts.go
+++ b/internal/rollout/counts.go
@@ -16,14 +16,14 @@
 	bucketBase = 1.2
 )
 
-// Aspect names what a sample measures.
-type Aspect string
+// Metric names what a sample measures.
+type Metric string
 
 // The metrics: the answer to a request (for a stream its first event), and the gap between
 // two events of a stream.
 const (
-	Answer Aspect = "answer"
-	Pace   Aspect = "pace"
+	Answer Metric = "answer"
+	Pace   Metric = "pace"
 )
 
 // Sample is one answer, or one gap between events of a stream.
@@ -31,7 +31,7 @@
 	Route  string
 	Server string
 	Track  Track
-	Metric Aspect
+	Metric Metric
 	// Failed answers have no latency.
 	Failed  bool
 	Latency time.Duration
@@ -48,7 +48,7 @@
 	Route  string `json:"route"`
 	Track  Track  `json:"track"`
 	Server string `json:"server,omitempty"`
-	Metric Aspect `json:"aspect"`
+	Metric Metric `json:"aspect"`
 	Count  int    `json:"number"`
 	Failed int    `json:"failed"`
 	// Histogram holds the number of answers by latency bucket.
@@ -60,7 +60,7 @@
 	route  string
 	track  Track
 	server string
-	metric Aspect
+	metric Metric
 }
 
 // Counts aggregates samples.
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -268,7 +268,7 @@
 // Observation is how a server answered a request, or one gap between events of a stream.
 type Observation struct {
 	Route   string
-	Metric  rollout.Aspect
+	Metric  rollout.Metric
 	Failed  bool
 	Latency time.Duration
 }
