--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -205,7 +205,7 @@
 	case answered:
 		t.number++
 		t.runs++
-		s.note(place.Server, r, rollout.Answer, res.answer.Status >= http.StatusInternalServerError, now.Sub(t.sent))
+		s.note(place.Server, r, rollout.MetricAnswer, res.answer.Status >= http.StatusInternalServerError, now.Sub(t.sent))
 		if res.answer.Status < http.StatusInternalServerError {
 			s.opts.Retries.Succeeded(now, r.service.Name)
 			s.clearSuspect(now, r)
@@ -220,7 +220,7 @@
 			return false, s.gone(c)
 		}
 		if res.cause == retry.CauseLost {
-			s.note(place.Server, r, rollout.Answer, true, 0)
+			s.note(place.Server, r, rollout.MetricAnswer, true, 0)
 			s.reportCrash(place.Server, r)
 		}
 		if res.cause != retry.CauseRefused {
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -74,7 +74,7 @@
 // note counts an answer, beside those of other servers and for a roll-out of the
 // server's service.
 func (s *Server) note(server observed.Server, r *request, aspect rollout.Metric, failed bool, took time.Duration) {
-	if s.opts.Outliers != nil && aspect == rollout.Answer {
+	if s.opts.Outliers != nil && aspect == rollout.MetricAnswer {
 		s.opts.Outliers.Note(server, r.route.Name, failed)
 	}
 	if s.opts.Rollouts != nil {
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -103,7 +103,7 @@
 			s.opts.Balancer.Failed(s.opts.Now(), server.ID)
 			s.reportCrash(server, r)
 			if known, ok := s.opts.State.Server(server.ID); ok && !known.Leaving {
-				s.note(server, r, rollout.Answer, true, 0)
+				s.note(server, r, rollout.MetricAnswer, true, 0)
 			}
 		}
 		if resumes >= maxResumes {
@@ -218,7 +218,7 @@
 	f.s.head(f.c, a)
 	f.writer = &breakable{ExtWriter: resp.NewChunkedBodyWriter(&f.c.Response, f.c.GetWriter()), conn: f.c.GetConn()}
 	f.c.Response.HijackWriter(f.writer)
-	f.s.note(f.run.server(), f.r, rollout.Answer, false, f.s.opts.Now().Sub(f.sent))
+	f.s.note(f.run.server(), f.r, rollout.MetricAnswer, false, f.s.opts.Now().Sub(f.sent))
 	f.s.log.Info().Str("request", f.r.id).Str("server", f.run.server().ID).Dur("took", f.s.opts.Now().Sub(f.r.start)).Msg("stream begins")
 }
 
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -125,7 +125,7 @@
 			comp.canary[id] = share(cell)
 		}
 		out = append(out, comp)
-		if g.metric != Answer {
+		if g.metric != MetricAnswer {
 			return
 		}
 		pooled.stable = pooled.stable.Plus(comp.stable)
--- a/internal/rollout/counts.go
+++ b/internal/rollout/counts.go
@@ -22,8 +22,8 @@
 // The metrics: the answer to a request (for a stream its first event), and the gap between
 // two events of a stream.
 const (
-	Answer Metric = "answer"
-	Pace   Metric = "pace"
+	MetricAnswer Metric = "answer"
+	Pace         Metric = "pace"
 )
 
 // Sample is one answer, or one gap between events of a stream.
@@ -125,7 +125,7 @@
 // Total returns the number of a track's answers and how many of them failed.
 func (c *Counts) Total(track Track) (number, failed int) {
 	for key, cell := range c.cells {
-		if key.track == track && key.metric == Answer {
+		if key.track == track && key.metric == MetricAnswer {
 			number += cell.Count
 			failed += cell.Failed
 		}
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -135,7 +135,7 @@
 				track = rollout.Canary
 			}
 			m.p.Record(now, rollout.Sample{
-				Route: route, Server: fmt.Sprint(server), Track: track, Metric: rollout.Answer, Failed: failed,
+				Route: route, Server: fmt.Sprint(server), Track: track, Metric: rollout.MetricAnswer, Failed: failed,
 				Latency: time.Duration(latency * float64(time.Millisecond)),
 			})
 		}
