--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -198,7 +198,7 @@
 		now := f.s.opts.Now()
 		f.run.advance(now, ev.ID)
 		if took, ok := pace.event(now); ok {
-			f.s.note(f.run.server(), f.r, rollout.Pace, false, took)
+			f.s.note(f.run.server(), f.r, rollout.MetricEventGap, false, took)
 		}
 	}
 }
--- a/internal/rollout/counts.go
+++ b/internal/rollout/counts.go
@@ -22,8 +22,8 @@
 // The metrics: the answer to a request (for a stream its first event), and the gap between
 // two events of a stream.
 const (
-	MetricAnswer Metric = "answer"
-	Pace         Metric = "pace"
+	MetricAnswer   Metric = "answer"
+	MetricEventGap Metric = "pace"
 )
 
 // Sample is one answer, or one gap between events of a stream.
