--- a/internal/ingress/carry.go
+++ b/internal/ingress/carry.go
@@ -118,7 +118,7 @@
 // and not the size of the deployment.
 func (s *Server) ask(ctx context.Context, asked map[string]time.Time) {
 	now := s.opts.Now()
-	if s.opts.State.Age(now, observed.Servers) < observed.ServersEvery+platformSilent {
+	if s.opts.State.Age(now, observed.Servers) < observed.ServersInterval+platformSilent {
 		clear(asked)
 		return
 	}
--- a/internal/ingress/streams_test.go
+++ b/internal/ingress/streams_test.go
@@ -142,7 +142,7 @@
 			a, b := &mobile{stop: make(chan struct{})}, &mobile{stop: make(chan struct{})}
 			f := start(t, map[string]http.Handler{"llm-1": a, "llm-2": b})
 			if silent {
-				f.clock.forward(observed.ServersEvery + platformSilent + time.Second)
+				f.clock.forward(observed.ServersInterval + platformSilent + time.Second)
 			}
 			resp := f.send("POST", "/plan/1", "{}", "T-Tokens", "3000,4000", "T-Hint", "900")
 			three := make([]byte, len(wantEvents(3)))
--- a/internal/observed/follow.go
+++ b/internal/observed/follow.go
@@ -135,8 +135,8 @@
 	backoff  objectapi.Backoff
 }
 
-// ServersEvery is the longest usual time between two confirmations of the servers.
-const ServersEvery = serversWatchTimeout + broadcastTime
+// ServersInterval is the longest usual time between two confirmations of the servers.
+const ServersInterval = serversWatchTimeout + broadcastTime
 
 // Run follows the platform until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
