--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -78,7 +78,7 @@
 }
 
 // boundsOf returns the deployment's bounds, or the default ones.
-func boundsOf(cfg settings.Ingress) observed.Bounds {
+func boundsOf(cfg settings.Ingress) observed.PropagationLimits {
 	b := observed.DefaultBounds
 	for _, one := range []struct {
 		millis float64
--- a/internal/observed/follow.go
+++ b/internal/observed/follow.go
@@ -74,7 +74,7 @@
 	// overload the platform.
 	Instances func() int
 	// Bounds are the times within which changes must take effect; zero means the default.
-	Bounds Bounds
+	Bounds PropagationLimits
 	// Announce, if set, broadcasts what has changed. It must not block.
 	Announce func()
 }
@@ -103,7 +103,7 @@
 	if opts.Rank == nil {
 		opts.Rank = func(string) (int, bool) { return 0, false }
 	}
-	if opts.Bounds == (Bounds{}) {
+	if opts.Bounds == (PropagationLimits{}) {
 		opts.Bounds = DefaultBounds
 	}
 	if opts.Bounds.Rollouts > 0 {
--- a/internal/observed/refresh.go
+++ b/internal/observed/refresh.go
@@ -8,14 +8,14 @@
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 )
 
-// Bounds are the times within which changes on the platform must take effect. Rollouts
+// PropagationLimits are the times within which changes on the platform must take effect. Rollouts
 // aren't followed if theirs is 0.
-type Bounds struct {
+type PropagationLimits struct {
 	Configuration, Servers, Zones, Rollouts time.Duration
 }
 
 // DefaultBounds applies to a deployment that sets none.
-var DefaultBounds = Bounds{Configuration: 2 * time.Second, Servers: 2 * time.Second, Zones: 5 * time.Second}
+var DefaultBounds = PropagationLimits{Configuration: 2 * time.Second, Servers: 2 * time.Second, Zones: 5 * time.Second}
 
 const (
 	// firstRelistShare is the age of the last list, as a share of the limit, at which the
