--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -79,7 +79,7 @@
 
 // boundsOf returns the deployment's bounds, or the default ones.
 func boundsOf(cfg settings.Ingress) observed.PropagationLimits {
-	b := observed.DefaultBounds
+	b := observed.DefaultPropagationLimits
 	for _, one := range []struct {
 		millis float64
 		bound  *time.Duration
--- a/internal/observed/follow.go
+++ b/internal/observed/follow.go
@@ -104,7 +104,7 @@
 		opts.Rank = func(string) (int, bool) { return 0, false }
 	}
 	if opts.Bounds == (PropagationLimits{}) {
-		opts.Bounds = DefaultBounds
+		opts.Bounds = DefaultPropagationLimits
 	}
 	if opts.Bounds.Rollouts > 0 {
 		opts.State.EnableRollouts()
--- a/internal/observed/refresh.go
+++ b/internal/observed/refresh.go
@@ -14,8 +14,8 @@
 	Configuration, Servers, Zones, Rollouts time.Duration
 }
 
-// DefaultBounds applies to a deployment that sets none.
-var DefaultBounds = PropagationLimits{Configuration: 2 * time.Second, Servers: 2 * time.Second, Zones: 5 * time.Second}
+// DefaultPropagationLimits applies to a deployment that sets none.
+var DefaultPropagationLimits = PropagationLimits{Configuration: 2 * time.Second, Servers: 2 * time.Second, Zones: 5 * time.Second}
 
 const (
 	// firstRelistShare is the age of the last list, as a share of the limit, at which the
--- a/internal/observed/refresh_test.go
+++ b/internal/observed/refresh_test.go
@@ -12,7 +12,7 @@
 )
 
 func configurationResource() *watchedResource {
-	return &watchedResource{resource: Configuration, kind: "config", limit: DefaultBounds.Configuration}
+	return &watchedResource{resource: Configuration, kind: "config", limit: DefaultPropagationLimits.Configuration}
 }
 
 // listedFollower returns a follower with the given rank that listed the configuration at
@@ -111,7 +111,7 @@
 					inFlight = inFlight[1:]
 				}
 				for _, f := range followers {
-					require.Less(t, now.Sub(f.opts.State.LastListing(Configuration).At), DefaultBounds.Configuration)
+					require.Less(t, now.Sub(f.opts.State.LastListing(Configuration).At), DefaultPropagationLimits.Configuration)
 					if f.relistDue(now, configurationResource()) {
 						lists++
 						f.opts.State.RecordListing(now, Configuration)
