--- a/internal/observed/follow.go
+++ b/internal/observed/follow.go
@@ -73,8 +73,8 @@
 	// longer the more there are: the others may start at the same time, and their lists would
 	// overload the platform.
 	Instances func() int
-	// Bounds are the times within which changes must take effect; zero means the default.
-	Bounds PropagationLimits
+	// PropagationLimits are the times within which changes must take effect; zero means the default.
+	PropagationLimits PropagationLimits
 	// Announce, if set, broadcasts what has changed. It must not block.
 	Announce func()
 }
@@ -103,10 +103,10 @@
 	if opts.Rank == nil {
 		opts.Rank = func(string) (int, bool) { return 0, false }
 	}
-	if opts.Bounds == (PropagationLimits{}) {
-		opts.Bounds = DefaultPropagationLimits
+	if opts.PropagationLimits == (PropagationLimits{}) {
+		opts.PropagationLimits = DefaultPropagationLimits
 	}
-	if opts.Bounds.Rollouts > 0 {
+	if opts.PropagationLimits.Rollouts > 0 {
 		opts.State.EnableRollouts()
 	}
 	if opts.Announce == nil {
@@ -142,7 +142,7 @@
 func (f *Follower) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	kinds := f.opts.Dialect.Kinds
-	bounds := f.opts.Bounds
+	bounds := f.opts.PropagationLimits
 	var all []*watchedResource
 	for _, w := range []*watchedResource{
 		{resource: Configuration, kind: kinds.Configuration, timeout: watchTimeout, limit: bounds.Configuration, list: f.listConfiguration, apply: f.applyConfiguration},
