--- a/internal/observed/follow.go
+++ b/internal/observed/follow.go
@@ -75,8 +75,8 @@
 	Instances func() int
 	// PropagationLimits are the times within which changes must take effect; zero means the default.
 	PropagationLimits PropagationLimits
-	// Announce, if set, broadcasts what has changed. It must not block.
-	Announce func()
+	// Broadcast, if set, broadcasts what has changed. It must not block.
+	Broadcast func()
 }
 
 // Follower keeps a [State] up to date from the platform, with one goroutine for each
@@ -109,8 +109,8 @@
 	if opts.PropagationLimits.Rollouts > 0 {
 		opts.State.EnableRollouts()
 	}
-	if opts.Announce == nil {
-		opts.Announce = func() {}
+	if opts.Broadcast == nil {
+		opts.Broadcast = func() {}
 	}
 	return &Follower{opts: opts, started: opts.Now(), backoff: objectapi.Backoff{Min: minRetryDelay, Max: maxRetryDelay}}
 }
@@ -198,7 +198,7 @@
 			if version, err = f.list(ctx, w, &patience); err != nil {
 				continue
 			}
-			f.opts.Announce()
+			f.opts.Broadcast()
 		}
 		mustList = f.watch(ctx, w, version, &patience)
 	}
@@ -276,7 +276,7 @@
 			f.opts.State.Confirm(now, w.resource)
 		}
 		if rank == 0 || len(changes.Events) > 0 {
-			f.opts.Announce()
+			f.opts.Broadcast()
 		}
 		if len(changes.Events) > 0 && w.resource == Servers && objectapi.Pause(ctx, watchPause) != nil {
 			return true
--- a/internal/observed/refresh.go
+++ b/internal/observed/refresh.go
@@ -70,7 +70,7 @@
 		f.recordMissedChange(f.opts.Now())
 		w.restartWatch()
 	}
-	f.opts.Announce()
+	f.opts.Broadcast()
 	return nil
 }
 
--- a/internal/observed/watcher.go
+++ b/internal/observed/watcher.go
@@ -26,7 +26,7 @@
 	}
 	if version, _ := f.opts.State.Version(w.resource); version == 0 {
 		if _, err := f.list(ctx, w, patience); err == nil {
-			f.opts.Announce()
+			f.opts.Broadcast()
 		}
 	}
 	return objectapi.Pause(ctx, max(0, startupDelay-f.opts.Now().Sub(f.started)))
