--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -72,7 +72,7 @@
 	}
 	in.follow = observed.NewFollower(observed.Options{
 		State: in.state, Objects: objects, Dialect: d, Log: telemetry.Part(in.tel.Log, "platform"), Now: time.Now,
-		Rank: in.table.Rank, Broadcast: in.gossip.Announce, StartWait: in.startWait(), Instances: in.instances, PropagationLimits: boundsOf(cfg),
+		Rank: in.table.Rank, Broadcast: in.gossip.Announce, StartWait: in.startWait(), InstanceCount: in.instances, PropagationLimits: boundsOf(cfg),
 	})
 	return in.buildServer(ctx, placing)
 }
--- a/internal/observed/follow.go
+++ b/internal/observed/follow.go
@@ -69,10 +69,10 @@
 	// StartWait is how long an instance that starts waits for the platform state from others
 	// before it lists the resources itself.
 	StartWait time.Duration
-	// Instances returns the number of known instances; nil means none. An instance waits
+	// InstanceCount returns the number of known instances; nil means none. An instance waits
 	// longer the more there are: the others may start at the same time, and their lists would
 	// overload the platform.
-	Instances func() int
+	InstanceCount func() int
 	// PropagationLimits are the times within which changes must take effect; zero means the default.
 	PropagationLimits PropagationLimits
 	// Broadcast, if set, broadcasts what has changed. It must not block.
--- a/internal/observed/watcher.go
+++ b/internal/observed/watcher.go
@@ -40,10 +40,10 @@
 )
 
 func (f *Follower) startWait() time.Duration {
-	if f.opts.Instances == nil || f.opts.StartWait == 0 {
+	if f.opts.InstanceCount == nil || f.opts.StartWait == 0 {
 		return f.opts.StartWait
 	}
-	return f.opts.StartWait + min(maxStartWait, time.Duration(f.opts.Instances())*startWaitEach)
+	return f.opts.StartWait + min(maxStartWait, time.Duration(f.opts.InstanceCount())*startWaitEach)
 }
 
 // mayCall reports whether the platform may be called: while it fails, one resource probes
