--- a/internal/observed/watcher.go
+++ b/internal/observed/watcher.go
@@ -7,9 +7,9 @@
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 )
 
-// Blind reports whether the platform hasn't answered this instance for some time, so that
+// PlatformUnreachable reports whether the platform hasn't answered this instance for some time, so that
 // another one must watch it.
-func (f *Follower) Blind() bool {
+func (f *Follower) PlatformUnreachable() bool {
 	now := f.opts.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
