--- a/internal/observed/apply.go
+++ b/internal/observed/apply.go
@@ -25,11 +25,11 @@
 	if o.Name != f.opts.Dialect.Kinds.ConfigurationName {
 		return
 	}
-	f.TakeRaw(now, o.Value, "platform")
+	f.ApplyRawConfiguration(now, o.Value, "platform")
 }
 
-// TakeRaw applies a serialized configuration, from the platform or from another instance.
-func (f *Follower) TakeRaw(now time.Time, value []byte, source string) {
+// ApplyRawConfiguration applies a serialized configuration, from the platform or from another instance.
+func (f *Follower) ApplyRawConfiguration(now time.Time, value []byte, source string) {
 	if f.opts.State.ConfirmConfiguration(now, value) {
 		return
 	}
