--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -374,7 +374,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := &Server{opts: Options{State: observed.NewState()}}
 			if tt.outage {
-				s.opts.State.Lost(time.Now())
+				s.opts.State.RecordPlatformFailure(time.Now())
 			}
 			f := answer.Of(s.unready())
 			require.Equal(t, answer.OutcomeNotRun, f.Outcome)
--- a/internal/ingress/starting_test.go
+++ b/internal/ingress/starting_test.go
@@ -25,7 +25,7 @@
 func TestRequestDoesNotWaitForLong(t *testing.T) {
 	tests := map[string]func(f *fixture){
 		"nothing comes":                 func(*fixture) {},
-		"the platform is away":          func(f *fixture) { f.state.Lost(f.clock.now()) },
+		"the platform is away":          func(f *fixture) { f.state.RecordPlatformFailure(f.clock.now()) },
 		"the instance started long ago": func(f *fixture) { f.clock.forward(time.Minute) },
 	}
 	for name, before := range tests {
--- a/internal/observed/refresh_test.go
+++ b/internal/observed/refresh_test.go
@@ -68,7 +68,7 @@
 // on during an outage, so no others may be added.
 func TestNoRelistDuringOutage(t *testing.T) {
 	f := listedFollower(0, false)
-	f.opts.State.Lost(start)
+	f.opts.State.RecordPlatformFailure(start)
 	require.False(t, f.relistDue(start.Add(time.Minute), configurationResource()))
 }
 
--- a/internal/observed/state.go
+++ b/internal/observed/state.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// Lost records that the platform didn't answer.
-func (s *State) Lost(now time.Time) {
+// RecordPlatformFailure records that the platform didn't answer.
+func (s *State) RecordPlatformFailure(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failedAt = now
--- a/internal/observed/watcher.go
+++ b/internal/observed/watcher.go
@@ -93,7 +93,7 @@
 	}
 	f.failedCalls++
 	f.failedAt, f.nextCall = now, now.Add(f.backoff.Fail())
-	f.opts.State.Lost(now)
+	f.opts.State.RecordPlatformFailure(now)
 }
 
 func (f *Follower) callSucceeded() {
