--- a/internal/ingress/carry.go
+++ b/internal/ingress/carry.go
@@ -156,5 +156,5 @@
 		return false
 	}
 	server, listed := s.opts.State.Server(one.server().ID)
-	return !listed || server.Leaving || s.opts.State.Vacated(server.ID)
+	return !listed || server.Leaving || s.opts.State.Draining(server.ID)
 }
--- a/internal/observed/rollouts.go
+++ b/internal/observed/rollouts.go
@@ -150,8 +150,8 @@
 	return !held, false
 }
 
-// Vacated reports whether the requests on a server must leave it.
-func (s *State) Vacated(id string) bool {
+// Draining reports whether the requests on a server must leave it.
+func (s *State) Draining(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.servers[id]
