--- a/internal/observed/eligible.go
+++ b/internal/observed/eligible.go
@@ -16,7 +16,7 @@
 	if known, ok := s.servers[e.ID]; ok {
 		hash -= known.hash()
 		if known.Born == e.Born && known.Version == e.Version {
-			e.retired, e.Since = known.retired, known.Since
+			e.retired, e.ListedSince = known.retired, known.ListedSince
 		}
 		s.touchServer(known.Service, e.ID)
 	}
--- a/internal/observed/servers.go
+++ b/internal/observed/servers.go
@@ -123,7 +123,7 @@
 		if same && known.Leaving == c.Server.Leaving && c.Server.ColdFor == 0 {
 			return
 		}
-		e := entry{Server: Server{Server: *c.Server, ColdUntil: now.Add(c.Server.ColdFor), Since: now}, listed: *c.Server}
+		e := entry{Server: Server{Server: *c.Server, ColdUntil: now.Add(c.Server.ColdFor), ListedSince: now}, listed: *c.Server}
 		s.recordVersion(now, &e)
 		s.put(e)
 		if same {
--- a/internal/observed/state.go
+++ b/internal/observed/state.go
@@ -55,8 +55,8 @@
 type Server struct {
 	dialect.Server
 	ColdUntil time.Time
-	// Since is when this incarnation of the server was first listed.
-	Since time.Time
+	// ListedSince is when this incarnation of the server was first listed.
+	ListedSince time.Time
 }
 
 // entry is the state of one server.
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -292,6 +292,6 @@
 	p.opts.Scope.Tagged(map[string]string{"version": version, "outcome": outcome}).Counter("answers").Inc(1)
 	lr.Record(now, rollout.Sample{
 		Route: s.Route, Server: server.ID, Track: track, Metric: s.Metric, Failed: s.Failed, Latency: s.Latency,
-		ColdStart: now.Before(server.ColdUntil) || now.Sub(server.Since) < slowStartTime,
+		ColdStart: now.Before(server.ColdUntil) || now.Sub(server.ListedSince) < slowStartTime,
 	})
 }
