--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -77,8 +77,8 @@
 	Seeds []string
 	// Status returns the status of this instance.
 	Status func() membership.Status
-	// TakeRaw applies a serialized configuration from another instance.
-	TakeRaw func(now time.Time, value []byte, source string)
+	// ApplyConfiguration applies a serialized configuration from another instance.
+	ApplyConfiguration func(now time.Time, value []byte, source string)
 	// TakeSuspects applies crash suspects from other instances, and Suspects returns those for
 	// an instance that joins; nil for none.
 	TakeSuspects func(now time.Time, entries []suspect.Entry)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -51,7 +51,7 @@
 	o.Gossip, err = New(Options{
 		Table: o.table, State: o.state, Key: key, Seeds: seeds,
 		Status: func() membership.Status { return membership.Status{Ready: true} },
-		TakeRaw: func(at time.Time, value []byte, _ string) {
+		ApplyConfiguration: func(at time.Time, value []byte, _ string) {
 			o.state.Configure(at, routes.Configuration{Version: int64(len(value))}, value)
 		},
 		Log: zerolog.Nop(), Now: time.Now,
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -160,7 +160,7 @@
 		g.opts.Log.Info().Str("peer", address).Err(err).Msg("configuration not fetched from another instance")
 		return
 	}
-	g.opts.TakeRaw(g.opts.Now(), raw, address)
+	g.opts.ApplyConfiguration(g.opts.Now(), raw, address)
 }
 
 // fetchSnapshot fetches and applies another instance's platform state without the
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -64,8 +64,8 @@
 		Table: in.table, State: in.state, Key: key,
 		Seeds:  in.seeds(),
 		Status: in.status, Handlers: in.handlers(),
-		TakeRaw: func(now time.Time, value []byte, source string) { in.follow.ApplyRawConfiguration(now, value, source) },
-		Log:     telemetry.Part(in.tel.Log, "peer"), Scope: in.tel.Metrics.SubScope("peer"), Now: time.Now,
+		ApplyConfiguration: func(now time.Time, value []byte, source string) { in.follow.ApplyRawConfiguration(now, value, source) },
+		Log:                telemetry.Part(in.tel.Log, "peer"), Scope: in.tel.Metrics.SubScope("peer"), Now: time.Now,
 	})
 	if err != nil {
 		return err
