--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -136,7 +136,7 @@
 	now := g.opts.Now()
 	fresh := g.deliveries.isNew(m.Origin, m.Started, m.Sequence)
 	g.mergeRecords(now, m.Records)
-	g.opts.TakeSuspects(now, m.Suspects)
+	g.opts.ApplySuspects(now, m.Suspects)
 	if m.Update != nil {
 		g.applyOrFetch(ctx, now, m.Update, m.From)
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -79,10 +79,10 @@
 	Status func() membership.Status
 	// ApplyConfiguration applies a serialized configuration from another instance.
 	ApplyConfiguration func(now time.Time, value []byte, source string)
-	// TakeSuspects applies crash suspects from other instances, and Suspects returns those for
+	// ApplySuspects applies crash suspects from other instances, and Suspects returns those for
 	// an instance that joins; nil for none.
-	TakeSuspects func(now time.Time, entries []suspect.Entry)
-	Suspects     func(now time.Time) []suspect.Entry
+	ApplySuspects func(now time.Time, entries []suspect.Entry)
+	Suspects      func(now time.Time) []suspect.Entry
 	// Handlers are further handlers for calls of instances, by path.
 	Handlers map[string]http.Handler
 	Log      zerolog.Logger
@@ -125,8 +125,8 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "create pool for calls to instances")
 	}
-	if opts.TakeSuspects == nil {
-		opts.TakeSuspects = func(time.Time, []suspect.Entry) {}
+	if opts.ApplySuspects == nil {
+		opts.ApplySuspects = func(time.Time, []suspect.Entry) {}
 	}
 	if opts.Suspects == nil {
 		opts.Suspects = func(time.Time) []suspect.Entry { return nil }
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -102,7 +102,7 @@
 	}
 	now = g.opts.Now()
 	g.mergeRecords(now, m.Records)
-	g.opts.TakeSuspects(now, m.Suspects)
+	g.opts.ApplySuspects(now, m.Suspects)
 	g.opts.Table.RecordCount(now, m.Instances)
 	g.joined.Store(true)
 	u := m.Update
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -60,7 +60,7 @@
 	in.suspects = ingress.NewSuspects()
 	in.suspects.Tell = func(entries []suspect.Entry) { in.gossip.TellSuspects(entries) }
 	in.gossip, err = gossip.New(gossip.Options{
-		TakeSuspects: in.suspects.Merge, Suspects: in.suspects.Newest,
+		ApplySuspects: in.suspects.Merge, Suspects: in.suspects.Newest,
 		Table: in.table, State: in.state, Key: key,
 		Seeds:  in.seeds(),
 		Status: in.status, Handlers: in.handlers(),
