--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -58,9 +58,9 @@
 	return entries
 }
 
-// TellSuspects broadcasts requests that were running when servers crashed. It doesn't
+// BroadcastSuspects broadcasts requests that were running when servers crashed. It doesn't
 // block.
-func (g *Gossip) TellSuspects(entries []suspect.Entry) {
+func (g *Gossip) BroadcastSuspects(entries []suspect.Entry) {
 	g.pendingSuspects.add(entries)
 	g.Announce()
 }
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -58,7 +58,7 @@
 	})
 	placing.SetAvoid(in.outliers.Avoid)
 	in.suspects = ingress.NewSuspects()
-	in.suspects.Tell = func(entries []suspect.Entry) { in.gossip.TellSuspects(entries) }
+	in.suspects.Tell = func(entries []suspect.Entry) { in.gossip.BroadcastSuspects(entries) }
 	in.gossip, err = gossip.New(gossip.Options{
 		ApplySuspects: in.suspects.Merge, Suspects: in.suspects.Newest,
 		Table: in.table, State: in.state, Key: key,
