--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -62,7 +62,7 @@
 // block.
 func (g *Gossip) BroadcastSuspects(entries []suspect.Entry) {
 	g.pendingSuspects.add(entries)
-	g.Announce()
+	g.Broadcast()
 }
 
 // lastBroadcast is the version of the servers as of the last broadcast.
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -141,8 +141,8 @@
 	}, nil
 }
 
-// Announce broadcasts this instance's platform state and record. It doesn't block.
-func (g *Gossip) Announce() {
+// Broadcast broadcasts this instance's platform state and record. It doesn't block.
+func (g *Gossip) Broadcast() {
 	select {
 	case g.wake <- struct{}{}:
 	default:
@@ -152,14 +152,14 @@
 // Leave broadcasts that callers must no longer use this instance.
 func (g *Gossip) Leave() {
 	g.updateSelf(g.opts.Now())
-	g.Announce()
+	g.Broadcast()
 }
 
 // updateSelf updates the record of this instance.
 func (g *Gossip) updateSelf(now time.Time) {
 	if g.opts.Table.Set(now, g.opts.Status()) {
 		g.pendingRecords.add(g.opts.Table.Self())
-		g.Announce()
+		g.Broadcast()
 	}
 }
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -118,7 +118,7 @@
 		fleet = append(fleet, startInstance(t, fmt.Sprintf("i%02d", i), secret("k"), true, first.address))
 	}
 	first.setPlatformState(1, nil, "s1")
-	first.Announce()
+	first.Broadcast()
 	all := func(condition func(o *testInstance) bool) {
 		t.Helper()
 		require.Eventually(t, func() bool {
@@ -133,7 +133,7 @@
 	all(func(o *testInstance) bool { return o.table.Count(time.Now()) == n && o.hasPlatformState(1, 0, 1) })
 	for version := int64(2); version < 20; version++ {
 		first.setPlatformState(version, []string{"z1"}, "s1", fmt.Sprint("s", version))
-		first.Announce()
+		first.Broadcast()
 	}
 	all(func(o *testInstance) bool { return o.hasPlatformState(19, 1, 2) })
 	children := first.table.Children("i00")
@@ -146,7 +146,7 @@
 		}
 	}
 	first.setPlatformState(20, nil, "s1", "s2", "s3")
-	first.Announce()
+	first.Broadcast()
 	all(func(o *testInstance) bool { return o.hasPlatformState(20, 0, 3) })
 	all(func(o *testInstance) bool { r, _ := o.table.Get(children[0].ID); return r.Down })
 }
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -50,7 +50,7 @@
 	}
 	g.opts.Log.Info().Str("instance", r.ID).Str("zone", r.Zone).Int64("started", r.Started).Msg("instance is down")
 	g.pendingRecords.add(down)
-	g.Announce()
+	g.Broadcast()
 }
 
 // probeIndirectly lets a few other instances probe an instance, and reports whether one
@@ -117,7 +117,7 @@
 		if r.ID == g.self {
 			g.opts.Log.Info().Int64("change", r.Change).Msg("this instance was taken for down")
 			g.pendingRecords.add(r)
-			g.Announce()
+			g.Broadcast()
 		}
 	}
 }
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -72,7 +72,7 @@
 	}
 	in.follow = observed.NewFollower(observed.Options{
 		State: in.state, Objects: objects, Dialect: d, Log: telemetry.Part(in.tel.Log, "platform"), Now: time.Now,
-		Rank: in.table.Rank, Broadcast: in.gossip.Announce, StartWait: in.startWait(), InstanceCount: in.instances, PropagationLimits: boundsOf(cfg),
+		Rank: in.table.Rank, Broadcast: in.gossip.Broadcast, StartWait: in.startWait(), InstanceCount: in.instances, PropagationLimits: boundsOf(cfg),
 	})
 	return in.buildServer(ctx, placing)
 }
@@ -100,7 +100,7 @@
 	in.rollouts = rolloutpeer.New(rolloutpeer.Options{
 		Self: in.cfg.Instance, Table: in.table, Key: key, State: in.state, Objects: objects, Dialect: in.opts.Dialect,
 		Limits:    rollout.Limits{Share: in.cfg.ExposureShare, Slack: in.cfg.ExposureSlack},
-		Remaining: func(server string) int { return placing.On(server).Running }, StageChanged: func() { in.gossip.Announce() },
+		Remaining: func(server string) int { return placing.On(server).Running }, StageChanged: func() { in.gossip.Broadcast() },
 		Log: telemetry.Part(in.tel.Log, "rollout"), Scope: in.tel.Metrics.SubScope("rollout"), Now: time.Now,
 	})
 }
