--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// Leave broadcasts that callers must no longer use this instance.
-func (g *Gossip) Leave() {
+// BroadcastLeaving broadcasts that callers must no longer use this instance.
+func (g *Gossip) BroadcastLeaving() {
 	g.updateSelf(g.opts.Now())
 	g.Broadcast()
 }
--- a/internal/ingressserve/serve.go
+++ b/internal/ingressserve/serve.go
@@ -173,7 +173,7 @@
 	in.log.Info().Int64("running", in.server.Running()).Msg("instance leaves")
 	ctx, cancel := context.WithDeadline(context.Background(), now.Add(grace))
 	defer cancel()
-	in.gossip.Leave()
+	in.gossip.BroadcastLeaving()
 	for objectapi.Pause(ctx, leaveCheck) == nil {
 		if in.server.Running() == 0 && time.Since(now) > leaveLeast {
 			break
