--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -97,7 +97,7 @@
 	u := g.opts.State.UpdateSince(now, p.servers)
 	p.servers = u.Versions[observed.Servers].Version
 	return &Message{
-		Origin: g.self, Started: g.opts.Table.Self().Started, Sequence: g.sequence.Add(1),
+		Origin: g.self, Incarnation: g.opts.Table.Self().Started, Sequence: g.sequence.Add(1),
 		Records: g.pendingRecords.take(), Suspects: g.pendingSuspects.take(), Update: &u,
 	}
 }
@@ -134,7 +134,7 @@
 func (g *Gossip) handleBroadcast(ctx context.Context, m *Message) *Message {
 	ctx = context.WithoutCancel(ctx)
 	now := g.opts.Now()
-	fresh := g.deliveries.isNew(m.Origin, m.Started, m.Sequence)
+	fresh := g.deliveries.isNew(m.Origin, m.Incarnation, m.Sequence)
 	g.mergeRecords(now, m.Records)
 	g.opts.ApplySuspects(now, m.Suspects)
 	if m.Update != nil {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -221,9 +221,9 @@
 	// Suspects are crash suspects.
 	Suspects []suspect.Entry `json:"suspects,omitempty"`
 	// Origin, Started and Sequence identify a broadcast.
-	Origin   string `json:"origin,omitempty"`
-	Started  int64  `json:"started,omitempty"`
-	Sequence int64  `json:"sequence,omitempty"`
+	Origin      string `json:"origin,omitempty"`
+	Incarnation int64  `json:"started,omitempty"`
+	Sequence    int64  `json:"sequence,omitempty"`
 	// Target is the instance of an indirect probe, Reached whether it answered.
 	Target  string `json:"target,omitempty"`
 	Reached bool   `json:"reached,omitempty"`
