--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -133,7 +133,7 @@
 
 // status is what other instances are told of this one.
 func (in *instance) status() membership.Status {
-	return membership.Status{Ready: in.server.Ready(), Leaving: in.server.Draining(), Blind: in.follow.PlatformUnreachable()}
+	return membership.Status{Ready: in.server.Ready(), Leaving: in.server.Draining(), PlatformUnreachable: in.follow.PlatformUnreachable()}
 }
 
 // countCall counts a call to the platform.
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -10,8 +10,8 @@
 	Ready bool `json:"ready,omitempty"`
 	// Leaving instances are shutting down and take on no tasks.
 	Leaving bool `json:"leaving,omitempty"`
-	// Blind instances get no answer from the platform.
-	Blind bool `json:"blind,omitempty"`
+	// PlatformUnreachable instances get no answer from the platform.
+	PlatformUnreachable bool `json:"blind,omitempty"`
 }
 
 // Record describes one instance.
--- a/internal/membership/select.go
+++ b/internal/membership/select.go
@@ -229,7 +229,7 @@
 		switch {
 		case s.Leaving:
 			return 2
-		case s.Blind:
+		case s.PlatformUnreachable:
 			return 1
 		}
 		return 0
@@ -238,7 +238,7 @@
 		if e.Down {
 			continue
 		}
-		p.unreachable = p.unreachable || e.Blind
+		p.unreachable = p.unreachable || e.PlatformUnreachable
 		c := cmp.Or(cmp.Compare(class(e.Status), class(t.self.Status)), cmp.Compare(own, weight(key, id)))
 		if c < 0 {
 			p.rank++
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -135,7 +135,7 @@
 // Guards against equal ranks: instances with the same records have different ranks, those
 // that the platform doesn't answer after the others, and those that shut down last.
 func TestRanksAreUnique(t *testing.T) {
-	statuses := map[string]Status{"a": {Ready: true}, "b": {Ready: true}, "c": {Ready: true, Blind: true}, "d": {Ready: true, Blind: true}, "e": {Leaving: true}}
+	statuses := map[string]Status{"a": {Ready: true}, "b": {Ready: true}, "c": {Ready: true, PlatformUnreachable: true}, "d": {Ready: true, PlatformUnreachable: true}, "e": {Leaving: true}}
 	tables := map[string]*Table{}
 	for id, status := range statuses {
 		tables[id] = NewTable(record(id, "z1"))
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -212,7 +212,7 @@
 		return membership.Record{}, false
 	}
 	first := owners[0]
-	if i := slices.IndexFunc(owners, func(r membership.Record) bool { return !r.Blind }); i >= 0 {
+	if i := slices.IndexFunc(owners, func(r membership.Record) bool { return !r.PlatformUnreachable }); i >= 0 {
 		first = owners[i]
 	}
 	return first, first.ID == p.opts.Self
