--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -157,7 +157,7 @@
 
 // updateSelf updates the record of this instance.
 func (g *Gossip) updateSelf(now time.Time) {
-	if g.opts.Table.Set(now, g.opts.Status()) {
+	if g.opts.Table.SetStatus(now, g.opts.Status()) {
 		g.pendingRecords.add(g.opts.Table.Self())
 		g.Broadcast()
 	}
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -320,7 +320,7 @@
 	stopped := -1
 	f.reaches = func(from, to int) bool { return from != stopped && to != stopped }
 	for i := range n {
-		f.tables[i].Set(f.now, Status{Leaving: true})
+		f.tables[i].SetStatus(f.now, Status{Leaving: true})
 		f.broadcast(i, []Record{f.tables[i].Self()})
 		f.round()
 		stopped = i
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -86,8 +86,8 @@
 	return &Table{self: entry{Record: self}, others: map[string]*entry{}, cache: newCache()}
 }
 
-// Set changes the status of this instance and reports whether it differs.
-func (t *Table) Set(now time.Time, s Status) bool {
+// SetStatus changes the status of this instance and reports whether it differs.
+func (t *Table) SetStatus(now time.Time, s Status) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.self.Status == s {
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -43,7 +43,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable(record("a", "z1"))
-			table.Set(start, Status{Ready: tt.ready})
+			table.SetStatus(start, Status{Ready: tt.ready})
 			table.Merge(start, tt.others)
 			got := table.Callers(newRNG(), "z1", 64)
 			require.Len(t, got, tt.number)
@@ -139,7 +139,7 @@
 	tables := map[string]*Table{}
 	for id, status := range statuses {
 		tables[id] = NewTable(record(id, "z1"))
-		tables[id].Set(start, status)
+		tables[id].SetStatus(start, status)
 	}
 	for _, table := range tables {
 		for _, other := range tables {
--- a/internal/outlierpeer/peer_test.go
+++ b/internal/outlierpeer/peer_test.go
@@ -29,7 +29,7 @@
 		t.Cleanup(server.Close)
 		record := membership.Record{ID: id, Peer: strings.TrimPrefix(server.URL, "http://"), Zone: "a", Started: 1}
 		table := membership.NewTable(record)
-		table.Set(time.Now(), membership.Status{Ready: true})
+		table.SetStatus(time.Now(), membership.Status{Ready: true})
 		p := New(Options{Self: id, Table: table, Key: key, Log: zerolog.Nop(), Now: time.Now})
 		for path, handler := range p.Handlers() {
 			mux.Handle(path, handler)
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -154,7 +154,7 @@
 	for name, address := range tests {
 		t.Run(name, func(t *testing.T) {
 			a := startOne(t, "a", "k", engineList(3))
-			a.table.Set(time.Now(), membership.Status{})
+			a.table.SetStatus(time.Now(), membership.Status{})
 			a.table.Merge(time.Now(), []membership.Record{ready("x", address(t))})
 			for range 3 {
 				_, err := a.Place(t.Context(), Placing{Request: "1", Service: "llm", Prompt: 3000, Need: 4000})
