--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -172,7 +172,7 @@
 
 // callers returns the instances that a caller in a zone may use.
 func (in *instance) callers(zone string) []string {
-	return in.table.Callers(rand.New(rand.NewPCG(rand.Uint64(), 4)), zone, maxAddresses)
+	return in.table.CallerAddresses(rand.New(rand.NewPCG(rand.Uint64(), 4)), zone, maxAddresses)
 }
 
 // retryLimits is this instance's share of what all may send again.
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -280,7 +280,7 @@
 	require.True(t, r.Down)
 	f.reaches = func(int, int) bool { return true }
 	healedAt := f.now
-	all := func(t *Table) bool { return len(t.Callers(newRNG(), "elsewhere", 1000)) == 60 }
+	all := func(t *Table) bool { return len(t.CallerAddresses(newRNG(), "elsewhere", 1000)) == 60 }
 	for !f.allRunning(all) && f.now.Sub(healedAt) < time.Minute {
 		f.round()
 	}
@@ -332,7 +332,7 @@
 		f.sync(i, (i+1)%n)
 		f.broadcast(i, []Record{r})
 		for j, table := range f.tables {
-			require.GreaterOrEqual(t, len(table.Callers(newRNG(), "elsewhere", 1000)), n-3, "restart %d, according to %d", i, j)
+			require.GreaterOrEqual(t, len(table.CallerAddresses(newRNG(), "elsewhere", 1000)), n-3, "restart %d, according to %d", i, j)
 		}
 	}
 }
--- a/internal/membership/select.go
+++ b/internal/membership/select.go
@@ -87,11 +87,11 @@
 	return t.others[ids[rng.IntN(len(ids))]].Record, true
 }
 
-// Callers returns the addresses of up to limit random ready instances for a caller. It
+// CallerAddresses returns the addresses of up to limit random ready instances for a caller. It
 // returns only those of the caller's availability zone if there are at least two:
 // cross-zone traffic is expensive, but a single address would leave the caller without an
 // alternative.
-func (t *Table) Callers(rng *rand.Rand, zone string, limit int) []string {
+func (t *Table) CallerAddresses(rng *rand.Rand, zone string, limit int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var all, sameZone []string
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -45,7 +45,7 @@
 			table := NewTable(record("a", "z1"))
 			table.SetStatus(start, Status{Ready: tt.ready})
 			table.Merge(start, tt.others)
-			got := table.Callers(newRNG(), "z1", 64)
+			got := table.CallerAddresses(newRNG(), "z1", 64)
 			require.Len(t, got, tt.number)
 			if tt.want != nil {
 				require.Equal(t, tt.want, got)
