--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -97,7 +97,7 @@
 	u := g.opts.State.UpdateSince(now, p.servers)
 	p.servers = u.Versions[observed.Servers].Version
 	return &Message{
-		Origin: g.self, Incarnation: g.opts.Table.Self().Started, Sequence: g.sequence.Add(1),
+		Origin: g.self, Incarnation: g.opts.Table.Self().StartedAt, Sequence: g.sequence.Add(1),
 		Records: g.pendingRecords.take(), Suspects: g.pendingSuspects.take(), Update: &u,
 	}
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -47,7 +47,7 @@
 	key, err := peer.NewKey(base64.StdEncoding.EncodeToString([]byte(secret)))
 	require.NoError(t, err)
 	o := &testInstance{state: observed.NewState(), address: l.Addr().String()}
-	o.table = membership.NewTable(membership.Record{ID: id, Peer: o.address, Caller: id, Zone: "z", Started: time.Now().UnixMilli()})
+	o.table = membership.NewTable(membership.Record{ID: id, Peer: o.address, Caller: id, Zone: "z", StartedAt: time.Now().UnixMilli()})
 	o.Gossip, err = New(Options{
 		Table: o.table, State: o.state, Key: key, Seeds: seeds,
 		Status: func() membership.Status { return membership.Status{Ready: true} },
@@ -236,7 +236,7 @@
 	seed, newcomer := startInstance(t, "seed", secret("k"), false), startInstance(t, "new", secret("k"), false)
 	var others []membership.Record
 	for i := range 300 {
-		others = append(others, membership.Record{ID: fmt.Sprint(i), Peer: "127.0.0.1:1", Started: 1})
+		others = append(others, membership.Record{ID: fmt.Sprint(i), Peer: "127.0.0.1:1", StartedAt: 1})
 	}
 	seed.table.Merge(time.Now(), others)
 	seed.setPlatformState(3, nil, "s1")
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -48,7 +48,7 @@
 	if !ok {
 		return
 	}
-	g.opts.Log.Info().Str("instance", r.ID).Str("zone", r.Zone).Int64("started", r.Started).Msg("instance is down")
+	g.opts.Log.Info().Str("instance", r.ID).Str("zone", r.Zone).Int64("started", r.StartedAt).Msg("instance is down")
 	g.pendingRecords.add(down)
 	g.Broadcast()
 }
@@ -112,7 +112,7 @@
 func (g *Gossip) mergeRecords(now time.Time, records []membership.Record) {
 	for _, r := range g.opts.Table.Merge(now, records) {
 		if r.Down {
-			g.opts.Log.Info().Str("instance", r.ID).Int64("started", r.Started).Int64("change", r.Change).Msg("instance is down, by others")
+			g.opts.Log.Info().Str("instance", r.ID).Int64("started", r.StartedAt).Int64("change", r.Change).Msg("instance is down, by others")
 		}
 		if r.ID == g.self {
 			g.opts.Log.Info().Int64("change", r.Change).Msg("this instance was taken for down")
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -39,7 +39,7 @@
 		Form: d.Objects, ReadsPerSecond: readsPerSecond, ReadBurst: readBurst, OnCall: in.countCall,
 	})
 	in.table = membership.NewTable(membership.Record{
-		ID: cfg.Instance, Peer: cfg.PeerAddress, Caller: cfg.CallerAddress, Zone: cfg.Zone, Started: time.Now().UnixMilli(),
+		ID: cfg.Instance, Peer: cfg.PeerAddress, Caller: cfg.CallerAddress, Zone: cfg.Zone, StartedAt: time.Now().UnixMilli(),
 	})
 	bounds := balancer.Bounds{ColdOverage: cfg.ColdOverage, ColdSlack: cfg.ColdSlack}
 	placing := balancer.New(bounds, rand.New(rand.NewPCG(rand.Uint64(), 1)), nil)
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -327,7 +327,7 @@
 		f.round()
 		f.round()
 		r := f.tables[i].Self()
-		r.Started, r.Change, r.Status = r.Started+1, 0, Status{Ready: true}
+		r.StartedAt, r.Change, r.Status = r.StartedAt+1, 0, Status{Ready: true}
 		f.tables[i], stopped = NewTable(r), -1
 		f.sync(i, (i+1)%n)
 		f.broadcast(i, []Record{r})
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -20,9 +20,9 @@
 	Peer   string `json:"peer"`
 	Caller string `json:"caller"`
 	Zone   string `json:"zone"`
-	// Started is the start time of the process, in milliseconds since the Unix epoch. It
+	// StartedAt is the start time of the process, in milliseconds since the Unix epoch. It
 	// identifies its incarnation.
-	Started int64 `json:"started"`
+	StartedAt int64 `json:"started"`
 	// Change counts the changes that the instance made to its record.
 	Change int64 `json:"change"`
 	Status
@@ -41,6 +41,6 @@
 // change, then the one marked as down.
 func (r *Record) newer(than *Record) bool {
 	return cmp.Or(
-		cmp.Compare(r.Started, than.Started), cmp.Compare(r.Change, than.Change), cmp.Compare(bit(r.Down), bit(than.Down)),
+		cmp.Compare(r.StartedAt, than.StartedAt), cmp.Compare(r.Change, than.Change), cmp.Compare(bit(r.Down), bit(than.Down)),
 	) > 0
 }
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -110,7 +110,7 @@
 }
 
 func digestOf(r *Record) uint64 {
-	return xxhash.Sum64String(r.ID + "\n" + strconv.FormatInt(r.Started, 36))
+	return xxhash.Sum64String(r.ID + "\n" + strconv.FormatInt(r.StartedAt, 36))
 }
 
 // SyncDue reports whether to exchange all records with an instance that has this digest:
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -119,7 +119,7 @@
 			continue
 		}
 		if r.ID == t.self.ID {
-			if r.Started == t.self.Started && r.Down && r.Change >= t.self.Change {
+			if r.StartedAt == t.self.StartedAt && r.Down && r.Change >= t.self.Change {
 				t.self.Change, t.self.changed = r.Change+1, now
 				changed = append(changed, t.self.Record)
 			}
@@ -152,7 +152,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.others[r.ID]
-	if !ok || e.Down || e.Started != r.Started || e.Change != r.Change {
+	if !ok || e.Down || e.StartedAt != r.StartedAt || e.Change != r.Change {
 		return Record{}, false
 	}
 	e.Down, e.changed = true, now
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -12,7 +12,7 @@
 var start = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 
 func record(id, zone string) Record {
-	return Record{ID: id, Zone: zone, Peer: "peer-" + id, Caller: "caller-" + id, Started: 1, Change: 1, Status: Status{Ready: true}}
+	return Record{ID: id, Zone: zone, Peer: "peer-" + id, Caller: "caller-" + id, StartedAt: 1, Change: 1, Status: Status{Ready: true}}
 }
 
 func down(r Record) Record { r.Down = true; return r }
@@ -60,7 +60,7 @@
 	first := record("b", "z1")
 	changed, restarted := first, first
 	changed.Change, changed.Ready = 2, false
-	restarted.Started, restarted.Change = 2, 0
+	restarted.StartedAt, restarted.Change = 2, 0
 	tests := map[string]struct{ known, received, want Record }{
 		"a newer change":            {first, changed, changed},
 		"an older change":           {changed, first, changed},
@@ -97,7 +97,7 @@
 	got, _ := other.Get("a")
 	require.False(t, got.Down)
 	old := self
-	old.Started = 0
+	old.StartedAt = 0
 	require.Empty(t, table.Merge(start, []Record{down(old)}), "an earlier incarnation is down")
 }
 
--- a/internal/outlierpeer/peer_test.go
+++ b/internal/outlierpeer/peer_test.go
@@ -27,7 +27,7 @@
 		mux := http.NewServeMux()
 		server := httptest.NewServer(mux)
 		t.Cleanup(server.Close)
-		record := membership.Record{ID: id, Peer: strings.TrimPrefix(server.URL, "http://"), Zone: "a", Started: 1}
+		record := membership.Record{ID: id, Peer: strings.TrimPrefix(server.URL, "http://"), Zone: "a", StartedAt: 1}
 		table := membership.NewTable(record)
 		table.SetStatus(time.Now(), membership.Status{Ready: true})
 		p := New(Options{Self: id, Table: table, Key: key, Log: zerolog.Nop(), Now: time.Now})
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -29,7 +29,7 @@
 }
 
 func ready(id, address string) membership.Record {
-	return membership.Record{ID: id, Peer: address, Zone: "zone-0", Started: 1, Status: membership.Status{Ready: true}}
+	return membership.Record{ID: id, Peer: address, Zone: "zone-0", StartedAt: 1, Status: membership.Status{Ready: true}}
 }
 
 func engineList(n int) []dialect.Server {
--- a/internal/planner/reports.go
+++ b/internal/planner/reports.go
@@ -57,7 +57,7 @@
 				continue
 			}
 			sequence++
-			r := Report{By: p.opts.Self, Started: p.opts.Table.Self().Started, Sequence: sequence, Loads: loads}
+			r := Report{By: p.opts.Self, Started: p.opts.Table.Self().StartedAt, Sequence: sequence, Loads: loads}
 			if !p.report(ctx, now, address, r) {
 				continue
 			}
--- a/internal/rolloutpeer/coordinator.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -36,7 +36,7 @@
 	p.mu.Lock()
 	lr.reportedAt = now
 	p.sequence++
-	report := lr.Report(now, p.opts.Self, p.opts.Table.Self().Started, p.sequence, remaining)
+	report := lr.Report(now, p.opts.Self, p.opts.Table.Self().StartedAt, p.sequence, remaining)
 	p.mu.Unlock()
 	if isCoordinator {
 		if lease, err := p.applyReport(now, report); err == nil {
