--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -12,7 +12,7 @@
 //	g := gossip.New(gossip.Options{...})
 //	go g.Run(ctx)
 //	go g.Serve(ctx, listener)
-//	g.Announce()
+//	g.Broadcast()
 package gossip
 
 import (
@@ -220,7 +220,7 @@
 	Snapshot bool `json:"snapshot,omitempty"`
 	// Suspects are crash suspects.
 	Suspects []suspect.Entry `json:"suspects,omitempty"`
-	// Origin, Started and Sequence identify a broadcast.
+	// Origin, Incarnation and Sequence identify a broadcast.
 	Origin      string `json:"origin,omitempty"`
 	Incarnation int64  `json:"started,omitempty"`
 	Sequence    int64  `json:"sequence,omitempty"`
--- a/internal/observed/follow.go
+++ b/internal/observed/follow.go
@@ -73,7 +73,8 @@
 	// longer the more there are: the others may start at the same time, and their lists would
 	// overload the platform.
 	InstanceCount func() int
-	// PropagationLimits are the times within which changes must take effect; zero means the default.
+	// PropagationLimits are the times within which changes must take effect; zero means the
+	// default.
 	PropagationLimits PropagationLimits
 	// Broadcast, if set, broadcasts what has changed. It must not block.
 	Broadcast func()
--- a/internal/observed/refresh.go
+++ b/internal/observed/refresh.go
@@ -8,8 +8,8 @@
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 )
 
-// PropagationLimits are the times within which changes on the platform must take effect. Rollouts
-// aren't followed if theirs is 0.
+// PropagationLimits are the times within which changes on the platform must take effect.
+// Rollouts aren't followed if theirs is 0.
 type PropagationLimits struct {
 	Configuration, Servers, Zones, Rollouts time.Duration
 }
