--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -311,8 +311,7 @@
 	}
 }
 
-// Guards against callers without addresses during a rolling restart, or with those of
-// instances that shut down long ago.
+// Guards against callers that get too few addresses during a rolling restart.
 func TestRollingRestart(t *testing.T) {
 	const n = 78
 	f := newFleet(n, 5)
