--- /dev/null
+++ b/internal/gossip/broadcast.go
@@ -0,0 +1,255 @@
+package gossip
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"pollenspindle.example/pollenspindle/internal/membership"
+	"pollenspindle.example/pollenspindle/internal/objectapi"
+	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/suspect"
+)
+
+// maxDepth limits how many levels of unreachable instances a broadcast skips.
+const maxDepth = 2
+
+// recordQueue holds changed records for the next broadcast.
+type recordQueue struct {
+	mu      sync.Mutex
+	records []membership.Record
+}
+
+func (p *recordQueue) add(r membership.Record) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.records = append(p.records, r)
+}
+
+func (p *recordQueue) take() []membership.Record {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	records := p.records
+	p.records = nil
+	return records
+}
+
+// maxSuspects limits the crash suspects for the next broadcast: the outage of a zone
+// causes hundreds, but explains them.
+const maxSuspects = 256
+
+// suspectQueue holds crash suspects for the next broadcast.
+type suspectQueue struct {
+	mu      sync.Mutex
+	entries []suspect.Entry
+}
+
+func (p *suspectQueue) add(entries []suspect.Entry) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.entries = append(p.entries, entries[:min(len(entries), maxSuspects-len(p.entries))]...)
+}
+
+func (p *suspectQueue) take() []suspect.Entry {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	entries := p.entries
+	p.entries = nil
+	return entries
+}
+
+// BroadcastSuspects broadcasts requests that were running when servers crashed. It doesn't
+// block.
+func (g *Gossip) BroadcastSuspects(entries []suspect.Entry) {
+	g.pendingSuspects.add(entries)
+	g.Broadcast()
+}
+
+// lastBroadcast is the version of the servers as of the last broadcast.
+type lastBroadcast struct {
+	initialized bool
+	servers     int64
+}
+
+// broadcastLoop broadcasts changes, with one message for all since the last one.
+func (g *Gossip) broadcastLoop(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-g.wake:
+		}
+		g.forward(ctx, g.nextBroadcast(g.opts.Now()))
+		if objectapi.Pause(ctx, broadcastInterval) != nil {
+			return
+		}
+	}
+}
+
+// nextBroadcast returns the message to broadcast. The state before the first one isn't
+// part of it: instances that lack it fetch it.
+func (g *Gossip) nextBroadcast(now time.Time) *Message {
+	p := &g.lastBroadcast
+	if !p.initialized {
+		p.initialized = true
+		p.servers, _ = g.opts.State.Version(observed.Servers)
+	}
+	u := g.opts.State.UpdateSince(now, p.servers)
+	p.servers = u.Versions[observed.Servers].Version
+	return &Message{
+		Origin: g.self, Incarnation: g.opts.Table.Self().StartedAt, Sequence: g.sequence.Add(1),
+		Records: g.pendingRecords.take(), Suspects: g.pendingSuspects.take(), Update: &u,
+	}
+}
+
+// forward sends a message to the next instances of the origin's tree.
+func (g *Gossip) forward(ctx context.Context, m *Message) {
+	for _, r := range g.opts.Table.Children(m.Origin) {
+		g.sendTo(ctx, m, r, 0)
+	}
+}
+
+// sendTo sends a message to one instance, or to its children if it can't be reached.
+func (g *Gossip) sendTo(ctx context.Context, m *Message, r membership.Record, depth int) {
+	if r.ID == m.Origin || r.ID == g.self {
+		return
+	}
+	g.submit("news", func() {
+		if !g.inBackoff(r.ID) {
+			copied := *m
+			if _, err := g.call(ctx, r.Peer, broadcastProcedure, broadcastTimeout, &copied); err == nil || ctx.Err() != nil {
+				return
+			}
+			g.backOff(r.ID)
+		}
+		if depth == maxDepth {
+			return
+		}
+		for _, child := range g.opts.Table.ChildrenOf(m.Origin, r.ID) {
+			g.sendTo(ctx, m, child, depth+1)
+		}
+	})
+}
+
+func (g *Gossip) handleBroadcast(ctx context.Context, m *Message) *Message {
+	ctx = context.WithoutCancel(ctx)
+	now := g.opts.Now()
+	fresh := g.deliveries.isNew(m.Origin, m.Incarnation, m.Sequence)
+	g.mergeRecords(now, m.Records)
+	g.opts.ApplySuspects(now, m.Suspects)
+	if m.Update != nil {
+		g.applyOrFetch(ctx, now, m.Update, m.From)
+	}
+	sender, ok := g.opts.Table.Get(m.From)
+	lacks := ok && m.Update != nil && g.lacksConfiguration(&m.Update.Versions)
+	switch {
+	case fresh && lacks:
+		// The children of this instance fetch the configuration from it.
+		g.submit("news", func() {
+			g.fetchConfiguration(ctx, sender.Peer)
+			g.forward(ctx, m)
+		})
+	case fresh:
+		g.forward(ctx, m)
+	}
+	return &Message{}
+}
+
+// applyOrFetch applies an update, and fetches the changes missing before it.
+func (g *Gossip) applyOrFetch(ctx context.Context, now time.Time, u *observed.Update, from string) {
+	if !g.applyUpdate(now, u, from) && !g.opts.State.BehindExcept(u.Versions, observed.Configuration) {
+		return
+	}
+	if r, ok := g.opts.Table.Get(from); ok {
+		g.fetchMissing(ctx, r.Peer)
+	}
+}
+
+// applyUpdate applies an update and reports whether changes before it are missing.
+func (g *Gossip) applyUpdate(now time.Time, u *observed.Update, from string) (missing bool) {
+	parts := []observed.Resource{observed.Servers, observed.Zones}
+	var before [2]uint64
+	for i, p := range parts {
+		before[i] = g.opts.State.ContentHash(p)
+	}
+	missing = g.opts.State.Apply(now, u)
+	if g.opts.State.ContentHash(observed.Servers) != before[0] {
+		g.opts.Log.Info().Str("source", from).Int64("version", u.Versions[observed.Servers].Version).
+			Int("changes", len(u.Changes)).Bool("whole", u.Snapshot).Msg("backend servers told by another instance")
+	}
+	if g.opts.State.ContentHash(observed.Zones) != before[1] {
+		g.opts.Log.Info().Str("source", from).Int64("version", u.Versions[observed.Zones].Version).
+			Strs("zones", u.Zones).Msg("zones told by another instance")
+	}
+	if missing {
+		g.opts.Log.Info().Str("source", from).Int64("from", u.From).Int64("version", u.Versions[observed.Servers].Version).
+			Msg("changes of backend servers are missing, fetched")
+	}
+	return missing
+}
+
+// broadcastBackoff is how long broadcasts skip an instance that couldn't be reached.
+const broadcastBackoff = 1500 * time.Millisecond
+
+// deliveries tracks which broadcasts were received, and which instances couldn't be
+// reached.
+type deliveries struct {
+	mu      sync.Mutex
+	origins map[string]origin
+	backoff map[string]time.Time
+}
+
+type origin struct {
+	started, highest int64
+	// window has a bit for each of the 64 sequence numbers below the highest.
+	window uint64
+}
+
+func newDeliveries() *deliveries {
+	return &deliveries{origins: map[string]origin{}, backoff: map[string]time.Time{}}
+}
+
+// isNew reports whether a broadcast is received for the first time.
+func (s *deliveries) isNew(id string, started, sequence int64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	o, ok := s.origins[id]
+	switch {
+	case !ok || started > o.started:
+		s.origins[id] = origin{started: started, highest: sequence}
+		return true
+	case started < o.started:
+		return false
+	case sequence > o.highest:
+		o.window = o.window<<(sequence-o.highest) | 1<<(sequence-o.highest-1)
+		o.highest = sequence
+		s.origins[id] = o
+		return true
+	}
+	behind := o.highest - sequence
+	if behind == 0 || behind > 64 || o.window&(1<<(behind-1)) != 0 {
+		return false
+	}
+	o.window |= 1 << (behind - 1)
+	s.origins[id] = o
+	return true
+}
+
+func (g *Gossip) backOff(id string) {
+	g.deliveries.mu.Lock()
+	defer g.deliveries.mu.Unlock()
+	g.deliveries.backoff[id] = g.opts.Now().Add(broadcastBackoff)
+	g.opts.Log.Info().Str("instance", id).Msg("instance can't be told news")
+}
+
+func (g *Gossip) inBackoff(id string) bool {
+	now := g.opts.Now()
+	g.deliveries.mu.Lock()
+	defer g.deliveries.mu.Unlock()
+	until, ok := g.deliveries.backoff[id]
+	if ok && !now.Before(until) {
+		delete(g.deliveries.backoff, id)
+		return false
+	}
+	return ok
+}
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -73,12 +73,12 @@
 
 // note counts an answer, beside those of other servers and for a roll-out of the
 // server's service.
-func (s *Server) note(server observed.Server, r *request, aspect rollout.Aspect, failed bool, took time.Duration) {
-	if s.opts.Outliers != nil && aspect == rollout.Answer {
+func (s *Server) note(server observed.Server, r *request, aspect rollout.Metric, failed bool, took time.Duration) {
+	if s.opts.Outliers != nil && aspect == rollout.MetricAnswer {
 		s.opts.Outliers.Note(server, r.route.Name, failed)
 	}
 	if s.opts.Rollouts != nil {
-		s.opts.Rollouts.Note(s.opts.Now(), server, rolloutpeer.Seen{Route: r.route.Name, Aspect: aspect, Failed: failed, Took: took})
+		s.opts.Rollouts.Record(s.opts.Now(), server, rolloutpeer.Observation{Route: r.route.Name, Metric: aspect, Failed: failed, Latency: took})
 	}
 }
 
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -39,7 +39,7 @@
 		Form: d.Objects, ReadsPerSecond: readsPerSecond, ReadBurst: readBurst, OnCall: in.countCall,
 	})
 	in.table = membership.NewTable(membership.Record{
-		ID: cfg.Instance, Peer: cfg.PeerAddress, Caller: cfg.CallerAddress, Zone: cfg.Zone, Started: time.Now().UnixMilli(),
+		ID: cfg.Instance, Peer: cfg.PeerAddress, Caller: cfg.CallerAddress, Zone: cfg.Zone, StartedAt: time.Now().UnixMilli(),
 	})
 	bounds := balancer.Bounds{ColdOverage: cfg.ColdOverage, ColdSlack: cfg.ColdSlack}
 	placing := balancer.New(bounds, rand.New(rand.NewPCG(rand.Uint64(), 1)), nil)
@@ -58,28 +58,28 @@
 	})
 	placing.SetAvoid(in.outliers.Avoid)
 	in.suspects = ingress.NewSuspects()
-	in.suspects.Tell = func(entries []suspect.Entry) { in.gossip.TellSuspects(entries) }
+	in.suspects.Tell = func(entries []suspect.Entry) { in.gossip.BroadcastSuspects(entries) }
 	in.gossip, err = gossip.New(gossip.Options{
-		TakeSuspects: in.suspects.Merge, Suspects: in.suspects.Newest,
+		ApplySuspects: in.suspects.Merge, Suspects: in.suspects.Newest,
 		Table: in.table, State: in.state, Key: key,
 		Seeds:  in.seeds(),
 		Status: in.status, Handlers: in.handlers(),
-		TakeRaw: func(now time.Time, value []byte, source string) { in.follow.TakeRaw(now, value, source) },
-		Log:     telemetry.Part(in.tel.Log, "peer"), Scope: in.tel.Metrics.SubScope("peer"), Now: time.Now,
+		ApplyConfiguration: func(now time.Time, value []byte, source string) { in.follow.ApplyRawConfiguration(now, value, source) },
+		Log:                telemetry.Part(in.tel.Log, "peer"), Scope: in.tel.Metrics.SubScope("peer"), Now: time.Now,
 	})
 	if err != nil {
 		return err
 	}
 	in.follow = observed.NewFollower(observed.Options{
 		State: in.state, Objects: objects, Dialect: d, Log: telemetry.Part(in.tel.Log, "platform"), Now: time.Now,
-		Rank: in.table.Rank, Announce: in.gossip.Announce, StartWait: in.startWait(), Instances: in.instances, Bounds: boundsOf(cfg),
+		Rank: in.table.Rank, Broadcast: in.gossip.Broadcast, StartWait: in.startWait(), InstanceCount: in.instances, PropagationLimits: boundsOf(cfg),
 	})
 	return in.buildServer(ctx, placing)
 }
 
 // boundsOf returns the deployment's bounds, or the default ones.
-func boundsOf(cfg settings.Ingress) observed.Bounds {
-	b := observed.DefaultBounds
+func boundsOf(cfg settings.Ingress) observed.PropagationLimits {
+	b := observed.DefaultPropagationLimits
 	for _, one := range []struct {
 		millis float64
 		bound  *time.Duration
@@ -99,8 +99,8 @@
 	}
 	in.rollouts = rolloutpeer.New(rolloutpeer.Options{
 		Self: in.cfg.Instance, Table: in.table, Key: key, State: in.state, Objects: objects, Dialect: in.opts.Dialect,
-		Limits: rollout.Limits{Share: in.cfg.ExposureShare, Slack: in.cfg.ExposureSlack},
-		Left:   func(server string) int { return placing.On(server).Running }, Announce: func() { in.gossip.Announce() },
+		Limits:    rollout.Limits{Share: in.cfg.ExposureShare, Slack: in.cfg.ExposureSlack},
+		Remaining: func(server string) int { return placing.On(server).Running }, StageChanged: func() { in.gossip.Broadcast() },
 		Log: telemetry.Part(in.tel.Log, "rollout"), Scope: in.tel.Metrics.SubScope("rollout"), Now: time.Now,
 	})
 }
@@ -133,7 +133,7 @@
 
 // status is what other instances are told of this one.
 func (in *instance) status() membership.Status {
-	return membership.Status{Ready: in.server.Ready(), Leaving: in.server.Draining(), Blind: in.follow.Blind()}
+	return membership.Status{Ready: in.server.Ready(), Leaving: in.server.Draining(), PlatformUnreachable: in.follow.PlatformUnreachable()}
 }
 
 // countCall counts a call to the platform.
@@ -172,7 +172,7 @@
 
 // callers returns the instances that a caller in a zone may use.
 func (in *instance) callers(zone string) []string {
-	return in.table.Callers(rand.New(rand.NewPCG(rand.Uint64(), 4)), zone, maxAddresses)
+	return in.table.CallerAddresses(rand.New(rand.NewPCG(rand.Uint64(), 4)), zone, maxAddresses)
 }
 
 // retryLimits is this instance's share of what all may send again.
--- a/internal/ingressserve/serve.go
+++ b/internal/ingressserve/serve.go
@@ -173,7 +173,7 @@
 	in.log.Info().Int64("running", in.server.Running()).Msg("instance leaves")
 	ctx, cancel := context.WithDeadline(context.Background(), now.Add(grace))
 	defer cancel()
-	in.gossip.Leave()
+	in.gossip.BroadcastLeaving()
 	for objectapi.Pause(ctx, leaveCheck) == nil {
 		if in.server.Running() == 0 && time.Since(now) > leaveLeast {
 			break
@@ -252,9 +252,9 @@
 
 // showRollouts answers operators who ask how roll-outs go.
 func (in *instance) showRollouts(w http.ResponseWriter, _ *http.Request) {
-	shown := []rolloutpeer.Shown{}
+	shown := []rolloutpeer.Status{}
 	if in.rollouts != nil {
-		shown = in.rollouts.Show()
+		shown = in.rollouts.Statuses()
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(shown)
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -29,7 +29,7 @@
 }
 
 func ready(id, address string) membership.Record {
-	return membership.Record{ID: id, Peer: address, Zone: "zone-0", Started: 1, Status: membership.Status{Ready: true}}
+	return membership.Record{ID: id, Peer: address, Zone: "zone-0", StartedAt: 1, Status: membership.Status{Ready: true}}
 }
 
 func engineList(n int) []dialect.Server {
@@ -154,7 +154,7 @@
 	for name, address := range tests {
 		t.Run(name, func(t *testing.T) {
 			a := startOne(t, "a", "k", engineList(3))
-			a.table.Set(time.Now(), membership.Status{})
+			a.table.SetStatus(time.Now(), membership.Status{})
 			a.table.Merge(time.Now(), []membership.Record{ready("x", address(t))})
 			for range 3 {
 				_, err := a.Place(t.Context(), Placing{Request: "1", Service: "llm", Prompt: 3000, Need: 4000})
--- a/pkg/cmd/rollout/list/list.go
+++ b/pkg/cmd/rollout/list/list.go
@@ -64,18 +64,18 @@
 	for _, s := range shown {
 		reason := s.Reason
 		if reason == "" {
-			reason = s.Waits
+			reason = s.WaitReason
 		}
 		table.Rows = append(table.Rows, []string{
 			s.Service, s.To, s.Stage, strconv.FormatFloat(s.Share, 'f', 2, 64), (time.Duration(s.AgeMs) * time.Millisecond).String(),
 			fmt.Sprintf("%d of %d", s.Failed, s.Answers), fmt.Sprintf("%d of %d", s.OldFailed, s.OldAnswers),
-			strconv.Itoa(s.Left), strconv.FormatBool(s.Deciding), reason,
+			strconv.Itoa(s.Remaining), strconv.FormatBool(s.Coordinator), reason,
 		})
 	}
 	return o.Print(o.Factory.Streams, shown, table)
 }
 
-func fetch(ctx context.Context, address string) ([]rolloutpeer.Shown, error) {
+func fetch(ctx context.Context, address string) ([]rolloutpeer.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/rollouts", nil)
@@ -90,7 +90,7 @@
 	if res.StatusCode != http.StatusOK {
 		return nil, merry.Wrap(ErrUnanswered, merry.AppendMessagef("status %d", res.StatusCode))
 	}
-	var shown []rolloutpeer.Shown
+	var shown []rolloutpeer.Status
 	if err := json.NewDecoder(io.LimitReader(res.Body, maxBytes)).Decode(&shown); err != nil {
 		return nil, merry.Wrap(ErrUnanswered, merry.WithCause(err))
 	}
