--- a/internal/router/ask.go
+++ b/internal/router/acquire.go
@@ -13,32 +13,33 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// outcome is the answer to one ask: [given], [full], [waiting] or
-// [unreachable].
-type outcome interface{ outcome() }
+// permitAnswer is the answer to one permit request: [granted], [refused], [queued]
+// or [unreachable].
+type permitAnswer interface{ permitAnswer() }
 
-type given struct{ permit permit.Permit }
+type granted struct{ permit permit.Permit }
 
-type full struct {
+type refused struct {
 	refusal permit.Refusal
 	load    int
 }
 
-// waiting means that the request is queued, or that its owner waits for its
-// right; it asks again.
-type waiting struct{}
+// queued means that the request waits in the queue, or that the owner may not
+// grant permits yet; the router asks again.
+type queued struct{}
 
-// unreachable means that neither owner nor deputy gave an answer.
+// unreachable means that neither the owner nor the deputy answered.
 type unreachable struct{}
 
-func (given) outcome()       {}
-func (full) outcome()        {}
-func (waiting) outcome()     {}
-func (unreachable) outcome() {}
+func (granted) permitAnswer()     {}
+func (refused) permitAnswer()     {}
+func (queued) permitAnswer()      {}
+func (unreachable) permitAnswer() {}
 
-// ask asks the owner of server, and its deputy when the owner gives no answer.
-func (r *Router) ask(ctx context.Context, server *pollenspindle.Server, req *permit.Request, wait time.Duration) outcome {
-	if r.passedOver(time.Now(), server.Name) {
+// requestPermit requests a permit from the owner of server, and from its deputy
+// if the owner doesn't answer.
+func (r *Router) requestPermit(ctx context.Context, server *pollenspindle.Server, req *permit.Request, wait time.Duration) permitAnswer {
+	if r.brokenRecently(time.Now(), server.Name) {
 		return unreachable{}
 	}
 	snap := r.opts.Config()
@@ -48,8 +49,8 @@
 		return unreachable{}
 	}
 	if !r.isDown(first.ID) {
-		a := r.askInstance(ctx, first, server, req, wait)
-		note(ctx, server, first, wait, a)
+		a := r.requestPermitFrom(ctx, first, server, req, wait)
+		recordPermitRequest(ctx, server, first, wait, a)
 		if a != (unreachable{}) {
 			return a
 		}
@@ -59,21 +60,21 @@
 		return unreachable{}
 	}
 	r.opts.Metrics.Counter("deputies_asked").Inc(1)
-	a := r.askInstance(ctx, second, server, req, wait)
-	note(ctx, server, second, wait, a)
+	a := r.requestPermitFrom(ctx, second, server, req, wait)
+	recordPermitRequest(ctx, server, second, wait, a)
 	return a
 }
 
-// note records an ask for operators. Asks that go on waiting in a queue are
-// left out: one each second would hide the rest.
-func note(ctx context.Context, server *pollenspindle.Server, to roster.Instance, wait time.Duration, a outcome) {
+// recordPermitRequest adds a permit request to the request's journal. Polls of a
+// queued request are left out: one each second would hide the other steps.
+func recordPermitRequest(ctx context.Context, server *pollenspindle.Server, to roster.Instance, wait time.Duration, a permitAnswer) {
 	step := journal.Step{At: time.Now(), What: journal.Asked, Server: server.Name, Peer: to.ID}
 	switch a := a.(type) {
-	case given:
+	case granted:
 		step.Reason = "granted"
-	case full:
+	case refused:
 		step.Reason, step.Count = string(a.refusal.Reason), int64(a.load)
-	case waiting:
+	case queued:
 		if wait > 0 {
 			return
 		}
@@ -84,39 +85,39 @@
 	journal.From(ctx).Add(step)
 }
 
-// askInstance asks one instance. If it has a newer roster, that is fetched and
-// the request starts over with it.
-func (r *Router) askInstance(ctx context.Context, to roster.Instance, server *pollenspindle.Server, req *permit.Request, wait time.Duration) outcome {
-	msg := r.message(server, req, wait)
-	// The permit's life counts from here: before the call leaves.
+// requestPermitFrom requests a permit from one instance. If the instance has a
+// newer roster, the router fetches it and the request is tried again.
+func (r *Router) requestPermitFrom(ctx context.Context, to roster.Instance, server *pollenspindle.Server, req *permit.Request, wait time.Duration) permitAnswer {
+	msg := r.acquireRequest(server, req, wait)
+	// The permit's lifetime starts before the call is sent.
 	asked := time.Now()
 	res, err := r.send(ctx, to, msg, wait)
 	if err != nil {
 		if ctx.Err() == nil {
-			r.setDown(to.ID)
+			r.markDown(to.ID)
 		}
 		return unreachable{}
 	}
 	switch a := res.GetAnswer().(type) {
 	case *peerv1.AcquireResponse_Granted:
-		// Without it a server would look idle until it first refuses, and the two
-		// that a beginning of prompts prefers would fill up beside idle ones.
-		r.see(server.Name, int(a.Granted.GetLoadPermille()), 0)
-		return given{r.permitOf(asked, to, server, a.Granted)}
+		// Without the load of grants a server would look idle until it first refuses, and
+		// the two servers that a prompt prefix prefers would fill up while others are idle.
+		r.recordLoad(server.Name, int(a.Granted.GetLoadPermille()), 0)
+		return granted{r.newPermit(asked, to, server, a.Granted)}
 	case *peerv1.AcquireResponse_Refused:
 		after := time.Duration(a.Refused.GetRetryAfterMillis()) * time.Millisecond
-		r.see(server.Name, int(a.Refused.GetLoadPermille()), after)
-		return full{
+		r.recordLoad(server.Name, int(a.Refused.GetLoadPermille()), after)
+		return refused{
 			refusal: permit.Refusal{Reason: permit.Reason(a.Refused.GetReason()), RetryAfter: after},
 			load:    int(a.Refused.GetLoadPermille()),
 		}
 	case *peerv1.AcquireResponse_Queued:
-		return waiting{}
+		return queued{}
 	case *peerv1.AcquireResponse_NotOwner:
 		if a.NotOwner.GetEpoch() > msg.GetEpoch() && to.ID != r.opts.Self.ID {
 			r.opts.Members.CatchUp(ctx, to.PeerAddress)
 		}
-		return full{refusal: permit.Refusal{Reason: permit.ReasonOwnerNotFound, RetryAfter: retryAfter}}
+		return refused{refusal: permit.Refusal{Reason: permit.ReasonOwnerNotFound, RetryAfter: defaultRetryAfter}}
 	}
 	return unreachable{}
 }
@@ -125,16 +126,16 @@
 	if to.ID == r.opts.Self.ID {
 		return r.opts.Local.Acquire(ctx, msg), nil
 	}
-	timeout := probeTimeout
+	timeout := acquireTimeout
 	if wait > 0 {
-		timeout = wait + sliceSlack
+		timeout = wait + queueWaitSlack
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return r.opts.Peers.Client(to.PeerAddress).Acquire(ctx, msg)
 }
 
-func (r *Router) message(server *pollenspindle.Server, req *permit.Request, wait time.Duration) *peerv1.AcquireRequest {
+func (r *Router) acquireRequest(server *pollenspindle.Server, req *permit.Request, wait time.Duration) *peerv1.AcquireRequest {
 	return &peerv1.AcquireRequest{
 		Epoch:            r.opts.Members.Roster().Epoch,
 		Asker:            r.opts.Self.ID,
@@ -154,7 +155,7 @@
 	}
 }
 
-func (r *Router) permitOf(asked time.Time, by roster.Instance, server *pollenspindle.Server, g *peerv1.Granted) permit.Permit {
+func (r *Router) newPermit(asked time.Time, by roster.Instance, server *pollenspindle.Server, g *peerv1.Granted) permit.Permit {
 	return permit.Permit{
 		ID:                g.GetPermitId(),
 		Server:            server.Name,
@@ -168,7 +169,7 @@
 	}
 }
 
-func (r *Router) see(server string, load int, after time.Duration) {
+func (r *Router) recordLoad(server string, load int, after time.Duration) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -182,8 +183,8 @@
 	return ok && time.Now().Before(until)
 }
 
-func (r *Router) setDown(id string) {
+func (r *Router) markDown(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.down[id] = time.Now().Add(downFor)
+	r.down[id] = time.Now().Add(ownerBackoff)
 }
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -16,22 +16,22 @@
 // the baselines [RoundRobin] and [LeastRequests].
 type Policy interface{ policy() }
 
-// Predicted takes a few servers by prefix and load.
+// Predicted chooses a few servers by prompt prefix and load.
 type Predicted struct{}
 
-// RoundRobin takes the servers in turn, whatever their load.
+// RoundRobin cycles through the servers regardless of their load.
 type RoundRobin struct{}
 
-// LeastRequests takes the servers whose owners last told the least load.
+// LeastRequests prefers the servers with the lowest load last reported by their owners.
 type LeastRequests struct{}
 
 func (Predicted) policy()     {}
 func (RoundRobin) policy()    {}
 func (LeastRequests) policy() {}
 
-// Policies returns the placement and the admission that a setting names.
-// Round robin and least requests admit up to the warm limit; engineQueue sends
-// everything on and leaves queueing to the engine.
+// Policies returns the placement and admission policies of a setting.
+// Round robin and least requests admit up to the warm limit; engineQueue admits
+// everything and leaves queueing to the engine.
 func Policies(p settings.Policy) (Policy, admission.Policy) {
 	switch p {
 	case settings.PolicyRoundRobin:
@@ -45,32 +45,31 @@
 	}
 }
 
-// rings are the rings of one version of the configuration.
+// rings holds the hash rings of one version of the configuration.
 type rings struct {
 	version int64
-	// near hold the servers in this instance's region, far the others, by
-	// service and model.
-	near map[poolKey]*placement.Ring
-	far  map[poolKey]*placement.Ring
+	// sameRegion holds the servers in this instance's region, otherRegions the rest.
+	sameRegion   map[poolKey]*placement.Ring
+	otherRegions map[poolKey]*placement.Ring
 }
 
-// poolKey names the servers that can run a request; model is empty for plain
-// services.
+// poolKey identifies the servers that can run a request; model is empty for
+// plain services.
 type poolKey struct{ service, model string }
 
-// candidates returns the servers to ask, best first. Those of other regions
-// are taken only when the own region has none that takes new work.
+// candidates returns the servers to request a permit for, best first. Servers of
+// other regions are used only when this region has none that takes new work.
 func (r *Router) candidates(now time.Time, req *permit.Request) ([]*pollenspindle.Server, error) {
 	snap := r.opts.Config()
 	key := poolKey{service: req.Service, model: req.Model}
 	if _, ok := snap.Models[req.Model]; req.Model != "" && !ok {
-		return nil, &permit.Refusal{Reason: permit.ReasonUnknownModel, RetryAfter: retryAfter}
+		return nil, &permit.Refusal{Reason: permit.ReasonUnknownModel, RetryAfter: defaultRetryAfter}
 	}
 	if _, ok := r.opts.Policy.(Predicted); !ok {
 		return r.baseline(snap, key, req), nil
 	}
-	all := r.ringsOf(snap)
-	for _, ring := range []*placement.Ring{all.near[key], all.far[key]} {
+	all := r.currentRings(snap)
+	for _, ring := range []*placement.Ring{all.sameRegion[key], all.otherRegions[key]} {
 		if ring == nil {
 			continue
 		}
@@ -85,27 +84,27 @@
 	return nil, nil
 }
 
-func (r *Router) ringsOf(snap *config.Snapshot) *rings {
+func (r *Router) currentRings(snap *config.Snapshot) *rings {
 	if all := r.rings.Load(); all != nil && all.version == snap.Version {
 		return all
 	}
-	near, far := map[poolKey][]*pollenspindle.Server{}, map[poolKey][]*pollenspindle.Server{}
+	sameRegion, otherRegions := map[poolKey][]*pollenspindle.Server{}, map[poolKey][]*pollenspindle.Server{}
 	for i := range snap.Config.Servers {
 		server := &snap.Config.Servers[i]
-		pools := far
+		pools := otherRegions
 		if zone, ok := snap.Zones[server.Zone]; ok && zone.Region == r.opts.Self.Region {
-			pools = near
+			pools = sameRegion
 		}
-		for _, key := range keysOf(server) {
+		for _, key := range poolKeys(server) {
 			pools[key] = append(pools[key], server)
 		}
 	}
-	all := &rings{version: snap.Version, near: ringsFor(near), far: ringsFor(far)}
+	all := &rings{version: snap.Version, sameRegion: newRings(sameRegion), otherRegions: newRings(otherRegions)}
 	r.rings.Store(all)
 	return all
 }
 
-func keysOf(server *pollenspindle.Server) []poolKey {
+func poolKeys(server *pollenspindle.Server) []poolKey {
 	if len(server.Models) == 0 {
 		return []poolKey{{service: server.Service}}
 	}
@@ -116,7 +115,7 @@
 	return keys
 }
 
-func ringsFor(pools map[poolKey][]*pollenspindle.Server) map[poolKey]*placement.Ring {
+func newRings(pools map[poolKey][]*pollenspindle.Server) map[poolKey]*placement.Ring {
 	out := make(map[poolKey]*placement.Ring, len(pools))
 	for key, servers := range pools {
 		out[key] = placement.NewRing(servers)
@@ -124,19 +123,19 @@
 	return out
 }
 
-// baseline orders all servers of a pool without regard to prefixes.
+// baseline orders all servers of a pool, ignoring prompt prefixes.
 func (r *Router) baseline(snap *config.Snapshot, key poolKey, req *permit.Request) []*pollenspindle.Server {
 	var found []*pollenspindle.Server
 	for i := range snap.Config.Servers {
 		server := &snap.Config.Servers[i]
-		if slices.Contains(keysOf(server), key) && snap.TakesNewWork(server) && !slices.Contains(req.ExcludeServers, server.Name) {
+		if slices.Contains(poolKeys(server), key) && snap.TakesNewWork(server) && !slices.Contains(req.ExcludeServers, server.Name) {
 			found = append(found, server)
 		}
 	}
 	if len(found) == 0 {
 		return nil
 	}
-	first := int(r.turn.Add(1) % uint64(len(found)))
+	first := int(r.roundRobin.Add(1) % uint64(len(found)))
 	found = append(found[first:len(found):len(found)], found[:first]...)
 	if _, ok := r.opts.Policy.(LeastRequests); ok {
 		r.mu.Lock()
--- a/internal/router/cluster_test.go
+++ b/internal/router/cluster_test.go
@@ -32,15 +32,14 @@
 )
 
 const (
-	peerKey   = "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA="
-	coldLimit = 2
-	// beatsPerSecond is the rate of rounds of heartbeats.
-	beatsPerSecond = 5
-	// eventually is far above every duration of the test's settings.
+	peerKey             = "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA="
+	coldLimit           = 2
+	heartbeatsPerSecond = 5
+	// eventually is a timeout far above every duration in the test's settings.
 	eventually = 30 * time.Second
 )
 
-// cluster is a platform, backend servers and entry instances in one process.
+// cluster runs a platform, backend servers and entry instances in one process.
 type cluster struct {
 	t         testing.TB
 	metrics   tally.TestScope
@@ -58,11 +57,11 @@
 	stop   func()
 }
 
-// backend counts what runs on each backend server.
+// backend counts the requests that run on each backend server.
 type backend struct {
 	mu      sync.Mutex
 	running map[string]map[string]bool
-	most    map[string]int
+	peak    map[string]int
 }
 
 func (b *backend) start(p permit.Permit, id string) {
@@ -72,7 +71,7 @@
 		b.running[p.Address] = map[string]bool{}
 	}
 	b.running[p.Address][id] = true
-	b.most[p.Address] = max(b.most[p.Address], len(b.running[p.Address]))
+	b.peak[p.Address] = max(b.peak[p.Address], len(b.running[p.Address]))
 }
 
 func (b *backend) end(p permit.Permit, id string) {
@@ -81,17 +80,17 @@
 	delete(b.running[p.Address], id)
 }
 
-func (b *backend) mostRunning() int {
+func (b *backend) maxRunning() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	most := 0
-	for _, n := range b.most {
-		most = max(most, n)
+	peak := 0
+	for _, n := range b.peak {
+		peak = max(peak, n)
 	}
-	return most
+	return peak
 }
 
-// Load implements owner.Loads. The servers stay cold.
+// Load implements owner.Loads. The servers remain cold.
 func (b *backend) Load(_ context.Context, asked time.Time, _ pollenspindle.ServiceKind, address string) (admission.Report, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -107,7 +106,7 @@
 		t:         t,
 		metrics:   tally.NewTestScope("", nil),
 		platform:  httptest.NewServer(platform.NewHandler(platform.Options{})),
-		backend:   &backend{running: map[string]map[string]bool{}, most: map[string]int{}},
+		backend:   &backend{running: map[string]map[string]bool{}, peak: map[string]int{}},
 		instances: map[string]*instance{},
 	}
 	t.Cleanup(c.platform.Close)
@@ -135,7 +134,7 @@
 	return cfg
 }
 
-// start runs a new start of the instance called id.
+// start starts a new incarnation of the instance id.
 func (c *cluster) start(id, incarnation string) *instance {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
@@ -152,7 +151,7 @@
 	timing := roster.Timing{Lease: 1500 * time.Millisecond, Permit: 500 * time.Millisecond}
 	in.member, err = member.New(member.Options{
 		Self: in.self, Timing: timing, Objects: objects, List: list, Config: store, Suspects: suspects, Peers: pool,
-		Heartbeat: time.Second / beatsPerSecond, Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
+		Heartbeat: time.Second / heartbeatsPerSecond, Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
 	require.NoError(c.t, err)
 	in.owner, err = owner.New(owner.Options{
@@ -210,8 +209,9 @@
 	require.Less(c.t, res.StatusCode, 300)
 }
 
-// agree waits until all of instances have a roster of exactly these.
-func (c *cluster) agree(instances ...*instance) {
+// waitForRoster waits until all instances have the same roster, which consists of exactly
+// these instances.
+func (c *cluster) waitForRoster(instances ...*instance) {
 	require.Eventually(c.t, func() bool {
 		for _, in := range instances {
 			live := in.member.Live()
@@ -228,7 +228,7 @@
 	}, eventually, 20*time.Millisecond)
 }
 
-// serve asks for a place through in and runs a request on it for a moment.
+// serve acquires a permit through in and runs a short request.
 func (c *cluster) serve(in *instance, id string, within time.Duration) error {
 	now := time.Now()
 	p, err := in.router.Acquire(c.t.Context(), now, request(id, within))
@@ -254,7 +254,7 @@
 	}
 }
 
-// acquire takes a place and gives it back.
+// acquire acquires a permit and releases it.
 func (c *cluster) acquire(in *instance, id string) error {
 	now := time.Now()
 	p, err := in.router.Acquire(c.t.Context(), now, request(id, eventually))
@@ -264,7 +264,7 @@
 	return err
 }
 
-// bytes returns what all instances sent and received between each other.
+// bytes returns the number of bytes that the instances exchanged with each other.
 func (c *cluster) bytes() int64 {
 	counters := c.metrics.Snapshot().Counters()
 	n := int64(0)
@@ -276,8 +276,8 @@
 	return n
 }
 
-// load sends n requests from each of instances at the same time and returns
-// how many were served.
+// load sends n concurrent requests from each of the instances and returns how
+// many were served.
 func (c *cluster) load(n int, instances ...*instance) int {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -300,110 +300,109 @@
 	return served
 }
 
-// settled waits until every server is served by its owner.
-func (c *cluster) settled(in *instance) {
+// waitUntilServing waits until a request through in is served.
+func (c *cluster) waitUntilServing(in *instance) {
 	require.Eventually(c.t, func() bool {
 		err := c.serve(in, fmt.Sprintf("settle-%d", time.Now().UnixNano()), time.Second)
 		return err == nil
 	}, eventually, 50*time.Millisecond)
 }
 
-func TestAllNewAtOnceNeverFillColdServers(t *testing.T) {
+func TestSimultaneousStartDoesNotOverloadColdServers(t *testing.T) {
 	t.Parallel()
-	// All callers are served, though three instances start at the same moment
-	// with no roster and each sends a burst to cold servers that can handle two
-	// requests: the owners hand out two permits each, whoever asks.
+	// Guards against exceeding the limit of cold servers when three instances
+	// start together without a roster and each sends a burst: the owner of a
+	// server grants two permits in total, whichever instance requests them.
 	c := newCluster(t)
 	a, b, d := c.start("i1", "1"), c.start("i2", "1"), c.start("i3", "1")
 	c.list(a, b, d)
-	c.agree(a, b, d)
-	c.settled(a)
+	c.waitForRoster(a, b, d)
+	c.waitUntilServing(a)
 	require.Equal(t, 60, c.load(20, a, b, d))
-	require.LessOrEqual(t, c.backend.mostRunning(), coldLimit)
+	require.LessOrEqual(t, c.backend.maxRunning(), coldLimit)
 }
 
 func TestDeadOwnerIsReplaced(t *testing.T) {
 	t.Parallel()
-	// The caller waits a little and is served. An instance dies; its servers
-	// go on with the deputies' share while the list still names it, and come
-	// to new owners when the list has dropped it. Cold servers never get more
-	// than they can handle in between, since the new owners wait until the old one,
-	// were it alive, would have stopped.
+	// Guards against requests failing, or cold servers being overloaded, when an
+	// instance crashes. While the platform lists it, the deputies grant their share;
+	// afterwards new owners take over, once the old owner would have stopped if it
+	// were still alive.
 	c := newCluster(t)
 	a, b, d := c.start("i1", "1"), c.start("i2", "1"), c.start("i3", "1")
 	c.list(a, b, d)
-	c.agree(a, b, d)
-	c.settled(a)
+	c.waitForRoster(a, b, d)
+	c.waitUntilServing(a)
 	d.stop()
 	require.Equal(t, 20, c.load(10, a, b))
 	c.list(a, b)
-	c.agree(a, b)
+	c.waitForRoster(a, b)
 	require.Equal(t, 20, c.load(10, a, b))
-	require.LessOrEqual(t, c.backend.mostRunning(), coldLimit)
+	require.LessOrEqual(t, c.backend.maxRunning(), coldLimit)
 }
 
-func TestPlatformDownChangesNothingForRequests(t *testing.T) {
+func TestPlatformOutageDoesNotAffectRequests(t *testing.T) {
 	t.Parallel()
-	// The caller notices nothing. The platform is down for longer than a
-	// lease; the instances confirm each other, since most of the roster
-	// answers, and owners keep their full limits.
+	// Guards against owners losing their limits when the platform is down for
+	// longer than a lease: the instances confirm each other, since a majority of
+	// the roster answers.
 	c := newCluster(t)
 	a, b, d := c.start("i1", "1"), c.start("i2", "1"), c.start("i3", "1")
 	c.list(a, b, d)
-	c.agree(a, b, d)
-	c.settled(a)
+	c.waitForRoster(a, b, d)
+	c.waitUntilServing(a)
 	c.control("faults", map[string]any{"down": true})
 	down := time.Now()
 	require.Eventually(t, func() bool { return time.Since(down) > 3*time.Second }, eventually, 100*time.Millisecond)
 	require.Equal(t, 30, c.load(10, a, b, d))
-	require.LessOrEqual(t, c.backend.mostRunning(), coldLimit)
+	require.LessOrEqual(t, c.backend.maxRunning(), coldLimit)
 }
 
-func TestAllReplacedWithinMoments(t *testing.T) {
+func TestAllInstancesReplacedAtOnce(t *testing.T) {
 	t.Parallel()
-	// Callers of the new instances are served. Every old instance is gone at
-	// once, started anew under the same name, and none could hand over; the
-	// new ones, which no roster names, write the next themselves.
+	// Guards against instances that can't serve after all of them restarted at once
+	// under the same IDs, without a handoff: the new incarnations, which are in no
+	// roster, write the next roster themselves.
 	c := newCluster(t)
 	old := []*instance{c.start("i1", "1"), c.start("i2", "1")}
 	c.list(old...)
-	c.agree(old...)
+	c.waitForRoster(old...)
 	for _, in := range old {
 		in.stop()
 	}
 	a, b := c.start("i1", "2"), c.start("i2", "2")
 	c.list(a, b)
-	c.agree(a, b)
+	c.waitForRoster(a, b)
 	require.Equal(t, 10, c.load(5, a, b))
-	require.LessOrEqual(t, c.backend.mostRunning(), coldLimit)
+	require.LessOrEqual(t, c.backend.maxRunning(), coldLimit)
 }
 
 func TestLeavingInstanceOwnsNothing(t *testing.T) {
 	t.Parallel()
-	// The caller is served throughout. An instance says that it leaves; the
-	// next roster takes its servers from it while it still runs.
+	// Guards against failing requests while an instance is leaving: the next
+	// roster moves its servers to other owners while it still runs.
 	c := newCluster(t)
 	a, b, d := c.start("i1", "1"), c.start("i2", "1"), c.start("i3", "1")
 	c.list(a, b, d)
-	c.agree(a, b, d)
-	c.settled(a)
+	c.waitForRoster(a, b, d)
+	c.waitUntilServing(a)
 	d.member.Leave()
 	require.Eventually(t, d.member.Left, eventually, 20*time.Millisecond)
 	require.Eventually(t, func() bool { return len(a.member.Live()) == 2 && len(b.member.Live()) == 2 }, eventually, 20*time.Millisecond)
 	require.Equal(t, 30, c.load(10, a, b, d))
-	require.LessOrEqual(t, c.backend.mostRunning(), coldLimit)
+	require.LessOrEqual(t, c.backend.maxRunning(), coldLimit)
 }
 
-func TestCallerThatWentAwayLeavesNoPlaceTaken(t *testing.T) {
-	// The next caller is served at once. Callers queue at full servers through
-	// an instance that mostly doesn't own them, and go away; their owners take
-	// them out of the queues, and give nobody a permit that nobody will use.
+func TestCancelledCallersAreRemovedFromQueues(t *testing.T) {
+	// Guards against permits granted to callers that went away while queued: the
+	// next caller would wait. The callers queue at full servers through an instance
+	// that mostly doesn't own them; the owners remove them from their queues.
 	t.Parallel()
 	c := newCluster(t)
 	a, b := c.start("i1", "1"), c.start("i2", "1")
 	c.list(a, b)
-	c.agree(a, b)
-	c.settled(a)
+	c.waitForRoster(a, b)
+	c.waitUntilServing(a)
 	var held []permit.Permit
 	for i := range 5 * coldLimit {
 		p, err := a.router.Acquire(t.Context(), time.Now(), request(fmt.Sprint("held-", i), eventually))
@@ -412,9 +411,9 @@
 		c.backend.start(p, fmt.Sprint("held-", i))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	var gone sync.WaitGroup
+	var cancelled sync.WaitGroup
 	for i := range 20 {
-		gone.Go(func() {
+		cancelled.Go(func() {
 			_, err := a.router.Acquire(ctx, time.Now(), request(fmt.Sprint("gone-", i), eventually))
 			require.Error(t, err)
 		})
@@ -431,12 +430,12 @@
 	}
 	require.Eventually(t, func() bool { return queued() > 0 }, eventually, time.Millisecond)
 	cancel()
-	gone.Wait()
+	cancelled.Wait()
 	require.Eventually(t, func() bool { return queued() == 0 }, eventually, time.Millisecond)
 	for i, p := range held {
 		c.backend.end(p, fmt.Sprint("held-", i))
 		a.router.Release(p, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 1})
 	}
 	require.NoError(t, c.serve(b, "next", eventually))
-	require.LessOrEqual(t, c.backend.mostRunning(), coldLimit)
+	require.LessOrEqual(t, c.backend.maxRunning(), coldLimit)
 }
--- a/internal/router/release.go
+++ b/internal/router/release.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	// releaseCapacity bounds the releases on their way to the duty. At 1,000
-	// requests a second over the fleet one instance has a few a second; this
-	// is for a burst of endings when an engine dies.
+	// releaseCapacity is the size of the channel to [Router.Run]. At 1,000
+	// requests a second over the fleet an instance has a few releases a second;
+	// the capacity is for the burst of releases when an engine crashes.
 	releaseCapacity = 4096
-	// flushEvery is how long releases are gathered. A place is free that much
-	// later, a fraction of a token interval; and many leave in one message.
-	flushEvery = 10 * time.Millisecond
-	// batchSize bounds one message.
-	batchSize = 256
-	// releaseTimeout bounds one call, retryFor how long a release is tried.
-	// After it the owner has either been replaced or has taken the place back
-	// from the server's own reports.
+	// flushInterval is how long releases are batched. It delays freeing a slot by a
+	// fraction of a token interval, and sends many releases in one message.
+	flushInterval = 10 * time.Millisecond
+	// maxBatchSize is the maximum number of releases in one message.
+	maxBatchSize = 256
+	// releaseTimeout limits one call, releaseMaxAge the total time of retries.
+	// By then the owner has been replaced, or has freed the slot because the
+	// server's load reports no longer show the request.
 	releaseTimeout = 500 * time.Millisecond
-	retryFor       = 30 * time.Second
-	// retryReleases is the pause before releases that failed are sent again.
-	retryReleases = 200 * time.Millisecond
-	// maxWaiting bounds the releases waiting for one owner.
-	maxWaiting = 4096
+	releaseMaxAge  = 30 * time.Second
+	// releaseRetryDelay is the delay before failed releases are sent again.
+	releaseRetryDelay = 200 * time.Millisecond
+	// maxPending is the maximum number of pending releases for one owner.
+	maxPending = 4096
 )
 
-// release is a permit on its way back.
+// release is a permit to be returned to its owner.
 type release struct {
 	owner    string
 	released *peerv1.Released
 	at       time.Time
-	// urgent ones aren't gathered: until the owner knows, it gives permits for
-	// a server that may have restarted.
+	// urgent releases are sent without batching: until the owner gets them, it
+	// grants permits for a server that may have restarted.
 	urgent bool
 }
 
-// Release implements [permit.Acquirer]. It never blocks. When the ring is full
-// the release is dropped and counted: the owner takes the place back when the
-// server's report no longer shows the request.
+// Release implements [permit.Acquirer]. It never blocks. When the channel is full
+// the release is dropped and counted: the owner frees the slot when the server's
+// load report no longer shows the request.
 func (r *Router) Release(p permit.Permit, o permit.Outcome) {
 	rel := release{owner: p.Owner, at: time.Now(), urgent: o.Ending == permit.EndingLost || o.Ending == permit.EndingCrashed, released: &peerv1.Released{
 		Server:           p.Server,
@@ -51,11 +51,12 @@
 		FirstTokenMillis: int32(o.FirstToken / time.Millisecond),
 		DurationMillis:   int32(o.Duration / time.Millisecond),
 	}}
-	r.giveBack(rel)
+	r.enqueueRelease(rel)
 }
 
-// giveBack hands a release to its owner, or to the duty that does.
-func (r *Router) giveBack(rel release) {
+// enqueueRelease passes a release to the owner in this process, or queues it for
+// [Router.Run].
+func (r *Router) enqueueRelease(rel release) {
 	if rel.owner == r.opts.Self.ID {
 		r.opts.Local.Release([]*peerv1.Released{rel.released})
 		return
@@ -67,41 +68,42 @@
 	}
 }
 
-// Run sends releases to their owners until ctx ends, and what is left then.
+// Run sends releases to their owners until ctx is done, and then flushes the
+// pending ones.
 func (r *Router) Run(ctx context.Context) {
-	waiting := map[string][]release{}
-	results := make(chan batch, releaseCapacity/batchSize)
-	sending := map[string]bool{}
-	// The timer runs only while something waits: a ticker of this period is
-	// most of what an idle instance would spend.
-	timer := time.NewTimer(flushEvery)
+	pending := map[string][]release{}
+	results := make(chan batch, releaseCapacity/maxBatchSize)
+	inFlight := map[string]bool{}
+	// The timer runs only while releases are pending: a ticker of this period
+	// would be most of the CPU use of an idle instance.
+	timer := time.NewTimer(flushInterval)
 	defer timer.Stop()
 	armed := true
 	for {
-		if !armed && len(waiting) > 0 {
-			timer.Reset(flushEvery)
+		if !armed && len(pending) > 0 {
+			timer.Reset(flushInterval)
 			armed = true
 		}
 		select {
 		case rel := <-r.releases:
-			if len(waiting[rel.owner]) < maxWaiting {
-				waiting[rel.owner] = append(waiting[rel.owner], rel)
+			if len(pending[rel.owner]) < maxPending {
+				pending[rel.owner] = append(pending[rel.owner], rel)
 			} else {
 				r.opts.Metrics.Counter("releases_dropped").Inc(1)
 			}
 			if rel.urgent {
-				r.flush(ctx, waiting, sending, results)
+				r.flush(ctx, pending, inFlight, results)
 			}
 		case b := <-results:
-			delete(sending, b.owner)
+			delete(inFlight, b.owner)
 			if b.failed {
-				waiting[b.owner] = append(keepYoung(time.Now(), b.releases), waiting[b.owner]...)
+				pending[b.owner] = append(filterUnexpired(time.Now(), b.releases), pending[b.owner]...)
 			}
 		case <-timer.C:
 			armed = false
-			r.flush(ctx, waiting, sending, results)
+			r.flush(ctx, pending, inFlight, results)
 		case <-ctx.Done():
-			for owner, list := range waiting {
+			for owner, list := range pending {
 				r.deliver(context.WithoutCancel(ctx), batch{owner: owner, releases: list})
 			}
 			return
@@ -109,29 +111,29 @@
 	}
 }
 
-// batch is the releases of one message.
+// batch holds the releases of one message.
 type batch struct {
 	owner    string
 	releases []release
 	failed   bool
 }
 
-// flush starts one message to each owner that has none on its way.
-func (r *Router) flush(ctx context.Context, waiting map[string][]release, sending map[string]bool, results chan<- batch) {
-	for owner, list := range waiting {
-		if sending[owner] {
+// flush sends one message to each owner that has none in flight.
+func (r *Router) flush(ctx context.Context, pending map[string][]release, inFlight map[string]bool, results chan<- batch) {
+	for owner, list := range pending {
+		if inFlight[owner] {
 			continue
 		}
-		n := min(len(list), batchSize)
+		n := min(len(list), maxBatchSize)
 		b := batch{owner: owner, releases: list[:n:n]}
-		if waiting[owner] = list[n:]; len(waiting[owner]) == 0 {
-			delete(waiting, owner)
+		if pending[owner] = list[n:]; len(pending[owner]) == 0 {
+			delete(pending, owner)
 		}
-		sending[owner] = true
+		inFlight[owner] = true
 		go func() {
 			b.failed = !r.deliver(ctx, b)
 			if b.failed {
-				sleep(ctx, retryReleases)
+				sleep(ctx, releaseRetryDelay)
 			}
 			select {
 			case results <- b:
@@ -141,8 +143,8 @@
 	}
 }
 
-// deliver sends one batch. An owner that left the roster needs none: the next
-// owner starts from the server's own report.
+// deliver sends one batch. An owner that left the roster needs no releases: the
+// next owner starts from the server's load report.
 func (r *Router) deliver(ctx context.Context, b batch) bool {
 	to, ok := r.opts.Members.Roster().Find(b.owner)
 	if !ok {
@@ -158,12 +160,12 @@
 	return err == nil
 }
 
-func keepYoung(now time.Time, list []release) []release {
-	var young []release
+func filterUnexpired(now time.Time, list []release) []release {
+	var unexpired []release
 	for _, rel := range list {
-		if now.Sub(rel.at) < retryFor {
-			young = append(young, rel)
+		if now.Sub(rel.at) < releaseMaxAge {
+			unexpired = append(unexpired, rel)
 		}
 	}
-	return young
+	return unexpired
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,6 +1,6 @@
-// Package router finds a backend server for each request: it asks the owners
-// of a few candidates for a permit, in this process or through a peer, and
-// gives permits back.
+// Package router finds a backend server for each request: it requests a permit
+// from the owners of a few candidates, in this process or on another instance,
+// and releases permits.
 //
 // # Usage
 //
@@ -31,29 +31,29 @@
 )
 
 const (
-	// probes is how many candidates are asked for a place at once before the
-	// request queues at the least loaded. Two choices take most of what more
-	// would, for one or two small messages a request.
-	probes = 2
-	// probeTimeout bounds an ask that doesn't wait; the deputy is asked after
-	// it. It is tens of times the way between regions.
-	probeTimeout = 400 * time.Millisecond
-	// maxSlice is how long one ask waits in a queue at the most, and half a
-	// permit's life if that is less: the life counts from the ask. sliceSlack
-	// is what the call may take on top.
-	maxSlice   = time.Second
-	sliceSlack = 400 * time.Millisecond
-	// downFor is how long an owner that gave no answer is passed over for the
-	// deputy. Without it each request would first wait for the timeout.
-	downFor = time.Second
-	// retryWait is the pause before the same candidates are asked again, when
-	// none had a place and none a queue.
-	retryWait = 200 * time.Millisecond
-	// retryAfter is told to callers when no owner said anything better.
-	retryAfter = time.Second
+	// immediateCandidates is how many candidates are tried without queueing before
+	// the request queues at the least loaded. Two choices give most of the benefit
+	// of more, for one or two small messages a request.
+	immediateCandidates = 2
+	// acquireTimeout limits a call that doesn't queue; the deputy is tried after
+	// it. It is tens of times the latency between regions.
+	acquireTimeout = 400 * time.Millisecond
+	// maxQueueWait is how long one call waits in a queue at most, or half a permit's
+	// lifetime if that is less: the lifetime starts with the call.
+	// queueWaitSlack is added to it for the call's timeout.
+	maxQueueWait   = time.Second
+	queueWaitSlack = 400 * time.Millisecond
+	// ownerBackoff is how long an owner that didn't answer is skipped in favour of
+	// the deputy. Without it each request would first wait for the timeout.
+	ownerBackoff = time.Second
+	// retryDelay is the delay before candidates are tried again when none had a
+	// free slot or a queue.
+	retryDelay = 200 * time.Millisecond
+	// defaultRetryAfter is the Retry-After for callers when no owner gave a better value.
+	defaultRetryAfter = time.Second
 )
 
-// Members knows the other instances; it is a *member.Member.
+// Members gives access to the other instances; *member.Member implements it.
 type Members interface {
 	Roster() *roster.Roster
 	Allowed(now time.Time) bool
@@ -66,7 +66,7 @@
 	Release(released []*peerv1.Released)
 }
 
-// Options is what a [Router] needs.
+// Options configures a [Router].
 type Options struct {
 	Self    roster.Instance
 	Members Members
@@ -86,20 +86,20 @@
 	opts     Options
 	rings    atomic.Pointer[rings]
 	releases chan release
-	// turn counts for the round robin baseline.
-	turn atomic.Uint64
+	// roundRobin counts requests for the RoundRobin and LeastRequests policies.
+	roundRobin atomic.Uint64
 
 	mu    sync.Mutex
 	rng   *rand.Rand
 	views placement.Views
 	down  map[string]time.Time
-	// broken says by server when a connection to it last broke.
+	// broken holds when a connection to a server last broke, by server name.
 	broken map[string]time.Time
 }
 
 var _ permit.Acquirer = (*Router)(nil)
 
-// New returns a router whose duty [Router.Run] starts.
+// New returns a router. Releases to other instances are sent by [Router.Run].
 func New(opts Options) *Router {
 	return &Router{
 		opts:     opts,
@@ -114,7 +114,7 @@
 // Acquire implements [permit.Acquirer].
 func (r *Router) Acquire(ctx context.Context, now time.Time, req permit.Request) (permit.Permit, error) {
 	if !r.opts.Members.Allowed(now) {
-		return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonNotConfirmed, RetryAfter: retryAfter}
+		return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonNotConfirmed, RetryAfter: defaultRetryAfter}
 	}
 	for {
 		now = time.Now()
@@ -123,47 +123,47 @@
 			return permit.Permit{}, err
 		}
 		if len(candidates) == 0 {
-			// None may take it, or each has refused or lost it already. A wait
-			// changes neither, and the caller is to be told at once.
-			return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonNoServer, RetryAfter: retryAfter}
+			// No server may take the request, or each has refused or lost it already.
+			// Waiting changes neither, so the caller is refused immediately.
+			return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonNoServer, RetryAfter: defaultRetryAfter}
 		}
-		p, refusal := r.tryAll(ctx, candidates, &req)
+		p, refusal := r.acquireFrom(ctx, candidates, &req)
 		if refusal == nil {
 			return p, nil
 		}
-		if final(refusal.Reason) || !time.Now().Add(retryWait).Before(req.Deadline) {
+		if isFinal(refusal.Reason) || !time.Now().Add(retryDelay).Before(req.Deadline) {
 			return permit.Permit{}, refusal
 		}
-		if !sleep(ctx, retryWait) {
+		if !sleep(ctx, retryDelay) {
 			return permit.Permit{}, ctx.Err()
 		}
 	}
 }
 
-// final reports whether asking again before the deadline is pointless. An
-// owner that can't be reached and a server that has no owner yet are not:
-// rosters change within seconds.
-func final(reason permit.Reason) bool {
+// isFinal reports whether a retry before the deadline is pointless. It isn't when
+// an owner is unreachable or a server has no owner yet: rosters change within
+// seconds.
+func isFinal(reason permit.Reason) bool {
 	return reason != permit.ReasonOwnerNotFound && reason != permit.ReasonNoServer
 }
 
-// tryAll asks the first candidates for a place at once, and then queues at the
-// least loaded of them.
-func (r *Router) tryAll(ctx context.Context, candidates []*pollenspindle.Server, req *permit.Request) (permit.Permit, *permit.Refusal) {
-	refusal := &permit.Refusal{Reason: permit.ReasonNoServer, RetryAfter: retryAfter}
+// acquireFrom tries the first candidates without queueing, and then queues the
+// request at the least loaded of them.
+func (r *Router) acquireFrom(ctx context.Context, candidates []*pollenspindle.Server, req *permit.Request) (permit.Permit, *permit.Refusal) {
+	refusal := &permit.Refusal{Reason: permit.ReasonNoServer, RetryAfter: defaultRetryAfter}
 	var best *pollenspindle.Server
 	bestLoad := 0
 	asked := 0
 	for _, server := range candidates {
-		if asked == probes && best != nil {
+		if asked == immediateCandidates && best != nil {
 			break
 		}
 		asked++
-		switch a := r.ask(ctx, server, req, 0).(type) {
-		case given:
+		switch a := r.requestPermit(ctx, server, req, 0).(type) {
+		case granted:
 			return a.permit, nil
-		case full:
-			if final(a.refusal.Reason) && a.refusal.Reason != permit.ReasonOverloaded {
+		case refused:
+			if isFinal(a.refusal.Reason) && a.refusal.Reason != permit.ReasonOverloaded {
 				return permit.Permit{}, &a.refusal
 			}
 			if a.refusal.Reason == permit.ReasonOverloaded && (best == nil || a.load < bestLoad) {
@@ -171,68 +171,68 @@
 			}
 			refusal = &a.refusal
 		case unreachable:
-			refusal = &permit.Refusal{Reason: permit.ReasonOwnerNotFound, RetryAfter: retryAfter}
-		case waiting:
+			refusal = &permit.Refusal{Reason: permit.ReasonOwnerNotFound, RetryAfter: defaultRetryAfter}
+		case queued:
 			best = server
 		}
 	}
 	if best == nil {
 		return permit.Permit{}, refusal
 	}
-	return r.queueAt(ctx, best, req)
+	return r.waitInQueue(ctx, best, req)
 }
 
-// queueAt waits for a place on server until the request's deadline, in slices:
-// no call stays open for longer, and a dead asker loses its place soon. Between
-// two slices it tries one other candidate: where long generations hold every
-// place, a request would wait for their end while another server is idle. The
-// place in the queue that it then leaves is dropped by its owner.
-func (r *Router) queueAt(ctx context.Context, server *pollenspindle.Server, req *permit.Request) (permit.Permit, *permit.Refusal) {
+// waitInQueue waits in the queue of server until the request's deadline, in repeated
+// calls of limited duration, so that the queue entry of a crashed instance expires
+// soon. Between two calls it tries one other candidate: a request would otherwise
+// wait for long generations to end while another server is idle. The owner drops
+// the abandoned queue entry.
+func (r *Router) waitInQueue(ctx context.Context, server *pollenspindle.Server, req *permit.Request) (permit.Permit, *permit.Refusal) {
 	journal.From(ctx).Add(journal.Step{At: time.Now(), What: journal.Waiting, Server: server.Name})
 	for {
-		left := time.Until(req.Deadline)
-		if left <= 0 {
-			return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonDeadline, RetryAfter: retryAfter}
+		remaining := time.Until(req.Deadline)
+		if remaining <= 0 {
+			return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonDeadline, RetryAfter: defaultRetryAfter}
 		}
 		if ctx.Err() != nil {
-			return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonDeadline, RetryAfter: retryAfter}
+			return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonDeadline, RetryAfter: defaultRetryAfter}
 		}
-		switch a := r.ask(ctx, server, req, min(left, maxSlice, r.opts.PermitFor/2)).(type) {
-		case given:
+		switch a := r.requestPermit(ctx, server, req, min(remaining, maxQueueWait, r.opts.PermitFor/2)).(type) {
+		case granted:
 			if a.permit.Valid(time.Now()) {
 				return a.permit, nil
 			}
-			// The answer came too late to use it.
+			// The answer came too late to use the permit.
 			r.Release(a.permit, permit.Outcome{Ending: permit.EndingNotSent})
-		case full:
+		case refused:
 			return permit.Permit{}, &a.refusal
 		case unreachable:
-			return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonOwnerNotFound, RetryAfter: retryAfter}
-		case waiting:
-			if a, ok := r.askOther(ctx, server, req); ok {
+			return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonOwnerNotFound, RetryAfter: defaultRetryAfter}
+		case queued:
+			if a, ok := r.tryOtherServer(ctx, server, req); ok {
 				return a.permit, nil
 			}
 		}
 		if server := r.opts.Config().Servers[server.Name]; server == nil || !r.opts.Config().TakesNewWork(server) {
-			return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonNoServer, RetryAfter: retryAfter}
+			return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonNoServer, RetryAfter: defaultRetryAfter}
 		}
 	}
 }
 
-// askOther asks the best candidate but server for a place at once. Candidates
-// are drawn anew, so that in time every server is tried.
-func (r *Router) askOther(ctx context.Context, server *pollenspindle.Server, req *permit.Request) (given, bool) {
+// tryOtherServer tries the best candidate other than server without queueing.
+// Candidates are drawn anew, so that every server is tried eventually.
+func (r *Router) tryOtherServer(ctx context.Context, server *pollenspindle.Server, req *permit.Request) (granted, bool) {
 	candidates, err := r.candidates(time.Now(), req)
 	if err != nil {
-		return given{}, false
+		return granted{}, false
 	}
 	for _, other := range candidates {
 		if other.Name != server.Name {
-			a, ok := r.ask(ctx, other, req, 0).(given)
+			a, ok := r.requestPermit(ctx, other, req, 0).(granted)
 			return a, ok
 		}
 	}
-	return given{}, false
+	return granted{}, false
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
