--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -55,17 +55,17 @@
 // Crash is the end of one start of a backend server. It has the name that
 // [CrashName] gives it, so that one seen by several instances counts once.
 type Crash struct {
-	Name string
-	At   time.Time
+	Name string    `json:"Name"`
+	At   time.Time `json:"At"`
 }
 
 // Entry is what is known of one request. Instances send entries to each other.
 type Entry struct {
-	Fingerprint uint64
-	Crashes     []Crash
+	Fingerprint uint64  `json:"Fingerprint"`
+	Crashes     []Crash `json:"Crashes"`
 	// ClearedAt is when the request last finished; crashes before it do not
 	// count.
-	ClearedAt time.Time
+	ClearedAt time.Time `json:"ClearedAt"`
 }
 
 // Verdict says what to do with a request.
