--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// opened returns a server that has reported itself idle.
+// opened returns an open server that has reported that it is idle.
 func opened() *admission.Server {
 	s := admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
 	s.Open(start)
@@ -55,7 +55,7 @@
 	return d.(admission.Granted)
 }
 
-func TestColdServerGetsNoMoreThanItBears(t *testing.T) {
+func TestColdServerIsLimited(t *testing.T) {
 	s := opened()
 	n := 0
 	for i := range 10 {
@@ -67,10 +67,10 @@
 	require.Equal(t, 8, s.Queued())
 }
 
-func TestNothingBeforeAReportOfItsOwn(t *testing.T) {
-	// A new owner takes over while requests under the old owner's permits are
-	// on their way. A report measured before their permits ended would miss
-	// them, and the cold server would get twice what it can handle.
+func TestNoGrantBeforeReportAfterTakeover(t *testing.T) {
+	// Guards against a new owner granting while requests under the old owner's
+	// permits are in flight. A report measured before those permits expired would
+	// miss them, and the cold server would get twice what it can handle.
 	s := admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
 	require.IsType(t, admission.NotHere{}, s.Acquire(at(0), ask("0")))
 	s.Open(at(2000))
@@ -81,28 +81,28 @@
 	require.IsType(t, admission.Queued{}, s.Acquire(at(2201), ask("3")))
 }
 
-func TestLaggedReportsCountNothingTwiceAndForgetNothing(t *testing.T) {
+func TestLaggingReportsCountEachRequestOnce(t *testing.T) {
 	s := opened()
 	g := granted(t, s.Acquire(at(100), ask("1")))
 	require.Equal(t, 1, s.Running())
 	// The report was measured before the request reached the server.
 	s.Report(at(200), report(50))
 	require.Equal(t, 1, s.Running())
-	// This one names it: still one.
+	// This one lists the request, which still counts once.
 	s.Report(at(300), report(250, admission.Sequence{ID: "1", Prompt: 100, Output: 2}))
 	require.Equal(t, 1, s.Running())
-	// It ends; a report measured before that still names it.
+	// The request ends; a report measured before that still lists it.
 	s.Release(at(400), g.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 5})
 	s.Report(at(500), report(350, admission.Sequence{ID: "1", Prompt: 100, Output: 4}))
 	require.Zero(t, s.Running())
-	// A request of somebody else counts.
+	// A request without a permit of this owner counts.
 	s.Report(at(600), report(550, admission.Sequence{ID: "x", Prompt: 100, Output: 4}))
 	require.Equal(t, 1, s.Running())
 }
 
-func TestLostRequestKeepsItsPlaceUntilAReportClearsIt(t *testing.T) {
-	// The connection to the server is lost; the server may run the request
-	// on. Were its place given away, the server would run one too many.
+func TestLostRequestKeepsItsSlotUntilAReportOmitsIt(t *testing.T) {
+	// Guards against reusing the slot of a request whose connection was lost: the
+	// server may still be running it, and would get one request too many.
 	s := opened()
 	g := granted(t, s.Acquire(at(0), ask("1")))
 	s.Release(at(5000), g.PermitID, permit.Outcome{Ending: permit.EndingLost})
@@ -115,10 +115,10 @@
 	require.Zero(t, s.Running())
 }
 
-func TestNothingAfterASignOfARestartUntilAReport(t *testing.T) {
-	// An engine dies and is back, cold, before the next load report. Its
-	// callers see broken streams and repeat at once; the new start would get
-	// full load of the warm one.
+func TestNoGrantAfterACrashUntilAReport(t *testing.T) {
+	// Guards against an engine that crashes and restarts cold before the next load
+	// report: its callers retry immediately, and the new incarnation would get the
+	// load of the warm one.
 	s := opened()
 	g := granted(t, s.Acquire(at(100), ask("1")))
 	s.Release(at(5000), g.PermitID, permit.Outcome{Ending: permit.EndingCrashed})
@@ -129,38 +129,38 @@
 	}
 	require.IsType(t, admission.NotHere{}, s.Acquire(at(5001), atOnce("2")))
 	s.Report(at(5100), report(4900))
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(5101), atOnce("3")), "measured before the sign")
+	require.IsType(t, admission.NotHere{}, s.Acquire(at(5101), atOnce("3")), "measured before the crash")
 	restarted := report(5300)
 	restarted.Incarnation = "b"
 	s.Report(at(5400), restarted)
 	granted(t, s.Acquire(at(5401), ask("4")))
 }
 
-// A caller with time left waits over a break of the link instead of being
-// refused. One poll of the server fails and the next, half a second later, does
-// not. A server that is silent for longer, or whose process has ended, keeps
-// nobody waiting.
-func TestBreakOfTheLinkRefusesNobody(t *testing.T) {
+// Guards against refusing callers that could wait when a single poll of the server
+// fails and the next one, half a second later, succeeds. Nobody waits for a server
+// that hasn't reported for longer, or whose process has exited.
+func TestRequestsQueueDuringABriefDisconnection(t *testing.T) {
 	s := opened()
 	s.Unreachable()
 	now := ask("1")
 	now.MayQueue = false
 	require.IsType(t, admission.NotHere{}, s.Acquire(at(500), now))
 	require.IsType(t, admission.Queued{}, s.Acquire(at(500), ask("2")))
-	require.Empty(t, s.Tick(at(900)), "nothing starts unseen")
+	require.Empty(t, s.Tick(at(900)), "no grant while unreachable")
 	s.Report(at(1000), report(950))
 	require.Len(t, s.Tick(at(1000)), 1)
 	granted(t, s.Acquire(at(1001), ask("2")))
 
 	s.Unreachable()
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(4000), ask("3")), "silent for long")
+	require.IsType(t, admission.NotHere{}, s.Acquire(at(4000), ask("3")), "no report for too long")
 	s.Report(at(5000), report(4900))
 	s.Gone(at(5001))
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(5002), ask("4")), "its process has ended")
+	require.IsType(t, admission.NotHere{}, s.Acquire(at(5002), ask("4")), "the process has exited")
 }
 
-func TestUnusedPermitIsTakenBack(t *testing.T) {
-	// An asker dies between getting a permit and using it.
+func TestUnusedPermitIsReclaimed(t *testing.T) {
+	// Guards against a slot that stays taken when an instance crashes between
+	// getting a permit and using it.
 	s := opened()
 	granted(t, s.Acquire(at(0), ask("1")))
 	s.Report(at(1900), report(1800))
@@ -171,7 +171,7 @@
 	require.Zero(t, s.Running())
 }
 
-func TestAskingAgainReturnsTheSamePermit(t *testing.T) {
+func TestRepeatedRequestReturnsTheSamePermit(t *testing.T) {
 	s := opened()
 	first := granted(t, s.Acquire(at(0), ask("1")))
 	again := ask("1")
@@ -186,17 +186,17 @@
 	granted(t, s.Acquire(at(0), ask("2")))
 	require.IsType(t, admission.Queued{}, s.Acquire(at(0), ask("gone")))
 	require.IsType(t, admission.Queued{}, s.Acquire(at(0), ask("waits")))
-	// Its asker keeps asking; that of the other has died.
+	// The first request is polled again; the other one is abandoned.
 	require.IsType(t, admission.Queued{}, s.Acquire(at(2000), ask("waits")))
 	s.Release(at(3500), g.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 3})
 	out := s.Tick(at(3500))
 	require.Len(t, out, 1)
 	d := granted(t, out[0])
 	require.Equal(t, "waits", d.RequestID)
-	require.Equal(t, at(4000), d.ExpiresAt, "a permit's life counts from when its asker last asked")
+	require.Equal(t, at(4000), d.ExpiresAt, "a permit's lifetime starts at the last poll")
 }
 
-func TestRestartNamesWhatRan(t *testing.T) {
+func TestRestartReturnsRunningRequests(t *testing.T) {
 	s := opened()
 	granted(t, s.Acquire(at(0), ask("1")))
 	s.Report(at(300), report(250, admission.Sequence{ID: "1", Prompt: 100, Output: 2}))
@@ -210,11 +210,11 @@
 	require.Equal(t, cfg.ColdLimit, s.Limit())
 }
 
-// A request crashes its server before the first token and well within the life
-// of its permit. The loss and the restart are learnt of in either order; each
-// way the request must be named, or it is sent to one server after another.
-// One that was never sent must not be.
-func TestRestartNamesWhatCrashedAtOnce(t *testing.T) {
+// Guards against a request that crashes its server before the first token, while
+// its permit is valid, and isn't returned as a crash suspect: it would crash one
+// server after another. The loss and the restart become known in either order. A
+// request that was never sent isn't returned.
+func TestRestartReturnsRequestsThatCrashedBeforeTheFirstToken(t *testing.T) {
 	again := report(900)
 	again.Incarnation = "b"
 	tests := map[string]struct {
@@ -222,11 +222,11 @@
 		lossFirst bool
 		named     bool
 	}{
-		"loss first":              {ending: permit.EndingLost, lossFirst: true, named: true},
-		"restart first":           {ending: permit.EndingLost, named: true},
-		"seen by the asker first": {ending: permit.EndingCrashed, lossFirst: true, named: true},
-		"seen by the owner first": {ending: permit.EndingCrashed, named: true},
-		"never sent":              {ending: permit.EndingNotSent},
+		"loss first":               {ending: permit.EndingLost, lossFirst: true, named: true},
+		"restart first":            {ending: permit.EndingLost, named: true},
+		"seen by the sender first": {ending: permit.EndingCrashed, lossFirst: true, named: true},
+		"seen by the owner first":  {ending: permit.EndingCrashed, named: true},
+		"never sent":               {ending: permit.EndingNotSent},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -255,7 +255,7 @@
 	}
 }
 
-func TestTwoSuspectsNeverRunTogether(t *testing.T) {
+func TestSuspectsNeverRunTogether(t *testing.T) {
 	s := opened()
 	a, b := ask("1"), ask("2")
 	a.Suspect, b.Suspect = true, true
@@ -266,9 +266,9 @@
 }
 
 func TestSlowServerIsDrainedAndProbed(t *testing.T) {
-	// A server does not fail but is three times as slow as it should be. New
-	// work goes elsewhere, but for one request now and then; when these show
-	// it has recovered, it takes its share again.
+	// Guards against sending work to a server that doesn't fail but is three times
+	// too slow. It gets one request now and then; once these show that it has
+	// recovered, it takes its share again.
 	s := opened()
 	slow := func(from int, interval time.Duration) {
 		for i := range 100 {
@@ -294,11 +294,11 @@
 	}
 }
 
-func TestGoneServerNamesWhatWasLost(t *testing.T) {
-	// The process of a server has ended: its address refuses connections and
-	// no report will name another start. What its askers lost there must be
-	// named, whether they or the owner see it first; what was never sent and
-	// what the askers still hold must not.
+func TestExitedServerReturnsLostRequests(t *testing.T) {
+	// Guards against missing crash suspects when a server's process exits for good:
+	// its address refuses connections and no report will show a new incarnation.
+	// Lost requests are returned whether their sender or the owner notices first;
+	// requests that were never sent or are still open are not.
 	s := opened()
 	lost := granted(t, s.Acquire(at(100), ask("lost before")))
 	late := granted(t, s.Acquire(at(100), ask("lost after")))
@@ -312,18 +312,18 @@
 	require.Equal(t, "a", after.OldIncarnation)
 	require.IsType(t, admission.NotHere{}, s.Acquire(at(500), ask("new")))
 
-	// It was the link only: the same start reports again, and a loss is no
-	// crash any more.
+	// Only the connection had failed: the same incarnation reports again, and a
+	// lost request is no longer a crash.
 	s.Report(at(700), report(650))
 	g := granted(t, s.Acquire(at(800), ask("next")))
 	require.Nil(t, s.Release(at(900), g.PermitID, permit.Outcome{Ending: permit.EndingLost}))
 }
 
-// An engine that was warm dies under load and is back at once, cold; callers
-// repeat at once, and its places look free. The first sign that its owner gets
-// is a connection that broke. From then on it gives nothing until a report
-// measured after the sign; one measured before, and come late, doesn't count.
-func TestNothingIsGivenAfterASignOfARestart(t *testing.T) {
+// Guards against full load on an engine that crashes and restarts cold before its
+// next load report, while its slots look free and callers retry immediately. After
+// the first sign, a broken connection, nothing is granted until a report that was
+// measured after it; a late report measured before doesn't count.
+func TestNoGrantAfterAPossibleRestart(t *testing.T) {
 	signs := map[string]func(s *admission.Server, permitID string){
 		"connection broken": func(s *admission.Server, permitID string) { s.Broken(at(1000), permitID) },
 		"answer lost": func(s *admission.Server, permitID string) {
--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -7,46 +7,46 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// grant is a permit that was given and whose request may run.
+// grant is a permit that was granted and whose request may be running.
 type grant struct {
-	ask       Ask
+	request   Ask
 	curve     *length.Curve
 	expiresAt time.Time
-	// incarnation is the start of the server that the permit was given for.
+	// incarnation is the server incarnation that the permit is for.
 	incarnation string
-	// runningAt is how many requests ran when the permit was given.
+	// runningAt is how many requests were running when the permit was granted.
 	runningAt int
-	// output is the number of tokens in the last report that named it.
+	// output is the number of tokens in the last report that lists the request.
 	output int
-	// proven is set when the first token was seen.
-	proven bool
-	// endedAt is set when the request ended but a report must confirm it:
-	// its connection was lost and the server may run it on.
+	// firstTokenSeen is set once the request has got its first token.
+	firstTokenSeen bool
+	// endedAt is set when the connection was lost: the server may still be
+	// running the request, so a report must confirm that it ended.
 	endedAt time.Time
 }
 
-func (s *Server) granted(now time.Time, g *grant) Decision {
+func (s *Server) grantedDecision(now time.Time, g *grant) Decision {
 	return Granted{
-		RequestID:         g.ask.Request.ID,
-		PermitID:          g.ask.PermitID,
+		RequestID:         g.request.Request.ID,
+		PermitID:          g.request.PermitID,
 		ServerIncarnation: s.report.Incarnation,
 		ExpiresAt:         g.expiresAt,
 		LoadPermille:      s.LoadPermille(now),
 	}
 }
 
-// grant gives a permit. Its life counts from when the asker asked, by the
-// owner's clock, which is after the asker's own reading: the asker stops using
-// it before the owner may give the place to another.
+// grant grants a permit. Its lifetime starts when the owner received the request,
+// which is after the sender read its own clock: the sender stops using the permit
+// before the owner may reuse the slot.
 func (s *Server) grant(now time.Time, a Ask, asked time.Time) Decision {
 	g := &grant{
-		ask:         a,
+		request:     a,
 		curve:       s.lengths.Curve(lengthKey(&a.Request)),
 		expiresAt:   asked.Add(s.cfg.PermitFor),
 		incarnation: s.report.Incarnation,
 		runningAt:   s.Running(),
 	}
-	if s.slow() {
+	if s.isSlow() {
 		s.lastProbe = now
 	}
 	s.grants[a.Request.ID] = g
@@ -56,26 +56,26 @@
 		s.suspects++
 	}
 	s.memory.Add(s.sequence(g))
-	return s.granted(now, g)
+	return s.grantedDecision(now, g)
 }
 
-// remove ends a grant at its owner.
+// remove deletes a grant and frees its slot.
 func (s *Server) remove(now time.Time, g *grant) {
-	req := &g.ask.Request
+	req := &g.request.Request
 	delete(s.grants, req.ID)
-	delete(s.permits, g.ask.PermitID)
+	delete(s.permits, g.request.PermitID)
 	if s.running[req.Workspace]--; s.running[req.Workspace] == 0 {
 		delete(s.running, req.Workspace)
 	}
-	if g.ask.Suspect {
+	if g.request.Suspect {
 		s.suspects--
 	}
 	s.ended[req.ID] = now
 	s.rebuildMemory(now)
 }
 
-// Release takes back a permit. It returns the restart that ended the request,
-// when one did that was reported before.
+// Release ends a permit. If a restart that was already reported ended the request,
+// Release returns it.
 func (s *Server) Release(now time.Time, permitID string, o permit.Outcome) *Restart {
 	g, ok := s.permits[permitID]
 	if !ok {
@@ -83,74 +83,75 @@
 	}
 	switch o.Ending {
 	case permit.EndingLost, permit.EndingCrashed:
-		if g.incarnation != s.report.Incarnation || (s.gone != "" && g.incarnation == s.gone) {
+		if g.incarnation != s.report.Incarnation || (s.exited != "" && g.incarnation == s.exited) {
 			s.remove(now, g)
-			return &Restart{OldIncarnation: g.incarnation, Running: []permit.Request{g.ask.Request}}
+			return &Restart{OldIncarnation: g.incarnation, Running: []permit.Request{g.request.Request}}
 		}
-		// The server may run it on. It keeps its place until a report
-		// measured after now no longer names it.
+		// The server may still be running the request. It keeps its slot until a
+		// report measured after now no longer lists it.
 		g.endedAt = now
-		s.doubt(now)
+		s.suspendGrants(now)
 		return nil
 	case permit.EndingRefused:
 		s.limit.Refused()
 	case permit.EndingFinished, permit.EndingCancelled:
-		s.learn(g, o)
+		s.recordOutcome(g, o)
 	}
 	s.remove(now, g)
 	return nil
 }
 
-// Broken tells that the connection of a request under a permit broke. The
-// request keeps its place.
+// Broken records that the connection of a request under a permit broke. The
+// request keeps its slot.
 func (s *Server) Broken(now time.Time, permitID string) {
 	if g, ok := s.permits[permitID]; ok && g.incarnation == s.report.Incarnation {
-		s.doubt(now)
+		s.suspendGrants(now)
 	}
 }
 
-// doubt stops grants until a report measured after now.
+// suspendGrants suspends grants until a report measured after now.
 //
-// A broken connection is the first sign of a restart, and the next report names the
-// new start, or the same one when only the connection was lost. Until then the
-// server would be taken for warm. Later signs of the same restart don't renew the
-// wait.
-func (s *Server) doubt(now time.Time) {
-	if !s.doubtful() {
-		s.doubted = now
+// A broken connection is the first sign of a restart. The next report shows the new
+// incarnation, or the same one if only the connection was lost. Until then a
+// restarted server would be considered warm. Further signs of the same restart
+// don't extend the suspension.
+func (s *Server) suspendGrants(now time.Time) {
+	if !s.grantsSuspended() {
+		s.suspectedRestartAt = now
 	}
 }
 
-func (s *Server) doubtful() bool {
-	return s.report.MeasuredAt.Before(s.doubted)
+func (s *Server) grantsSuspended() bool {
+	return s.report.MeasuredAt.Before(s.suspectedRestartAt)
 }
 
-// learn takes in the length of an output and what it shows about the server.
-func (s *Server) learn(g *grant, o permit.Outcome) {
-	req := &g.ask.Request
+// recordOutcome updates the output lengths, the limit and the workspace's usage from the
+// outcome of a request.
+func (s *Server) recordOutcome(g *grant, o permit.Outcome) {
+	req := &g.request.Request
 	capped := req.MaxTokens > 0 && o.OutputTokens >= req.MaxTokens
 	if s.cfg.MemoryTokens > 0 && o.OutputTokens > 0 {
 		s.lengths.Observe(lengthKey(req), o.OutputTokens, capped || o.Ending != permit.EndingFinished)
 	}
 	if o.Ending == permit.EndingFinished || o.OutputTokens > 0 {
 		running := g.runningAt
-		if g.proven {
+		if g.firstTokenSeen {
 			running = 0
 		}
-		g.proven = true
+		g.firstTokenSeen = true
 		s.limit.Succeeded(running, o.FirstToken)
 	}
 	expected := s.expectedTokens(req)
-	s.queue.Charge(req.Workspace, float64(req.PromptTokens+o.OutputTokens)-expected, g.ask.Weight)
+	s.queue.Charge(req.Workspace, float64(req.PromptTokens+o.OutputTokens)-expected, g.request.Weight)
 }
 
 func lengthKey(req *permit.Request) length.Key {
 	return length.Key{Service: req.Service, Model: req.Model, Workspace: req.Workspace}
 }
 
-// forgetUnused takes back permits that can no longer be used and of which a
-// later report knows nothing: the asker died or never sent.
-func (s *Server) forgetUnused(now time.Time) {
+// removeUnused removes expired permits whose request isn't in a later report: the
+// sender crashed or never sent it.
+func (s *Server) removeUnused(now time.Time) {
 	for _, g := range s.grants {
 		last := g.expiresAt
 		if !g.endedAt.IsZero() && g.endedAt.After(last) {
@@ -160,17 +161,17 @@
 			continue
 		}
 		if s.report.Sequences == nil && g.endedAt.IsZero() {
-			// A server that only counts cannot say which requests run; the
-			// asker's release ends the grant, or the restart of the server.
+			// A server that only counts its requests can't tell which ones run;
+			// the sender's release or a restart of the server ends the grant.
 			continue
 		}
-		if !s.reportNames(g.ask.Request.ID) {
+		if !s.reportLists(g.request.Request.ID) {
 			s.remove(now, g)
 		}
 	}
 }
 
-func (s *Server) reportNames(id string) bool {
+func (s *Server) reportLists(id string) bool {
 	for i := range s.report.Sequences {
 		if s.report.Sequences[i].ID == id {
 			return true
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// marginStep is added to the margin of memory for each report that shows
-	// a preemption: the lengths of the moment are more alike than assumed.
+	// marginStep is added to the memory margin for each report with a preemption:
+	// the present output lengths vary less independently than assumed.
 	marginStep = 0.25
-	// marginKeep is the part of what was added that is left after a further
-	// report: half of it is gone after some twenty. At a hundredth a report
-	// one burst of preemptions kept a server half empty for minutes.
-	marginKeep = 0.97
-	// maxAdded bounds what is added: beyond it memory is mostly set aside.
-	maxAdded = 1.5
-	// sharedGain is the weight of one report in the tokens of each sequence that
-	// are held for others too. maxShared and maxWasted bound it, as parts of
-	// what is counted: sequences share at most half of their tokens, and the
-	// blocks of an engine waste little.
-	sharedGain = 0.1
-	maxShared  = 0.5
-	maxWasted  = 0.25
-	// endedFor is how long ended requests are remembered; it is far above
-	// the lag of reports.
-	endedFor = time.Minute
+	// marginDecay is the factor by which the added margin decays with each report:
+	// half of it is left after some twenty. At 0.99 one burst of preemptions
+	// would keep a server half empty for minutes.
+	marginDecay = 0.97
+	// maxExtraMargin limits the added margin: above it most memory would be unused.
+	maxExtraMargin = 1.5
+	// sharedWeight is the weight of one report in the average number of shared tokens
+	// of a sequence. maxSharedFraction and maxWastedFraction limit that number
+	// relative to the counted tokens: sequences share at most half of their tokens,
+	// and the block allocation of an engine wastes little.
+	sharedWeight      = 0.1
+	maxSharedFraction = 0.5
+	maxWastedFraction = 0.25
+	// endedRetention is how long ended requests are remembered, far longer than
+	// reports lag.
+	endedRetention = time.Minute
 )
 
-// Report takes in a load report. It returns what ran before a restart, or nil.
+// Report applies a load report. If it shows a restart, Report returns the requests
+// that were running before it; otherwise nil.
 func (s *Server) Report(now time.Time, r Report) *Restart {
 	if s.reported && r.Incarnation == s.report.Incarnation && r.MeasuredAt.Before(s.report.MeasuredAt) {
-		// Reports can overtake each other; an older one knows less.
+		// Reports can arrive out of order; older ones are ignored.
 		return nil
 	}
 	var restart *Restart
 	old := s.report.Incarnation
 	if s.limit.Started(r.Incarnation) {
-		restart = s.restarted(now, old)
+		restart = s.endIncarnation(now, old)
 	}
 	s.limit.Reported(r.Cold)
 	s.adjustMargin(r, restart != nil)
@@ -47,38 +48,38 @@
 		s.interval.Observe(r.Batch, float64(r.TokenInterval)/float64(time.Millisecond))
 	}
 	s.reachable = true
-	s.gone = ""
+	s.exited = ""
 	s.report = r
 	if !r.MeasuredAt.Before(s.reportAfter) {
 		s.reported = true
 	}
-	s.match(r)
+	s.matchReport(r)
 	s.adjustShared(r)
 	s.forgetEnded(now)
 	s.rebuildMemory(now)
 	return restart
 }
 
-// LastReport returns the load report that decisions rest on, if there is one.
+// LastReport returns the last load report, if there is one.
 func (s *Server) LastReport() (Report, bool) {
 	return s.report, !s.report.MeasuredAt.IsZero()
 }
 
-// restarted ends everything that ran on the incarnation before.
+// endIncarnation removes the grants of the previous incarnation and returns their
+// requests.
 //
-// A request that crashes servers mostly does so before its first token and
-// within the life of its permit. It has been sent when its connection was
-// lost; were it left out here, it would never be found out.
-func (s *Server) restarted(now time.Time, old string) *Restart {
+// A poison request mostly crashes its server before its first token and while its
+// permit is valid. A lost connection shows that it was sent, so it must be included
+// here or it would never be detected.
+func (s *Server) endIncarnation(now time.Time, old string) *Restart {
 	restart := &Restart{OldIncarnation: old}
 	for _, g := range s.grants {
 		if g.expiresAt.After(now) && g.output == 0 && g.endedAt.IsZero() {
-			// It may not have been sent yet. Its permit was for the old
-			// incarnation; it counts until it is released, which tells, or
-			// runs out.
+			// The request may not have been sent yet. Its permit, for the old
+			// incarnation, counts until it is released or expires.
 			continue
 		}
-		restart.Running = append(restart.Running, g.ask.Request)
+		restart.Running = append(restart.Running, g.request.Request)
 		s.remove(now, g)
 	}
 	s.interval = forecast.NewInterval()
@@ -88,28 +89,28 @@
 func (s *Server) adjustMargin(r Report, restarted bool) {
 	added := s.margin - forecast.DefaultMargin
 	if s.reported && !restarted && r.Preemptions > s.report.Preemptions {
-		added = min(maxAdded, added+marginStep)
+		added = min(maxExtraMargin, added+marginStep)
 	} else {
-		added *= marginKeep
+		added *= marginDecay
 	}
 	s.margin = forecast.DefaultMargin + added
 }
 
-// adjustShared learns how many tokens of each sequence the engine doesn't hold
-// for it alone. Callers of one workspace begin their prompts alike, and an engine
-// that caches prefixes keeps such a beginning once; counted for each sequence, a
-// tenth of the memory would lie idle under full load. It also takes in how far
-// the estimates of prompts are off.
+// adjustShared estimates how many tokens of a sequence are shared with others in the
+// engine's memory. Prompts of one workspace often have a common prefix, which an
+// engine with a prefix cache stores once; counting it for each sequence would leave a
+// tenth of the memory idle under full load. The estimate also corrects errors in the
+// estimated prompt lengths.
 //
-// It was a share of the counted memory before, taken off what is predicted to
-// come as well. But outputs share nothing: the better requests were placed by
-// what they share, the more of their growth was not expected.
+// It is a number of tokens rather than a fraction of the memory: a fraction would
+// also discount the predicted growth of outputs, which share nothing, so that the
+// growth is underestimated the more prefixes are shared.
 func (s *Server) adjustShared(r Report) {
 	counted := 0
 	for _, seq := range r.Sequences {
 		prompt := seq.Prompt
 		if g, ok := s.grants[seq.ID]; ok {
-			prompt = g.ask.Request.PromptTokens
+			prompt = g.request.Request.PromptTokens
 		}
 		counted += prompt + seq.Output
 	}
@@ -117,19 +118,20 @@
 		return
 	}
 	shared := float64(counted - r.Used)
-	shared = min(maxShared*float64(counted), max(-maxWasted*float64(counted), shared))
-	s.shared += sharedGain * (shared/float64(len(r.Sequences)) - s.shared)
+	shared = min(maxSharedFraction*float64(counted), max(-maxWastedFraction*float64(counted), shared))
+	s.sharedTokens += sharedWeight * (shared/float64(len(r.Sequences)) - s.sharedTokens)
 }
 
-// held is what the engine holds for n sequences that count tokens.
-func (s *Server) held(tokens float64, n int) float64 {
-	return tokens - min(maxShared*tokens, s.shared*float64(n))
+// memoryHeld returns the memory in tokens that the engine uses for n sequences with the
+// given total of tokens.
+func (s *Server) memoryHeld(tokens float64, n int) float64 {
+	return tokens - min(maxSharedFraction*tokens, s.sharedTokens*float64(n))
 }
 
-// match tells the requests of the report apart: those with a permit of this
-// owner are counted by their permit, those that have ended since not at all,
-// and the rest belong to others.
-func (s *Server) match(r Report) {
+// matchReport assigns the requests of the report: those with a permit of this owner are
+// counted by their permit, those that have ended since aren't counted, and the rest
+// are foreign.
+func (s *Server) matchReport(r Report) {
 	s.foreign = s.foreign[:0]
 	if r.Sequences == nil {
 		s.foreignCount = max(0, r.Running-s.grantedBefore(r.MeasuredAt))
@@ -138,8 +140,8 @@
 	for _, seq := range r.Sequences {
 		if g, ok := s.grants[seq.ID]; ok {
 			g.output = seq.Output
-			if seq.Output > 0 && !g.proven {
-				g.proven = true
+			if seq.Output > 0 && !g.firstTokenSeen {
+				g.firstTokenSeen = true
 				s.limit.Succeeded(g.runningAt, 0)
 			}
 			continue
@@ -152,8 +154,8 @@
 	s.foreignCount = len(s.foreign)
 }
 
-// grantedBefore counts the permits given before t, whose requests a report
-// measured at t may count.
+// grantedBefore returns the number of permits granted before t, whose requests a
+// report measured at t may include.
 func (s *Server) grantedBefore(t time.Time) int {
 	n := 0
 	for _, g := range s.grants {
@@ -161,7 +163,7 @@
 			n++
 		}
 	}
-	// Requests that ended after t were still running then.
+	// Requests that ended after t were still running at t.
 	for _, endedAt := range s.ended {
 		if t.Before(endedAt) {
 			n++
@@ -172,14 +174,14 @@
 
 func (s *Server) forgetEnded(now time.Time) {
 	for id, at := range s.ended {
-		if now.Sub(at) > endedFor {
+		if now.Sub(at) > endedRetention {
 			delete(s.ended, id)
 		}
 	}
 }
 
-// rebuildMemory predicts anew from the running set. Between reports the
-// sequences have grown: each by a token for each interval since the report.
+// rebuildMemory recomputes the memory prediction from the running requests. Since
+// the last report each sequence has grown by one token per token interval.
 func (s *Server) rebuildMemory(now time.Time) {
 	s.memory = forecast.Memory{}
 	if s.cfg.MemoryTokens == 0 {
@@ -199,7 +201,7 @@
 	}
 }
 
-// grownSince returns how many tokens a sequence has got since the report.
+// grownSince returns how many tokens a sequence has grown by since the last report.
 func (s *Server) grownSince(now time.Time) int {
 	if s.report.TokenInterval <= 0 {
 		return 0
@@ -208,7 +210,7 @@
 }
 
 func (s *Server) sequence(g *grant) forecast.Sequence {
-	req := &g.ask.Request
+	req := &g.request.Request
 	return forecast.Sequence{Prompt: req.PromptTokens, SoFar: g.output, Bound: req.MaxTokens, Curve: g.curve}
 }
 
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -10,10 +10,10 @@
 	"pollenspindle.example/pollenspindle/internal/warmup"
 )
 
-// silentFor is how long after its last report an unreachable server still lets
-// requests wait for it: a few periods of reports. One that is silent for longer
-// may stay so, and its callers are told at once.
-const silentFor = 3 * time.Second
+// maxReportAge is how long after its last report an unreachable server still queues
+// requests: a few report intervals. A server without reports for longer may not
+// recover, and its callers are refused immediately.
+const maxReportAge = 3 * time.Second
 
 // Server is the state of one backend server at its owner. It is not safe for
 // concurrent use.
@@ -25,185 +25,187 @@
 	lengths  *length.Estimator
 	queue    *queue.Queue
 
-	// grants is indexed by request id, permits by permit id.
+	// grants is indexed by request ID, permits by permit ID.
 	grants  map[string]*grant
 	permits map[string]*grant
-	// ended remembers when requests ended, since a report measured before
-	// then still names them.
+	// ended holds when requests ended, since a report measured before then still
+	// lists them.
 	ended map[string]time.Time
-	// lastAsked is when the asker of a queued request last asked.
-	lastAsked map[string]time.Time
-	asks      map[string]Ask
+	// lastPolled holds when a queued request was last polled, by request ID.
+	lastPolled     map[string]time.Time
+	queuedRequests map[string]Ask
 
-	// foreign are running requests that this owner gave no permit for.
+	// foreign are running requests without a permit of this owner.
 	foreign      []Sequence
 	foreignCount int
 	memory       forecast.Memory
 	margin       float64
-	// shared is how many tokens of a sequence the engine holds for others too.
-	shared    float64
-	report    Report
-	reported  bool
-	reachable bool
-	// reportAfter is the moment a report must be from before the first grant.
+	// sharedTokens is the average number of tokens of a sequence that the engine shares
+	// with other sequences.
+	sharedTokens float64
+	report       Report
+	reported     bool
+	reachable    bool
+	// reportAfter is the time after which a report must have been measured before
+	// the first grant.
 	reportAfter time.Time
-	// gone is the incarnation whose process has ended; empty when it has not.
-	gone string
-	// doubted is when a request last broke in a way that shows a restart.
-	doubted   time.Time
-	open      bool
-	reserve   int
-	share     int
-	running   map[string]int
-	suspects  int
-	lastProbe time.Time
+	// exited is the incarnation whose process has exited, or empty.
+	exited string
+	// suspectedRestartAt is when a request last failed in a way that suggests a restart.
+	suspectedRestartAt time.Time
+	open               bool
+	reserve            int
+	share              int
+	running            map[string]int
+	suspects           int
+	lastProbe          time.Time
 }
 
-// New returns the state of a server about which nothing is known. It gives no
-// permit before Open and a load report.
+// New returns the state of a server about which nothing is known. It grants no
+// permits before Open and a load report.
 func New(cfg Config, p Policy, lengths *length.Estimator) *Server {
 	params := queue.DefaultParams
 	if cfg.MaxQueued > 0 {
 		params.MaxItems = cfg.MaxQueued
 	}
 	return &Server{
-		cfg:       cfg,
-		policy:    p,
-		limit:     warmup.NewLimit(cfg.ColdLimit, cfg.WarmLimit),
-		interval:  forecast.NewInterval(),
-		lengths:   lengths,
-		queue:     queue.New(params),
-		grants:    map[string]*grant{},
-		permits:   map[string]*grant{},
-		ended:     map[string]time.Time{},
-		lastAsked: map[string]time.Time{},
-		asks:      map[string]Ask{},
-		margin:    forecast.DefaultMargin,
-		running:   map[string]int{},
+		cfg:            cfg,
+		policy:         p,
+		limit:          warmup.NewLimit(cfg.ColdLimit, cfg.WarmLimit),
+		interval:       forecast.NewInterval(),
+		lengths:        lengths,
+		queue:          queue.New(params),
+		grants:         map[string]*grant{},
+		permits:        map[string]*grant{},
+		ended:          map[string]time.Time{},
+		lastPolled:     map[string]time.Time{},
+		queuedRequests: map[string]Ask{},
+		margin:         forecast.DefaultMargin,
+		running:        map[string]int{},
 	}
 }
 
-// Open lets the server be given permits for once a report measured after
-// reportAfter has come. An owner that takes over starts from the server's own
-// running set: permits of the owner before it may still have been used until
-// then, and would otherwise be counted by nobody.
+// Open allows grants once a report measured after reportAfter has arrived. A new
+// owner starts from the running requests that the server reports: permits of the
+// previous owner may have been used until reportAfter, and would otherwise not be
+// counted.
 func (s *Server) Open(reportAfter time.Time) {
 	s.open = true
 	s.reportAfter = reportAfter
 	s.reported = s.reported && !s.report.MeasuredAt.Before(reportAfter)
 }
 
-// Close stops giving permits: another instance owns the server now. It returns
-// the refusals of all that wait; their askers ask the new owner.
+// Close stops granting permits because another instance owns the server now. It
+// returns a decision for each queued request, which is then sent to the new owner.
 func (s *Server) Close(now time.Time) []Decision {
 	s.open = false
 	var out []Decision
-	for id := range s.asks {
-		s.forgetAsk(id)
+	for id := range s.queuedRequests {
+		s.deleteQueued(id)
 		s.queue.Remove(id)
 		out = append(out, NotHere{RequestID: id, LoadPermille: s.LoadPermille(now)})
 	}
 	return out
 }
 
-// SetBounds changes the part of the limit that this instance hands out: it
-// leaves reserve to others and, when share is positive, takes no more than
-// share itself.
+// SetBounds sets the part of the limit that this instance may grant: it leaves
+// reserve to others and, if share is positive, has at most share grants itself.
 func (s *Server) SetBounds(reserve, share int) {
 	s.reserve, s.share = reserve, share
 }
 
-// Declare takes over a changed configuration of the server.
+// Declare applies a changed configuration of the server.
 func (s *Server) Declare(cfg Config) {
 	s.cfg = cfg
 	s.limit.Declare(cfg.ColdLimit, cfg.WarmLimit)
 }
 
-// TurnedCold puts the server back to its cold limit: its availability zone or
-// the server itself has returned.
+// TurnedCold resets the server to its cold limit, after its availability zone or
+// the server itself returned to service.
 func (s *Server) TurnedCold() {
 	s.limit.TurnedCold()
 }
 
-// Unreachable tells that the server does not answer. Nothing is granted until
-// it reports again.
+// Unreachable records that the server doesn't answer. Nothing is granted until it
+// reports again.
 func (s *Server) Unreachable() {
 	s.reachable = false
 }
 
-// Gone tells that nothing listens at the server's address any more: its process
-// has ended. It returns what is known to have ended with it.
+// Gone records that nothing listens at the server's address any more: its process
+// has exited. It returns the requests that are known to have been lost with it.
 //
-// A process that stays dead names no other start in a report. A link that refuses
-// connections looks the same; then what was lost on it is suspected in vain, until
-// it finishes elsewhere.
+// A process that isn't restarted never reports a new incarnation. A network that
+// refuses connections looks the same; then the lost requests are wrongly suspected
+// until they finish on another server.
 func (s *Server) Gone(now time.Time) *Restart {
 	s.reachable = false
-	s.gone = s.report.Incarnation
-	restart := &Restart{OldIncarnation: s.gone}
+	s.exited = s.report.Incarnation
+	restart := &Restart{OldIncarnation: s.exited}
 	for _, g := range s.grants {
-		if g.incarnation == s.gone && !g.endedAt.IsZero() {
-			restart.Running = append(restart.Running, g.ask.Request)
+		if g.incarnation == s.exited && !g.endedAt.IsZero() {
+			restart.Running = append(restart.Running, g.request.Request)
 			s.remove(now, g)
 		}
 	}
 	return restart
 }
 
-// Running returns the number of requests taken to be running: those with a
-// permit and those of others.
+// Running returns the number of requests considered running: those with a permit
+// and foreign ones.
 func (s *Server) Running() int {
 	return len(s.grants) + s.foreignCount
 }
 
-// Queued returns the number of requests that wait.
+// Queued returns the number of queued requests.
 func (s *Server) Queued() int {
 	return s.queue.Len()
 }
 
-// Limit returns how many requests may run at the same time at present.
+// Limit returns how many requests may presently run at the same time.
 func (s *Server) Limit() int {
 	return s.limit.Value()
 }
 
-// Acquire decides about one request. Asking again with the same request id
-// keeps its place, or returns the same permit if an answer was lost.
+// Acquire decides on one request. Repeating it with the same request ID keeps the
+// place in the queue, or returns the same permit if an answer was lost.
 func (s *Server) Acquire(now time.Time, a Ask) Decision {
 	id := a.Request.ID
 	if g, ok := s.grants[id]; ok {
-		return s.granted(now, g)
+		return s.grantedDecision(now, g)
 	}
 	ready := s.ready()
-	if !ready && (!a.MayQueue || !s.soonReady(now)) {
-		return s.notHere(now, id)
+	if !ready && (!a.MayQueue || !s.mayRecoverSoon(now)) {
+		return s.unavailable(now, id)
 	}
 	if _, ok := s.queue.Find(id); ok {
-		s.lastAsked[id] = now
+		s.lastPolled[id] = now
 		return Queued{RequestID: id, Ahead: s.queue.Len() - 1}
 	}
-	it := s.item(now, a)
+	it := s.newQueueItem(now, a)
 	if ready && s.queue.Len() == 0 && s.fits(now, it) {
 		s.queue.Granted(now)
 		s.queue.Charge(it.Workspace, it.Tokens, it.Weight)
 		return s.grant(now, a, now)
 	}
 	if !a.MayQueue {
-		return s.notHere(now, id)
+		return s.unavailable(now, id)
 	}
 	if refusal := s.queue.Push(now, it); refusal != nil {
 		return Refused{RequestID: id, Refusal: *refusal}
 	}
-	s.lastAsked[id] = now
-	s.asks[id] = a
+	s.lastPolled[id] = now
+	s.queuedRequests[id] = a
 	return Queued{RequestID: id, Ahead: s.queue.Len() - 1}
 }
 
-// Tick starts what fits now and ends what waited too long.
+// Tick grants the queued requests that fit now, and removes those that expired or
+// were abandoned.
 func (s *Server) Tick(now time.Time) []Decision {
-	s.forgetUnused(now)
+	s.removeUnused(now)
 	var out []Decision
 	for _, it := range s.queue.Expire(now) {
-		s.forgetAsk(it.ID)
+		s.deleteQueued(it.ID)
 		out = append(out, Refused{RequestID: it.ID, Refusal: permit.Refusal{
 			Reason: permit.ReasonDeadline, RetryAfter: s.queue.RetryAfter(s.queue.Len()),
 		}})
@@ -217,50 +219,49 @@
 		if !ok {
 			return out
 		}
-		asked := s.lastAsked[it.ID]
-		a := s.asks[it.ID]
-		s.forgetAsk(it.ID)
+		asked := s.lastPolled[it.ID]
+		a := s.queuedRequests[it.ID]
+		s.deleteQueued(it.ID)
 		out = append(out, s.grant(now, a, asked))
 	}
 }
 
-// Abandon takes out a queued request whose asker has gone.
+// Abandon removes a queued request whose sender has gone away.
 func (s *Server) Abandon(requestID string) {
 	s.queue.Remove(requestID)
-	s.forgetAsk(requestID)
+	s.deleteQueued(requestID)
 }
 
 func (s *Server) ready() bool {
-	return s.open && s.reported && s.reachable && !s.report.Leaving && !s.doubtful()
+	return s.open && s.reported && s.reachable && !s.report.Leaving && !s.grantsSuspended()
 }
 
-// soonReady reports whether a server that gives nothing now is likely to within
-// the time that requests wait anyway: a poll or two of it failed, or a connection
-// to it broke and the next report tells whether it has restarted.
+// mayRecoverSoon reports whether a server that grants nothing now is likely to recover
+// while requests wait: one or two polls failed, or a connection broke and the next
+// report shows whether the server has restarted.
 //
-// The failure without it: a link breaks for a tenth of a second while the load
-// is asked for. Until the next poll, half a second later, every request was
-// refused as overloaded, although it had many seconds left to wait. What waits
-// is granted by the first report, expires at its deadline, and its asker tries
-// other servers meanwhile.
-func (s *Server) soonReady(now time.Time) bool {
-	return s.open && s.reported && !s.report.Leaving && s.gone == "" && now.Sub(s.report.MeasuredAt) < silentFor
+// Otherwise a network interruption of a tenth of a second during a poll would refuse
+// every request as overloaded until the next poll, half a second later, although the
+// requests could wait for many seconds. Queued requests are granted after the next
+// report or expire at their deadline, and their senders try other servers meanwhile.
+func (s *Server) mayRecoverSoon(now time.Time) bool {
+	return s.open && s.reported && !s.report.Leaving && s.exited == "" && now.Sub(s.report.MeasuredAt) < maxReportAge
 }
 
-func (s *Server) notHere(now time.Time, id string) Decision {
+func (s *Server) unavailable(now time.Time, id string) Decision {
 	return NotHere{RequestID: id, LoadPermille: s.LoadPermille(now), RetryAfter: s.queue.RetryAfter(s.queue.Len())}
 }
 
-func (s *Server) forgetAsk(id string) {
-	delete(s.asks, id)
-	delete(s.lastAsked, id)
+func (s *Server) deleteQueued(id string) {
+	delete(s.queuedRequests, id)
+	delete(s.lastPolled, id)
 }
 
-// dropAbandoned takes out queued requests whose askers no longer ask: they
-// died, or their caller went away. They would hold their place and then a
-// permit that nobody uses.
+// dropAbandoned removes queued requests that are no longer polled because their
+// sender crashed or their caller went away. They would hold a place in the queue
+// and then an unused permit.
 func (s *Server) dropAbandoned(now time.Time) {
-	for id, asked := range s.lastAsked {
+	for id, asked := range s.lastPolled {
 		if now.Sub(asked) > s.cfg.AskFor {
 			s.Abandon(id)
 		}
--- a/internal/admission/held_test.go
+++ b/internal/admission/shared_test.go
@@ -11,19 +11,20 @@
 	"pollenspindle.example/pollenspindle/internal/length"
 )
 
-func TestSharedBeginningsOfPromptsLeaveRoom(t *testing.T) {
-	// Twelve sequences count 15,600 of 16,000 tokens, so that no other fits.
-	// How many the engine really holds for them decides; a report that says
-	// absurdly little, or nothing, must not open the server wide.
+func TestSharedPrefixesLeaveMemoryFree(t *testing.T) {
+	// Twelve sequences amount to 15,600 of 16,000 tokens, so that no other fits
+	// unless the engine reports that it holds less because of shared prefixes.
+	// Guards against admitting without limit when a report gives an implausibly
+	// low value, or none.
 	tests := map[string]struct {
 		used int
 		fits bool
 	}{
 		"nothing shared":  {used: 15600},
-		"not told":        {used: 0},
+		"not reported":    {used: 0},
 		"a third shared":  {used: 10400, fits: true},
-		"blocks waste":    {used: 17000},
-		"absurdly little": {used: 1, fits: true},
+		"block overhead":  {used: 17000},
+		"implausibly low": {used: 1, fits: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -35,21 +36,21 @@
 	}
 }
 
-// Beginnings that are shared leave as much room as they take, and no more: what
-// the outputs will grow by is held for each. 300 of 900 tokens of twelve prompts
-// are the same, of which eleven copies aren't held.
-func TestOutputsShareNothing(t *testing.T) {
+// Guards against discounting the growth of outputs for shared prefixes: only prompts
+// share memory. 300 of 900 tokens of twelve prompts are the same, so that eleven
+// copies of them aren't held.
+func TestSharedPrefixesDoNotDiscountOutputs(t *testing.T) {
 	const copies = 11 * 300
 	alone, now := reporting(900, 12*1000)
 	shared, _ := reporting(900, 12*1000-copies)
-	room := alone.LoadPermille(now) - shared.LoadPermille(now)
-	require.InDelta(t, copies*1000/cfg.MemoryTokens, room, 5)
+	freed := alone.LoadPermille(now) - shared.LoadPermille(now)
+	require.InDelta(t, copies*1000/cfg.MemoryTokens, freed, 5)
 }
 
-// reporting returns a server that has reported twelve sequences with 100 tokens
-// of output each for half a minute, and how much memory it uses for them.
+// reporting returns a server that for half a minute has reported twelve sequences
+// with 100 tokens of output each, and used tokens of memory.
 func reporting(prompt, used int) (s *admission.Server, now time.Time) {
-	// Memory is to decide, not the number of requests.
+	// The limits are high enough that memory decides.
 	warm := cfg
 	warm.ColdLimit, warm.WarmLimit = 64, 64
 	s = admission.New(warm, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -1,11 +1,11 @@
 // Package admission decides which requests start on one backend server, which
-// wait, and which are refused. It holds no sockets and starts no goroutines.
+// are queued, and which are refused. It does no I/O and starts no goroutines.
 //
-// It is for engines that hold generations of unknown length in bounded memory.
-// The harms it prevents: memory that fills while everything decodes, so that
-// the engine preempts and callers' streams stall; a batch so large that every
-// stream gets slow; a cold server that crashes; a queue inside the engine,
-// where nobody can be refused in time.
+// It is for engines that run generations of unknown length in limited memory. It
+// prevents memory exhaustion while sequences decode, after which the engine preempts
+// and streams stall; batches so large that every stream is slow; overload of a cold
+// server, which crashes; and a queue inside the engine, where requests can't be
+// refused in time.
 //
 // # Usage
 //
@@ -15,7 +15,7 @@
 //	switch d := s.Acquire(now, ask).(type) {
 //	case admission.Granted:           // send a permit
 //	case admission.Queued:            // answer later, from Tick
-//	case admission.Refused:           // final, with a time to come back
+//	case admission.Refused:           // final, with a Retry-After
 //	case admission.NotHere:           // try another backend server
 //	}
 //	for _, d := range s.Tick(now) {}  // grants and refusals of queued requests
@@ -28,35 +28,35 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// Config is what is declared of a backend server, and the timing of permits.
+// Config is the declared configuration of a backend server and the timing of permits.
 type Config struct {
 	Name string
 	// ColdLimit and WarmLimit are numbers of requests.
 	ColdLimit, WarmLimit int
-	// MemoryTokens is the engine's memory; 0 for a plain service.
+	// MemoryTokens is the engine's memory in tokens; 0 for a plain service.
 	MemoryTokens int
-	// TokenInterval is the target between tokens; 0 for a plain service.
+	// TokenInterval is the target time between tokens; 0 for a plain service.
 	TokenInterval time.Duration
 	// PermitFor is how long a permit may be used, from the receipt of the
-	// call that it answers.
+	// request for it.
 	PermitFor time.Duration
-	// AskFor is how long a queued request keeps its place without its asker
-	// asking again.
+	// AskFor is how long a queued request keeps its place in the queue without
+	// being polled.
 	AskFor time.Duration
-	// MaxQueued bounds the queue; 0 takes the default of package queue.
+	// MaxQueued limits the queue; 0 means the default of package queue.
 	MaxQueued int
 }
 
-// Policy is how admission decides. It is sealed: [Predicted], or one of the
-// baselines [FixedLimit] and [Unlimited].
+// Policy selects how requests are admitted. It is sealed: [Predicted], or one of
+// the baselines [FixedLimit] and [Unlimited].
 type Policy interface{ policy() }
 
-// Predicted admits by predicted memory and learned time between tokens.
+// Predicted admits by the predicted memory use and time between tokens.
 type Predicted struct{}
 
 // FixedLimit admits a fixed number of requests, first come first served.
 type FixedLimit struct {
-	// Limit is the number; 0 takes the declared warm limit.
+	// Limit is the number of requests; 0 means the declared warm limit.
 	Limit int
 }
 
@@ -70,15 +70,14 @@
 // Ask is a request for a permit.
 type Ask struct {
 	Request permit.Request
-	// PermitID names the permit if one is given.
+	// PermitID is the ID of the permit if one is granted.
 	PermitID string
 	// Weight, MaxRunning and MaxQueued are those of the workspace.
 	Weight, MaxRunning, MaxQueued int
-	// MayQueue allows the request to wait here. Without it the answer is a
-	// permit now, a refusal, or [NotHere].
+	// MayQueue allows the request to be queued. Without it the answer is a
+	// permit, a refusal, or [NotHere].
 	MayQueue bool
-	// Suspect marks a request that was running when a server crashed; see
-	// package suspect.
+	// Suspect marks a crash suspect; see package suspect.
 	Suspect bool
 }
 
@@ -86,31 +85,32 @@
 // [Refused] or [NotHere].
 type Decision interface{ decision() }
 
-// Granted gives a permit.
+// Granted grants a permit.
 type Granted struct {
 	RequestID         string
 	PermitID          string
 	ServerIncarnation string
-	// ExpiresAt is when the permit ends by the owner's clock.
+	// ExpiresAt is when the permit expires by the owner's clock.
 	ExpiresAt time.Time
-	// LoadPermille is the share of the server that is in use with this request.
+	// LoadPermille is the utilization of the server including this request.
 	LoadPermille int
 }
 
-// Queued says that the request waits; Tick will name it again.
+// Queued means that the request is queued; Tick returns the final decision. Ahead
+// is the number of other requests in the queue.
 type Queued struct {
 	RequestID string
 	Ahead     int
 }
 
-// Refused is final.
+// Refused is the final refusal of the request.
 type Refused struct {
 	RequestID string
 	Refusal   permit.Refusal
 }
 
-// NotHere says that another server may be better. LoadPermille is the share of
-// this one that is in use; 1000 and more is full.
+// NotHere means that this server can't take the request now and another may be
+// better. LoadPermille is the utilization of this server; 1000 or more is full.
 type NotHere struct {
 	RequestID    string
 	LoadPermille int
@@ -122,7 +122,8 @@
 func (Refused) decision() {}
 func (NotHere) decision() {}
 
-// Sequence is one running request as the engine reports it, in tokens.
+// Sequence is one running request as reported by the engine. Prompt and Output are
+// in tokens.
 type Sequence struct {
 	ID             string
 	Prompt, Output int
@@ -131,27 +132,28 @@
 // Report is a load report.
 type Report struct {
 	Incarnation string
-	// MeasuredAt is when the server measured, by the owner's clock: the
-	// moment of receipt less the age that the report gives.
+	// MeasuredAt is when the report was measured, by the owner's clock: the time
+	// of receipt minus the age given in the report.
 	MeasuredAt time.Time
-	// Cold and Leaving are what the server says of itself.
+	// Cold and Leaving are the server's own state.
 	Cold, Leaving bool
 	// Running is the number of requests that run or wait in the server.
 	Running int
-	// Sequences names them; nil when the server only counts.
+	// Sequences lists the requests; nil if the server reports only their number.
 	Sequences []Sequence
-	// Used is the memory that the sequences which decode hold, in tokens; 0
-	// when the server doesn't tell.
+	// Used is the memory of the decoding sequences, in tokens; 0 if the server
+	// doesn't report it.
 	Used int
-	// Batch is the number that decode, TokenInterval the time between tokens.
+	// Batch is the number of decoding sequences, TokenInterval the time between
+	// tokens.
 	Batch         int
 	TokenInterval time.Duration
-	// Preemptions counts them since the incarnation started.
+	// Preemptions is the number of preemptions since the incarnation started.
 	Preemptions int
 }
 
-// Restart tells that the server came back as another incarnation, and which
-// requests were running on the one before.
+// Restart means that an incarnation of the server ended. Running are the requests
+// that were running on it.
 type Restart struct {
 	OldIncarnation string
 	Running        []permit.Request
