--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,20 +1,20 @@
 // Package queue orders the requests that wait for one backend server.
 //
-// It is for demand above what the server can handle, a few large workspaces among
-// many small ones, and long work mixed with short. It prevents three harms: a
-// large workspace that crowds out the small ones, patient work that never
-// runs, and requests that wait only to be refused when their time is up.
+// It is for demand above the server's capacity, a few large workspaces among many
+// small ones, and long requests mixed with short ones. It prevents that a large
+// workspace starves the small ones, that patient work never runs, and that requests
+// wait only to be refused at their deadline.
 //
 // Workspaces share by tokens, not by requests: each has a virtual time that
-// advances by tokens over weight, and the one furthest behind goes next
-// (start-time fair queueing). Patient work is passed over while interactive
-// work waits, but gets every fifth grant.
+// advances by tokens divided by weight, and the one furthest behind goes next
+// (start-time fair queueing). Interactive work takes precedence over patient work,
+// which gets every fifth grant.
 //
 // # Usage
 //
 //	q := queue.New(queue.DefaultParams)
 //	if refused := q.Push(now, item); refused != nil {
-//		// answer at once
+//		// answer immediately
 //	}
 //	item, ok := q.Next(now, func(it *queue.Item) bool { return fits(it) })
 //	q.Charge(item.Workspace, extraTokens, item.Weight)
@@ -30,21 +30,21 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Params bounds a queue.
+// Params configures a [Queue].
 type Params struct {
-	// MaxItems bounds the queue. Beyond it waiting only adds to the time that
-	// every caller waits, as the server is no faster for it.
+	// MaxItems limits the queue. A longer queue only adds to the time that every
+	// caller waits, since the server doesn't get faster.
 	MaxItems int
 	// PatientEvery is the number of grants of which one goes to patient work
 	// while both classes wait. Five leaves interactive work four fifths and
-	// bounds the wait of patient work to five times its own line.
+	// limits the wait of patient work to five times its own queue.
 	PatientEvery int
-	// ScanWorkspaces is how many workspaces are looked at for a request that
-	// fits when the first does not. It bounds the cost of a decision.
+	// ScanWorkspaces is how many workspaces are searched for a request that fits
+	// when the first one doesn't. It limits the cost of a decision.
 	ScanWorkspaces int
-	// MaxBypass is how often a request that is next but too large for the
-	// free memory is overtaken. Then nothing else goes until it fits;
-	// otherwise small requests would use up every bit that gets free.
+	// MaxBypass is how often a request that is next but too large for the free
+	// memory may be overtaken. After that nothing else starts until it fits;
+	// otherwise small requests would use up all memory that is freed.
 	MaxBypass int
 }
 
@@ -52,34 +52,34 @@
 var DefaultParams = Params{MaxItems: 256, PatientEvery: 5, ScanWorkspaces: 8, MaxBypass: 16}
 
 const (
-	// drainWeight is the weight of the newest gap between grants in the
-	// measured drain rate: about the last sixteen grants count.
-	drainWeight = 1.0 / 16
-	// initialGap is the gap between grants assumed before anything waited.
-	initialGap = 250 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound what refused callers are told.
-	// Less than the lower bound only brings the same refusal again, more than
-	// the upper one outlives what is known of the load.
+	// grantIntervalWeight is the weight of the newest interval between grants in the
+	// moving average: about the last sixteen grants count.
+	grantIntervalWeight = 1.0 / 16
+	// initialGrantInterval is assumed before any intervals were measured.
+	initialGrantInterval = 250 * time.Millisecond
+	// minRetryAfter and maxRetryAfter limit the Retry-After of refusals. Sooner
+	// than the minimum a retry is refused again; later than the maximum the
+	// measured load is out of date.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// Item is a request that waits.
+// Item is a queued request.
 type Item struct {
 	ID        string
 	Workspace string
 	Class     pollenspindle.Class
 	// Weight is the workspace's share, at least 1.
 	Weight int
-	// MaxQueued bounds the items of the workspace in this queue; 0 means none.
+	// MaxQueued limits the items of the workspace in this queue; 0 means no limit.
 	MaxQueued int
-	// Tokens is what the request is expected to cost: prompt and output.
+	// Tokens is the expected cost of the request: prompt and output tokens.
 	Tokens float64
-	// Deadline is when it must have started.
+	// Deadline is when the request must have started.
 	Deadline time.Time
-	// Request is the permit request behind the item.
+	// Request is the permit request of the item.
 	Request permit.Request
-	// Suspect and MaxRunning are for the caller's own check of what fits.
+	// Suspect and MaxRunning are for the fits function of [Queue.Next].
 	Suspect    bool
 	MaxRunning int
 
@@ -90,48 +90,49 @@
 // Queue is the queue of one backend server. It is not safe for concurrent use.
 type Queue struct {
 	params      Params
-	interactive class
-	patient     class
+	interactive classQueue
+	patient     classQueue
 	byID        map[string]*Item
 	queued      map[string]int
-	// virtual is the virtual time of the last grant; service[w] that up to
-	// which workspace w has been served.
-	virtual float64
-	service map[string]float64
-	// sincePatient counts interactive grants while patient work waited.
+	// virtualTime is the virtual time of the last grant, and served[w] that of
+	// workspace w.
+	virtualTime float64
+	served      map[string]float64
+	// sincePatient counts interactive grants since the last patient one while
+	// patient work waited.
 	sincePatient int
-	// gap is the mean time in which a place gets free while requests wait.
-	gap       time.Duration
-	lastGrant time.Time
+	// grantInterval is the mean time between grants while requests wait.
+	grantInterval time.Duration
+	lastGrant     time.Time
 }
 
 // New returns an empty queue.
 func New(p Params) *Queue {
 	return &Queue{
-		params:      p,
-		interactive: class{byName: map[string]*line{}},
-		patient:     class{byName: map[string]*line{}},
-		byID:        map[string]*Item{},
-		queued:      map[string]int{},
-		service:     map[string]float64{},
-		gap:         initialGap,
+		params:        p,
+		interactive:   classQueue{byWorkspace: map[string]*workspaceQueue{}},
+		patient:       classQueue{byWorkspace: map[string]*workspaceQueue{}},
+		byID:          map[string]*Item{},
+		queued:        map[string]int{},
+		served:        map[string]float64{},
+		grantInterval: initialGrantInterval,
 	}
 }
 
-// Len returns the number of items that wait.
+// Len returns the number of queued items.
 func (q *Queue) Len() int {
 	return q.interactive.items + q.patient.items
 }
 
-// Find returns the waiting item with the given id.
+// Find returns the queued item with the given ID.
 func (q *Queue) Find(id string) (*Item, bool) {
 	it, ok := q.byID[id]
 	return it, ok
 }
 
-// Push adds it, or returns why it is refused. A request whose turn would come
-// after its deadline is refused now: waiting would only keep its caller from
-// going elsewhere.
+// Push adds an item, or returns a refusal. A request that is expected to start after
+// its deadline is refused immediately: waiting would only keep its caller from trying
+// elsewhere.
 func (q *Queue) Push(now time.Time, it *Item) *permit.Refusal {
 	if it.MaxQueued > 0 && q.queued[it.Workspace] >= it.MaxQueued {
 		return &permit.Refusal{Reason: permit.ReasonWorkspace, RetryAfter: q.RetryAfter(q.queued[it.Workspace])}
@@ -139,46 +140,46 @@
 	if q.Len() >= q.params.MaxItems {
 		return &permit.Refusal{Reason: permit.ReasonQueueFull, RetryAfter: q.RetryAfter(q.Len())}
 	}
-	ahead := q.ahead(it)
-	if wait := q.waitFor(now, ahead); now.Add(wait).After(it.Deadline) {
+	ahead := q.itemsAhead(it)
+	if wait := q.expectedWait(now, ahead); now.Add(wait).After(it.Deadline) {
 		return &permit.Refusal{Reason: permit.ReasonDeadline, RetryAfter: q.RetryAfter(ahead)}
 	}
 	q.add(it)
 	return nil
 }
 
-// RetryAfter returns when coming back is worthwhile for a caller that would
-// have n requests ahead of it, from the measured drain rate.
+// RetryAfter returns when a caller with n requests ahead of it should retry,
+// according to the measured drain rate.
 func (q *Queue) RetryAfter(n int) time.Duration {
-	d := time.Duration(n+1) * q.gap
+	d := time.Duration(n+1) * q.grantInterval
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// Next takes the item out that is to start now, if one fits.
+// Next removes and returns the item to start next, if one fits.
 func (q *Queue) Next(now time.Time, fits func(*Item) bool) (*Item, bool) {
 	first, second := &q.interactive, &q.patient
 	if q.sincePatient >= q.params.PatientEvery-1 && q.patient.items > 0 {
 		first, second = second, first
 	}
-	it, reserved := q.nextOf(first, fits)
+	it, reserved := q.nextInClass(first, fits)
 	if it == nil && !reserved {
-		it, _ = q.nextOf(second, fits)
+		it, _ = q.nextInClass(second, fits)
 	}
 	if it == nil {
 		return nil, false
 	}
-	q.granted(now, it)
+	q.chargeGrant(now, it)
 	return it, true
 }
 
-// Remove takes out an item whose caller has gone.
+// Remove removes an item whose caller has gone.
 func (q *Queue) Remove(id string) {
 	if it, ok := q.byID[id]; ok {
-		q.drop(it)
+		q.discard(it)
 	}
 }
 
-// Expire takes out the items whose deadline has passed.
+// Expire removes and returns the items whose deadline has passed.
 func (q *Queue) Expire(now time.Time) []*Item {
 	var expired []*Item
 	for _, it := range q.byID {
@@ -186,23 +187,23 @@
 			expired = append(expired, it)
 		}
 	}
-	// In one order, so that the same events give the same decisions.
+	// Sorted, so that the same events give the same decisions.
 	slices.SortFunc(expired, func(a, b *Item) int {
 		return cmp.Or(a.Deadline.Compare(b.Deadline), cmp.Compare(a.ID, b.ID))
 	})
 	for _, it := range expired {
-		q.drop(it)
+		q.discard(it)
 	}
 	return expired
 }
 
-// Charge corrects what a workspace was charged for, in tokens: outputs longer
-// or shorter than expected, or work that never ran.
+// Charge adjusts the tokens that a workspace was charged for, when outputs were
+// longer or shorter than expected or a request never ran.
 func (q *Queue) Charge(workspace string, tokens float64, weight int) {
-	q.service[workspace] += tokens / float64(max(1, weight))
+	q.served[workspace] += tokens / float64(max(1, weight))
 }
 
-func (q *Queue) classOf(it *Item) *class {
+func (q *Queue) classOf(it *Item) *classQueue {
 	if it.Class == pollenspindle.ClassPatient {
 		return &q.patient
 	}
@@ -211,14 +212,14 @@
 
 func (q *Queue) add(it *Item) {
 	c := q.classOf(it)
-	ln, ok := c.byName[it.Workspace]
+	ln, ok := c.byWorkspace[it.Workspace]
 	if !ok {
-		ln = &line{workspace: it.Workspace}
-		c.byName[it.Workspace] = ln
-		// A workspace that was idle starts level with the others: it neither
-		// owes for the past nor saves up a burst.
-		q.service[it.Workspace] = max(q.service[it.Workspace], q.virtual)
-		ln.finish = q.service[it.Workspace]
+		ln = &workspaceQueue{workspace: it.Workspace}
+		c.byWorkspace[it.Workspace] = ln
+		// A workspace that was idle starts at the present virtual time: idle time
+		// gives it no credit for a burst.
+		q.served[it.Workspace] = max(q.served[it.Workspace], q.virtualTime)
+		ln.finish = q.served[it.Workspace]
 		heap.Push(&c.heap, ln)
 	}
 	ln.items = append(ln.items, it)
@@ -227,13 +228,14 @@
 	q.queued[it.Workspace]++
 }
 
-// drop marks an item; its line forgets it when its turn comes.
-func (q *Queue) drop(it *Item) {
+// discard marks an item as removed; it leaves its workspace queue when it gets to the
+// front.
+func (q *Queue) discard(it *Item) {
 	it.removed = true
-	q.forget(it)
+	q.unindex(it)
 }
 
-func (q *Queue) forget(it *Item) {
+func (q *Queue) unindex(it *Item) {
 	q.classOf(it).items--
 	delete(q.byID, it.ID)
 	q.queued[it.Workspace]--
@@ -242,33 +244,33 @@
 	}
 }
 
-// nextOf looks for the next item of a class. Reserved means that one has been
-// overtaken often enough and the others wait until it fits.
-func (q *Queue) nextOf(c *class, fits func(*Item) bool) (found *Item, reserved bool) {
-	var passed []*line
+// nextInClass returns the next item of a class that fits. Reserved means that an item
+// has been overtaken MaxBypass times and the others wait until it fits.
+func (q *Queue) nextInClass(c *classQueue, fits func(*Item) bool) (found *Item, reserved bool) {
+	var examined []*workspaceQueue
 	defer func() {
-		for _, ln := range passed {
+		for _, ln := range examined {
 			heap.Push(&c.heap, ln)
 		}
 	}()
-	for len(c.heap) > 0 && len(passed) < q.params.ScanWorkspaces {
-		ln := heap.Pop(&c.heap).(*line)
+	for len(c.heap) > 0 && len(examined) < q.params.ScanWorkspaces {
+		ln := heap.Pop(&c.heap).(*workspaceQueue)
 		ln.skipRemoved()
 		if len(ln.items) == 0 {
-			delete(c.byName, ln.workspace)
+			delete(c.byWorkspace, ln.workspace)
 			continue
 		}
-		// The line may have been charged since it was last ordered.
-		if s := q.service[ln.workspace]; s > ln.finish {
+		// The workspace may have been charged since the heap was ordered.
+		if s := q.served[ln.workspace]; s > ln.finish {
 			ln.finish = s
 			heap.Push(&c.heap, ln)
 			continue
 		}
 		it := ln.items[0]
-		passed = append(passed, ln)
+		examined = append(examined, ln)
 		if fits(it) {
 			ln.items = ln.items[1:]
-			q.bypass(passed[:len(passed)-1])
+			q.recordBypass(examined[:len(examined)-1])
 			return it, false
 		}
 		if it.bypassed >= q.params.MaxBypass {
@@ -278,66 +280,63 @@
 	return nil, false
 }
 
-// bypass notes that the first items of lines were overtaken.
-func (q *Queue) bypass(overtaken []*line) {
+// recordBypass records that the first items of the given queues were overtaken.
+func (q *Queue) recordBypass(overtaken []*workspaceQueue) {
 	for _, ln := range overtaken {
 		ln.items[0].bypassed++
 	}
 }
 
-func (q *Queue) granted(now time.Time, it *Item) {
-	q.forget(it)
+func (q *Queue) chargeGrant(now time.Time, it *Item) {
+	q.unindex(it)
 	if it.Class == pollenspindle.ClassPatient {
 		q.sincePatient = 0
 	} else if q.patient.items > 0 {
 		q.sincePatient++
 	}
-	q.virtual = max(q.virtual, q.service[it.Workspace])
+	q.virtualTime = max(q.virtualTime, q.served[it.Workspace])
 	q.Charge(it.Workspace, it.Tokens, it.Weight)
 	if !q.lastGrant.IsZero() {
-		gap := min(now.Sub(q.lastGrant), maxRetryAfter)
-		q.gap += time.Duration(drainWeight * float64(gap-q.gap))
+		interval := min(now.Sub(q.lastGrant), maxRetryAfter)
+		q.grantInterval += time.Duration(grantIntervalWeight * float64(interval-q.grantInterval))
 	}
 	q.lastGrant = now
 }
 
-// Granted notes a start that did not come out of the queue. Nothing waited, so
-// the time since the start before tells of the demand, not of the server, and
-// isn't learned from.
-//
-// Learned from, a calm time would have a burst refused that the server could start
-// at once.
+// Granted records a grant that didn't pass through the queue. Nothing waited, so the
+// time since the previous grant depends on the demand and not on the server; it isn't
+// included in the drain rate. Otherwise, after a time of low demand, a burst that the
+// server could start immediately would be refused.
 func (q *Queue) Granted(now time.Time) {
 	q.lastGrant = now
 }
 
-// waitFor returns the expected wait behind ahead items.
-func (q *Queue) waitFor(now time.Time, ahead int) time.Duration {
-	gap := q.gap
-	// When the server has started nothing for longer than usual, the recent
-	// past says more than the average.
+// expectedWait returns the expected wait with ahead items in front.
+func (q *Queue) expectedWait(now time.Time, ahead int) time.Duration {
+	interval := q.grantInterval
+	// If the time since the last grant already exceeds the average, it is the
+	// better estimate.
 	if !q.lastGrant.IsZero() && q.Len() > 0 {
-		gap = max(gap, now.Sub(q.lastGrant))
+		interval = max(interval, now.Sub(q.lastGrant))
 	}
-	return time.Duration(ahead) * min(gap, maxRetryAfter)
+	return time.Duration(ahead) * min(interval, maxRetryAfter)
 }
 
-// ahead returns how many items would start before it, under the fair order: of
-// each other workspace as many as its weight gives it while the items of this
-// workspace that wait already have their turn.
-func (q *Queue) ahead(it *Item) int {
+// itemsAhead returns how many items would start before it in fair order: those of its
+// own workspace, and of each other workspace as many as its weight allows until then.
+func (q *Queue) itemsAhead(it *Item) int {
 	own := q.queued[it.Workspace]
-	turns := float64(own+1) / float64(max(1, it.Weight))
+	rounds := float64(own+1) / float64(max(1, it.Weight))
 	n := float64(own)
-	for name, ln := range q.classOf(it).byName {
+	for name, ln := range q.classOf(it).byWorkspace {
 		if name == it.Workspace || len(ln.items) == 0 {
 			continue
 		}
-		n += min(float64(len(ln.items)), turns*float64(max(1, ln.items[0].Weight)))
+		n += min(float64(len(ln.items)), rounds*float64(max(1, ln.items[0].Weight)))
 	}
 	if it.Class == pollenspindle.ClassPatient {
-		patientTurns := float64((q.params.PatientEvery - 1)) * (n + 1)
-		n += min(float64(q.interactive.items), patientTurns)
+		patientRounds := float64((q.params.PatientEvery - 1)) * (n + 1)
+		n += min(float64(q.interactive.items), patientRounds)
 	}
 	return int(n)
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -22,11 +22,11 @@
 	}
 }
 
-func everything(*queue.Item) bool { return true }
+func fitsAll(*queue.Item) bool { return true }
 
 func TestWorkspacesShareByTokens(t *testing.T) {
-	// One large workspace floods the queue with long work; small ones ask for
-	// little. Callers of the small ones must not wait behind the flood.
+	// Guards against a large workspace with many long requests making the callers
+	// of small workspaces wait behind them.
 	tests := map[string]struct {
 		weights map[string]int
 		tokens  map[string]float64
@@ -57,7 +57,7 @@
 			}
 			served, total := map[string]float64{}, 0.0
 			for total < 200_000 {
-				it, ok := q.Next(start, everything)
+				it, ok := q.Next(start, fitsAll)
 				require.True(t, ok)
 				served[it.Workspace] += it.Tokens
 				total += it.Tokens
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestPatientWorkIsPassedOverButRuns(t *testing.T) {
+func TestPatientWorkIsNotStarved(t *testing.T) {
 	q := queue.New(queue.DefaultParams)
 	for i := range 100 {
 		require.Nil(t, q.Push(start, item(fmt.Sprint("i", i), "club", 10)))
@@ -78,7 +78,7 @@
 	late.Class = pollenspindle.ClassPatient
 	require.Nil(t, q.Push(start, late))
 	for n := 1; ; n++ {
-		it, ok := q.Next(start, everything)
+		it, ok := q.Next(start, fitsAll)
 		require.True(t, ok)
 		if it.ID == "p" {
 			require.Equal(t, queue.DefaultParams.PatientEvery, n)
@@ -88,8 +88,9 @@
 }
 
 func TestLargeRequestIsNotStarvedBySmallOnes(t *testing.T) {
-	// A large request is next but needs more memory than is free. Small ones
-	// overtake it for a while; then the queue holds memory back for it.
+	// Guards against a large request that is next but doesn't fit into the free
+	// memory waiting forever: small ones may overtake it only a limited number of
+	// times.
 	q := queue.New(queue.DefaultParams)
 	require.Nil(t, q.Push(start, item("large", "a", 5000)))
 	small := func(it *queue.Item) bool { return it.Tokens < 1000 }
@@ -100,14 +101,14 @@
 			overtaken++
 		}
 	}
-	// The first small one may go before it by an even virtual time.
+	// The first small one may precede it because their virtual times are equal.
 	require.InDelta(t, queue.DefaultParams.MaxBypass, overtaken, 1)
-	it, ok := q.Next(start, everything)
+	it, ok := q.Next(start, fitsAll)
 	require.True(t, ok)
 	require.Equal(t, "large", it.ID)
 }
 
-func TestRefusalsComeAtOnceWithATime(t *testing.T) {
+func TestPushRefusesWithRetryAfter(t *testing.T) {
 	tests := map[string]struct {
 		prepare func(q *queue.Queue)
 		item    func() *queue.Item
@@ -118,7 +119,7 @@
 			item:    func() *queue.Item { return item("x", "new", 1) },
 			reason:  permit.ReasonQueueFull,
 		},
-		"workspace has enough queued": {
+		"workspace limit reached": {
 			prepare: func(q *queue.Queue) { fill(q, 3) },
 			item: func() *queue.Item {
 				it := item("x", "w", 1)
@@ -127,7 +128,7 @@
 			},
 			reason: permit.ReasonWorkspace,
 		},
-		"its turn comes after its deadline": {
+		"expected start after the deadline": {
 			prepare: func(q *queue.Queue) { fill(q, 100) },
 			item: func() *queue.Item {
 				it := item("x", "w", 1)
@@ -175,11 +176,10 @@
 	require.InDelta(t, 10, retryAfter(time.Second).Seconds(), 0.2)
 }
 
-// Callers of a burst after a calm time are queued, and a refused one is told to
-// come back soon. One request in ten seconds started at once; then one fills the
-// server and twenty more come at the same moment. The ten seconds tell of the
-// demand before, not of how soon places get free.
-func TestCalmDemandIsNotASlowServer(t *testing.T) {
+// Guards against mistaking low demand for a slow server: after one immediate grant
+// every ten seconds, a burst of twenty requests must be queued, and get a short
+// Retry-After, since the interval says nothing about how soon slots are freed.
+func TestLowDemandIsNotASlowServer(t *testing.T) {
 	q := queue.New(queue.DefaultParams)
 	now := start
 	for range 100 {
@@ -194,9 +194,9 @@
 	require.LessOrEqual(t, q.RetryAfter(q.Len()), 10*time.Second)
 }
 
-func TestSmallWorkspaceIsAdmittedBehindAFlood(t *testing.T) {
-	// A hundred requests of a large workspace wait. A caller of a small one
-	// with little time must not be refused for them: its turn comes next.
+func TestSmallWorkspaceIsQueuedBehindALargeOne(t *testing.T) {
+	// Guards against refusing a request of a small workspace with a close deadline
+	// because a hundred requests of a large one are queued: it is next in turn.
 	q := queue.New(queue.DefaultParams)
 	fill(q, 100)
 	it := item("x", "small", 1)
@@ -232,7 +232,7 @@
 				require.True(t, waiting[it.ID])
 				delete(waiting, it.ID)
 			}
-			if it, ok := q.Next(now, everything); ok {
+			if it, ok := q.Next(now, fitsAll); ok {
 				require.True(t, waiting[it.ID], "item started twice or after its end")
 				delete(waiting, it.ID)
 			}
@@ -252,7 +252,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		it, _ := q.Next(start, everything)
+		it, _ := q.Next(start, fitsAll)
 		_ = q.Push(start, it)
 	}
 }
