--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,9 +1,9 @@
-// Package retry decides whether work that failed is tried again: pure, with
-// the present time and the random source as arguments.
+// Package retry decides whether failed work is retried. It does no I/O; the present
+// time and the random source are arguments.
 //
 // # Usage
 //
-//	budget := retry.NewBudget()
+//	budget := retry.NewBudget(now)
 //	decision := budget.Decide(now, rng, retry.Attempt{Number: 1, Cause: retry.CauseNotSent})
 //	if again, ok := decision.(retry.Again); ok {
 //		// wait again.After, then try elsewhere.
@@ -16,23 +16,23 @@
 )
 
 const (
-	// successShare is what one success adds: servers with normal headroom can take a
-	// tenth more than the demand.
+	// successShare is the number of retries that a success adds: servers with
+	// normal headroom can take a tenth more than the demand.
 	successShare = 0.1
-	// maxTokens bounds what a quiet, healthy hour saves up, so that a failure
-	// after it can't set off a burst; ten is one small server's warm share.
+	// maxTokens limits the retries saved up during a healthy period, so that a
+	// failure after it can't cause a burst; ten is one small server's warm share.
 	maxTokens = 10.0
-	// floorPerSecond lets a service with little traffic retry at all: with no
-	// successes there is no share to spend.
+	// floorPerSecond is the minimum rate of retries, for a service whose traffic is
+	// too low for successes to add any.
 	floorPerSecond = 0.2
-	// maxAttempts bounds one request. Every further attempt tells less: after
-	// three servers the fault is seldom the server's.
+	// maxAttempts limits the attempts of one request: after three servers the
+	// fault is seldom the server's.
 	maxAttempts = 3
 	// maxLostAttempts is lower: a request that was lost on two servers is more
 	// likely the cause than the victim.
 	maxLostAttempts = 2
-	// baseDelay and maxDelay bound the backoff. Full jitter spreads requests
-	// that failed at the same moment, which else return at the same moment.
+	// baseDelay and maxDelay limit the backoff. Full jitter spreads the retries
+	// of requests that failed at the same moment.
 	baseDelay = 20 * time.Millisecond
 	maxDelay  = 500 * time.Millisecond
 )
@@ -45,8 +45,7 @@
 	CauseNotSent Cause = "notSent"
 	CauseRefused Cause = "refused"
 	CauseLost    Cause = "lost"
-	// CauseOverload is never retried: the servers are telling us that there
-	// is too much work, and a retry is more work.
+	// CauseOverload is never retried: a retry would add to the overload.
 	CauseOverload Cause = "overload"
 )
 
@@ -60,57 +59,57 @@
 // Decision is [Again] or [GiveUp].
 type Decision interface{ decision() }
 
-// Again means that the work is tried on another server after a wait, in
-// another availability zone first.
+// Again means that the work is retried on another server after a delay, preferably
+// in another availability zone.
 type Again struct{ After time.Duration }
 
-// GiveUp means that the failure goes to the caller.
+// GiveUp means that the failure is returned to the caller.
 type GiveUp struct{}
 
 func (Again) decision()  {}
 func (GiveUp) decision() {}
 
-// Limits bound a budget.
+// Limits configures a [Budget].
 type Limits struct {
-	// SuccessShare is what one success adds, MaxTokens what may be saved up and
-	// FloorPerSecond what comes by time alone, in retries.
+	// SuccessShare is the number of retries that a success adds, MaxTokens the
+	// maximum that can be saved up, and FloorPerSecond the number added per second.
 	SuccessShare   float64
 	MaxTokens      float64
 	FloorPerSecond float64
 }
 
-// DefaultLimits are for deployments that declare none.
+// DefaultLimits is used when a deployment declares no limits.
 var DefaultLimits = Limits{SuccessShare: successShare, MaxTokens: maxTokens, FloorPerSecond: floorPerSecond}
 
-// Budget bounds the retries of one service to a share of its recent
-// successes. It isn't safe for concurrent use; [Budgets] is.
+// Budget limits the retries of one service to a share of its recent successes. It
+// isn't safe for concurrent use; [Budgets] is.
 type Budget struct {
-	limits Limits
-	tokens float64
-	filled time.Time
+	limits   Limits
+	tokens   float64
+	lastFill time.Time
 }
 
-// NewBudget returns a budget that is full.
+// NewBudget returns a full budget.
 func NewBudget(now time.Time) *Budget { return newBudget(now, DefaultLimits) }
 
 func newBudget(now time.Time, l Limits) *Budget {
-	return &Budget{limits: l, tokens: l.MaxTokens, filled: now}
+	return &Budget{limits: l, tokens: l.MaxTokens, lastFill: now}
 }
 
-// Succeeded adds a success.
+// Succeeded records a success.
 func (b *Budget) Succeeded() {
 	b.tokens = min(b.limits.MaxTokens, b.tokens+b.limits.SuccessShare)
 }
 
-// Left returns how many retries may be made at once.
+// Left returns how many retries may be made immediately.
 func (b *Budget) Left(now time.Time) float64 {
-	b.fill(now)
+	b.refill(now)
 	return b.tokens
 }
 
-// Decide says whether to try again and spends the budget when so.
+// Decide returns whether to retry, and if so, spends one retry of the budget.
 func (b *Budget) Decide(now time.Time, rng *rand.Rand, a Attempt) Decision {
-	b.fill(now)
+	b.refill(now)
 	if a.Cause == CauseOverload || a.Number >= attemptLimit(a.Cause) || b.tokens < 1 {
 		return GiveUp{}
 	}
@@ -126,9 +125,9 @@
 	return maxAttempts
 }
 
-func (b *Budget) fill(now time.Time) {
-	if elapsed := now.Sub(b.filled); elapsed > 0 {
+func (b *Budget) refill(now time.Time) {
+	if elapsed := now.Sub(b.lastFill); elapsed > 0 {
 		b.tokens = min(b.limits.MaxTokens, b.tokens+elapsed.Seconds()*b.limits.FloorPerSecond)
-		b.filled = now
+		b.lastFill = now
 	}
 }
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -10,9 +10,9 @@
 
 var start = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 
-// A service fails for every caller at once, 100 requests a second for a
-// minute. Each asks to be retried. What leaves must stay near the floor, or
-// the retries alone would keep the servers down after the fault has passed.
+// Guards against retries that keep servers overloaded after a fault is over: when a
+// service fails 100 requests a second for a minute, the retries must stay near the
+// minimum rate.
 func TestOutageSpendsOnlyTheBudget(t *testing.T) {
 	b, rng := NewBudget(start), rand.New(rand.NewPCG(1, 2))
 	retries := 0
@@ -37,9 +37,9 @@
 		want    Decision
 	}{
 		"overload is never retried": {Attempt{Number: 1, Cause: CauseOverload}, GiveUp{}},
-		"attempts are bounded":      {Attempt{Number: maxAttempts, Cause: CauseNotSent}, GiveUp{}},
-		"lost twice may be its own": {Attempt{Number: maxLostAttempts, Cause: CauseLost}, GiveUp{}},
-		"unsent twice is not":       {Attempt{Number: maxLostAttempts, Cause: CauseNotSent}, Again{}},
+		"attempts are limited":      {Attempt{Number: maxAttempts, Cause: CauseNotSent}, GiveUp{}},
+		"lost twice isn't retried":  {Attempt{Number: maxLostAttempts, Cause: CauseLost}, GiveUp{}},
+		"unsent twice is retried":   {Attempt{Number: maxLostAttempts, Cause: CauseNotSent}, Again{}},
 		"a refusal is retried":      {Attempt{Number: 1, Cause: CauseRefused}, Again{}},
 	}
 	for name, tt := range tests {
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// Budgets holds one [Budget] for each service, so that one failing service
-// can't spend another's. It is safe for concurrent use.
+// Budgets holds one [Budget] per service, so that one failing service can't spend
+// the budget of another. It is safe for concurrent use.
 type Budgets struct {
 	mu        sync.Mutex
 	rng       *rand.Rand
 	byService map[string]*Budget
-	// limits are asked for at each use, as they may be a share of what several
-	// instances have together.
+	// limits is called at each use, since the limits may be this instance's share
+	// of a total for several instances.
 	limits func() Limits
 }
 
-// NewBudgets returns budgets whose jitter comes from rng.
+// NewBudgets returns budgets with the default limits. The jitter comes from rng.
 func NewBudgets(rng *rand.Rand) *Budgets {
 	return NewSharedBudgets(rng, func() Limits { return DefaultLimits })
 }
 
-// NewSharedBudgets returns budgets whose limits may change while they are used.
+// NewSharedBudgets returns budgets whose limits may change during use.
 func NewSharedBudgets(rng *rand.Rand, limits func() Limits) *Budgets {
 	return &Budgets{rng: rng, byService: map[string]*Budget{}, limits: limits}
 }
 
-// Succeeded adds a success of service.
+// Succeeded records a success of service.
 func (b *Budgets) Succeeded(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget(now, service).Succeeded()
 }
 
-// Decide says whether an attempt for service is made again.
+// Decide returns whether a failed attempt for service is retried.
 func (b *Budgets) Decide(now time.Time, service string, a Attempt) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget(now, service).Decide(now, b.rng, a)
 }
 
-// Left returns how many retries of service may be made at once.
+// Left returns how many retries of service may be made immediately.
 func (b *Budgets) Left(now time.Time, service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
