--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,11 +1,11 @@
-// Package outlier finds servers that fail requests which others answer. It holds no
-// sockets; the present time is an argument.
+// Package outlier detects and ejects servers that fail requests which other servers
+// answer. It does no I/O; the present time is an argument.
 //
-// It is for services whose servers fail a part of their requests while their health
-// is good, and whose requests come through so many instances that each sees too few
-// answers to tell. What all instances of an availability zone see is added up, as
-// a server may fail for one zone alone. A server is compared with the others by
-// kind of request: some kinds fail more often than others, on every server.
+// It is for servers that fail a part of their requests while their health checks
+// pass, and for requests spread over so many instances that each sees too few answers
+// to detect this. The answers seen by all instances of an availability zone are added
+// up, since a server may fail for one zone only. Servers are compared separately for
+// each kind of request (route), since some kinds fail more often on every server.
 //
 // # Usage
 //
@@ -24,27 +24,27 @@
 )
 
 const (
-	// halfLife is the time in which an answer comes to count half.
+	// halfLife is the half-life of the weight of an answer.
 	halfLife = 2 * time.Second
-	// ejectRatio is the evidence from which a server is ejected.
+	// ejectRatio is the minimum likelihood ratio at which a server is ejected; see
+	// package evidence.
 	ejectRatio = 12.0
-	// leastUsual is how many answers of others a comparison needs.
-	leastUsual = 10.0
-	// maxShare is the part of a service's servers that may be ejected: where more
-	// fail it is not the servers.
-	maxShare = 0.4
-	// ejectLeast is for how long a server is ejected first; each time that it
-	// follows soon after the last, the time is doubled up to ejectMost.
-	ejectLeast = 4 * time.Second
-	ejectMost  = 16 * time.Second
-	// trialTime is for how long after that a server gets only requests that may be
-	// repeated.
-	trialTime = 3 * time.Second
-	// forgetAfter is after how long without answers a server is forgotten.
-	forgetAfter = time.Minute
+	// minOtherAnswers is the minimum number of answers of other servers for a comparison.
+	minOtherAnswers = 10.0
+	// maxEjectedShare is the maximum fraction of a service's servers that may be
+	// ejected: if more fail, the servers aren't the cause.
+	maxEjectedShare = 0.4
+	// minEjection is the duration of a first ejection. It doubles with each ejection
+	// that follows soon after the previous one, up to maxEjection.
+	minEjection = 4 * time.Second
+	maxEjection = 16 * time.Second
+	// trialDuration is how long after an ejection a server gets only repeatable requests.
+	trialDuration = 3 * time.Second
+	// retention is how long a server without answers is remembered.
+	retention = time.Minute
 )
 
-// Answers counts the answers of one server to one kind of request.
+// Answers counts the answers of one server to one kind of request (route).
 type Answers struct {
 	Service string `json:"service"`
 	Server  string `json:"server"`
@@ -53,16 +53,16 @@
 	Failed  int    `json:"failed"`
 }
 
-// Ejection is a server that isn't to be used, and for how long.
+// Ejection is the ejection of a server.
 type Ejection struct {
 	Server string `json:"server"`
-	// ForMillis is how long it isn't used, TrialMillis how long it then gets only
-	// requests that may be repeated.
+	// ForMillis is the remaining time of the ejection in milliseconds, TrialMillis
+	// the time after it in which the server gets only repeatable requests.
 	ForMillis   int64 `json:"forMillis"`
 	TrialMillis int64 `json:"trialMillis"`
 }
 
-// Found is a server that was just ejected, and why.
+// Found is a new ejection and its evidence.
 type Found struct {
 	Service, Server string
 	Ratio           float64
@@ -72,15 +72,15 @@
 
 type key struct{ server, route string }
 
-// count is a number that fades.
-type count struct {
+// decayingShare is a share of failures whose weight decays exponentially.
+type decayingShare struct {
 	share evidence.Share
 	at    time.Time
 }
 
-func (c *count) fade(now time.Time) {
-	if since := now.Sub(c.at); since > 0 {
-		f := math.Exp2(-float64(since) / float64(halfLife))
+func (c *decayingShare) decay(now time.Time) {
+	if elapsed := now.Sub(c.at); elapsed > 0 {
+		f := math.Exp2(-float64(elapsed) / float64(halfLife))
 		c.share.Events *= f
 		c.share.Number *= f
 		c.at = now
@@ -88,25 +88,25 @@
 }
 
 type server struct {
-	service string
-	seen    time.Time
-	// until is the end of the ejection, lasted how long it was.
-	until  time.Time
-	lasted time.Duration
+	service    string
+	lastAnswer time.Time
+	// ejectedUntil and ejectedFor are the end and the duration of the last ejection.
+	ejectedUntil time.Time
+	ejectedFor   time.Duration
 }
 
-// Detector adds up answers and ejects servers. It isn't safe for concurrent use.
+// Detector counts answers and ejects servers. It isn't safe for concurrent use.
 type Detector struct {
-	counts  map[key]*count
+	counts  map[key]*decayingShare
 	servers map[string]*server
 }
 
-// NewDetector returns a detector that has seen nothing.
+// NewDetector returns a detector without any answers.
 func NewDetector() *Detector {
-	return &Detector{counts: map[key]*count{}, servers: map[string]*server{}}
+	return &Detector{counts: map[key]*decayingShare{}, servers: map[string]*server{}}
 }
 
-// Take adds answers and returns the servers that are ejected for them.
+// Take adds answers and returns the resulting ejections.
 func (d *Detector) Take(now time.Time, all []Answers) []Found {
 	services := map[string]bool{}
 	for _, a := range all {
@@ -116,43 +116,44 @@
 		k := key{a.Server, a.Route}
 		c, ok := d.counts[k]
 		if !ok {
-			c = &count{at: now}
+			c = &decayingShare{at: now}
 			d.counts[k] = c
 		}
-		c.fade(now)
+		c.decay(now)
 		c.share = c.share.Plus(evidence.Share{Events: float64(a.Failed), Number: float64(a.Number)})
 		s, ok := d.servers[a.Server]
 		if !ok {
 			s = &server{}
 			d.servers[a.Server] = s
 		}
-		s.service, s.seen = a.Service, now
+		s.service, s.lastAnswer = a.Service, now
 		if a.Failed > 0 {
 			services[a.Service] = true
 		}
 	}
-	d.forget(now)
+	d.removeStale(now)
 	var found []Found
 	for _, service := range slices.Sorted(maps.Keys(services)) {
-		found = append(found, d.judge(now, service)...)
+		found = append(found, d.ejectOutliers(now, service)...)
 	}
 	return found
 }
 
-// judge ejects the servers of a service that fail what others answer.
-func (d *Detector) judge(now time.Time, service string) []Found {
-	ids := d.of(service)
-	out := 0
+// ejectOutliers ejects the servers of a service that fail more requests than the
+// others.
+func (d *Detector) ejectOutliers(now time.Time, service string) []Found {
+	ids := d.serversOf(service)
+	ejected := 0
 	for _, id := range ids {
-		if now.Before(d.servers[id].until) {
-			out++
+		if now.Before(d.servers[id].ejectedUntil) {
+			ejected++
 		}
 	}
-	most := max(1, int(maxShare*float64(len(ids))))
+	maxEjected := max(1, int(maxEjectedShare*float64(len(ids))))
 	var found []Found
 	for _, id := range ids {
 		s := d.servers[id]
-		if now.Before(s.until) || out >= most || len(ids) < 2 {
+		if now.Before(s.ejectedUntil) || ejected >= maxEjected || len(ids) < 2 {
 			continue
 		}
 		pairs, seen := d.compare(now, id, ids)
@@ -161,37 +162,37 @@
 			continue
 		}
 		s.eject(now)
-		out++
-		found = append(found, Found{Service: service, Server: id, Ratio: ratio, Number: seen.Number, Failed: seen.Events, For: s.lasted})
+		ejected++
+		found = append(found, Found{Service: service, Server: id, Ratio: ratio, Number: seen.Number, Failed: seen.Events, For: s.ejectedFor})
 		d.clear(id)
 	}
 	return found
 }
 
 func (s *server) eject(now time.Time) {
-	if s.lasted == 0 || now.Sub(s.until) > s.lasted+trialTime {
-		s.lasted = ejectLeast
+	if s.ejectedFor == 0 || now.Sub(s.ejectedUntil) > s.ejectedFor+trialDuration {
+		s.ejectedFor = minEjection
 	} else {
-		s.lasted = min(ejectMost, 2*s.lasted)
+		s.ejectedFor = min(maxEjection, 2*s.ejectedFor)
 	}
-	s.until = now.Add(s.lasted)
+	s.ejectedUntil = now.Add(s.ejectedFor)
 }
 
-// compare returns the answers of a server beside those of the others, by kind of
-// request.
+// compare returns the answers of a server paired with those of the other servers,
+// by kind of request.
 func (d *Detector) compare(now time.Time, id string, ids []string) (pairs []evidence.Pair, seen evidence.Share) {
 	for _, route := range d.routes(id) {
 		k := key{id, route}
 		c := d.counts[k]
-		c.fade(now)
+		c.decay(now)
 		var usual evidence.Share
 		for _, other := range ids {
 			if o, ok := d.counts[key{other, k.route}]; ok && other != id {
-				o.fade(now)
+				o.decay(now)
 				usual = usual.Plus(o.share)
 			}
 		}
-		if usual.Number >= leastUsual {
+		if usual.Number >= minOtherAnswers {
 			pairs = append(pairs, evidence.Pair{Usual: usual, Seen: c.share})
 			seen = seen.Plus(c.share)
 		}
@@ -211,8 +212,8 @@
 	return routes
 }
 
-// clear forgets the answers of a server: after its ejection it is judged by new
-// ones.
+// clear deletes the answers of a server, so that only new ones count after its
+// ejection.
 func (d *Detector) clear(id string) {
 	for k := range d.counts {
 		if k.server == id {
@@ -221,7 +222,7 @@
 	}
 }
 
-func (d *Detector) of(service string) []string {
+func (d *Detector) serversOf(service string) []string {
 	var ids []string
 	for id, s := range d.servers {
 		if s.service == service {
@@ -232,22 +233,22 @@
 	return ids
 }
 
-func (d *Detector) forget(now time.Time) {
+func (d *Detector) removeStale(now time.Time) {
 	for id, s := range d.servers {
-		if now.Sub(s.seen) > forgetAfter {
+		if now.Sub(s.lastAnswer) > retention {
 			delete(d.servers, id)
 			d.clear(id)
 		}
 	}
 }
 
-// Ejected returns the servers that are ejected, or get only requests that may be
-// repeated since.
+// Ejected returns the servers that are ejected, or were and get only repeatable
+// requests.
 func (d *Detector) Ejected(now time.Time) []Ejection {
 	var out []Ejection
 	for id, s := range d.servers {
-		if left := s.until.Add(trialTime).Sub(now); s.lasted > 0 && left > 0 {
-			out = append(out, Ejection{Server: id, ForMillis: max(0, s.until.Sub(now)).Milliseconds(), TrialMillis: min(trialTime, left).Milliseconds()})
+		if remaining := s.ejectedUntil.Add(trialDuration).Sub(now); s.ejectedFor > 0 && remaining > 0 {
+			out = append(out, Ejection{Server: id, ForMillis: max(0, s.ejectedUntil.Sub(now)).Milliseconds(), TrialMillis: min(trialDuration, remaining).Milliseconds()})
 		}
 	}
 	slices.SortFunc(out, func(a, b Ejection) int {
