--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -1,8 +1,7 @@
-// Package outlierpeer has the instances of an availability zone find the servers
-// that fail requests which others answer: each reports the answers that it saw to
-// one of them, found by hashing, and is told in return which servers to leave
-// alone. An instance that isn't answered goes by what it was told last, which ends
-// by itself.
+// Package outlierpeer lets the instances of an availability zone detect outlier
+// servers together: each reports the answers that it saw to one of them, the
+// aggregator, which is chosen by hashing, and gets back the ejected servers. An
+// instance that gets no response keeps the last ejections until they expire.
 //
 // # Usage
 //
@@ -35,15 +34,15 @@
 const (
 	reportProcedure = "/pollenspindle.outlier.v1.Outlier/Report"
 	callTimeout     = 250 * time.Millisecond
-	// tick is how often it is looked whether a report is due: after failGap where
-	// answers have failed, else after reportGap, which grows by reportEach with
-	// each instance.
-	tick       = 100 * time.Millisecond
-	failGap    = 300 * time.Millisecond
-	reportGap  = 800 * time.Millisecond
-	reportEach = 4 * time.Millisecond
-	// ownerKey finds the instance that adds up.
-	ownerKey = "outliers"
+	// checkInterval is how often a peer checks whether a report is due:
+	// failureReportInterval after the last one if answers have failed, otherwise
+	// reportInterval plus reportIntervalPerInstance for each instance.
+	checkInterval             = 100 * time.Millisecond
+	failureReportInterval     = 300 * time.Millisecond
+	reportInterval            = 800 * time.Millisecond
+	reportIntervalPerInstance = 4 * time.Millisecond
+	// aggregatorKey is the key whose owner is the aggregator.
+	aggregatorKey = "outliers"
 )
 
 // Options configures a [Peer].
@@ -56,45 +55,46 @@
 	Now   func() time.Time
 }
 
-// Report is the answers that an instance saw since its last report.
+// Report holds the answers that an instance saw since its last report.
 type Report struct {
 	Answers []outlier.Answers `json:"answers,omitempty"`
 }
 
-// Verdict is the servers that are to be left alone.
+// Verdict holds the ejected servers.
 type Verdict struct {
 	Ejected []outlier.Ejection `json:"ejected,omitempty"`
 }
 
 type answerKey struct{ service, server, route string }
 
-type ejection struct{ until, trial time.Time }
+type ejection struct{ until, trialUntil time.Time }
 
-// Peer is one instance's part. It is safe for concurrent use.
+// Peer reports the answers of one instance and applies ejections. It is safe for
+// concurrent use.
 type Peer struct {
 	opts   Options
 	caller *peerrpc.Caller
 
-	mu       sync.Mutex
-	detector *outlier.Detector
-	answers  map[answerKey]*outlier.Answers
-	failed   bool
-	reported time.Time
-	avoid    map[string]ejection
+	mu          sync.Mutex
+	detector    *outlier.Detector
+	answers     map[answerKey]*outlier.Answers
+	hasFailures bool
+	lastReport  time.Time
+	ejected     map[string]ejection
 }
 
-// New returns a peer that is ready to run.
+// New returns a peer; [Peer.Run] sends its reports.
 func New(opts Options) *Peer {
 	if opts.Scope == nil {
 		opts.Scope = tally.NoopScope
 	}
 	return &Peer{
 		opts: opts, caller: peerrpc.NewCaller(opts.Key, opts.Self, callTimeout), detector: outlier.NewDetector(),
-		answers: map[answerKey]*outlier.Answers{}, avoid: map[string]ejection{},
+		answers: map[answerKey]*outlier.Answers{}, ejected: map[string]ejection{},
 	}
 }
 
-// Note counts an answer.
+// Note records an answer of a server.
 func (p *Peer) Note(server observed.Server, route string, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,21 +107,21 @@
 	a.Number++
 	if failed {
 		a.Failed++
-		p.failed = true
+		p.hasFailures = true
 	}
 }
 
-// Avoid reports whether a server is to be left alone by a request.
+// Avoid reports whether a request must not be sent to a server.
 func (p *Peer) Avoid(now time.Time, id string, repeatable bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a, ok := p.avoid[id]
-	return ok && (now.Before(a.until) || !repeatable && now.Before(a.trial))
+	a, ok := p.ejected[id]
+	return ok && (now.Before(a.until) || !repeatable && now.Before(a.trialUntil))
 }
 
-// Run reports until ctx ends.
+// Run sends reports until ctx is done.
 func (p *Peer) Run(ctx context.Context) {
-	for objectapi.Pause(ctx, tick) == nil {
+	for objectapi.Pause(ctx, checkInterval) == nil {
 		now := p.opts.Now()
 		if answers, due := p.dueReport(now); due {
 			p.report(ctx, now, Report{Answers: answers})
@@ -130,15 +130,15 @@
 	p.caller.Drop()
 }
 
-// dueReport returns the answers to be reported, if any are due.
+// dueReport returns the answers to report if a report is due, and clears them.
 func (p *Peer) dueReport(now time.Time) ([]outlier.Answers, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	gap := reportGap + time.Duration(p.opts.Table.Count(now))*reportEach
-	if p.failed {
-		gap = failGap
+	interval := reportInterval + time.Duration(p.opts.Table.Count(now))*reportIntervalPerInstance
+	if p.hasFailures {
+		interval = failureReportInterval
 	}
-	if len(p.answers) == 0 || now.Sub(p.reported) < gap {
+	if len(p.answers) == 0 || now.Sub(p.lastReport) < interval {
 		return nil, false
 	}
 	out := make([]outlier.Answers, 0, len(p.answers))
@@ -146,53 +146,53 @@
 		out = append(out, *a)
 	}
 	clear(p.answers)
-	p.failed, p.reported = false, now
+	p.hasFailures, p.lastReport = false, now
 	return out, true
 }
 
-// report tells the instance that adds up, and takes over its verdict. What it
-// isn't told is lost: the next answers tell as much.
+// report sends a report to the aggregator and applies its response. A report that
+// fails is dropped: the next answers serve as well.
 func (p *Peer) report(ctx context.Context, now time.Time, r Report) {
-	owner, ok := p.opts.Table.OwnerIn(p.opts.Table.Self().Zone, ownerKey)
+	aggregator, ok := p.opts.Table.OwnerIn(p.opts.Table.Self().Zone, aggregatorKey)
 	if !ok {
 		return
 	}
-	if owner.ID == p.opts.Self {
-		p.applyVerdict(now, p.aggregate(now, r))
+	if aggregator.ID == p.opts.Self {
+		p.applyEjections(now, p.aggregate(now, r))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	client := connect.NewClient[Report, Verdict](p.caller.HTTP, "http://"+owner.Peer+reportProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[Report, Verdict](p.caller.HTTP, "http://"+aggregator.Peer+reportProcedure, peerrpc.ClientOptions()...)
 	req := connect.NewRequest(&r)
 	p.caller.Sign(now, req.Header(), reportProcedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
-		p.opts.Log.Debug().Str("instance", owner.ID).Err(err).Msg("report of answers not taken")
+		p.opts.Log.Debug().Str("instance", aggregator.ID).Err(err).Msg("outlier report failed")
 		return
 	}
-	p.applyVerdict(now, *res.Msg)
+	p.applyEjections(now, *res.Msg)
 }
 
-// applyVerdict takes over a verdict.
-func (p *Peer) applyVerdict(now time.Time, v Verdict) {
+// applyEjections applies the ejections of the aggregator.
+func (p *Peer) applyEjections(now time.Time, v Verdict) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range v.Ejected {
 		until := now.Add(time.Duration(e.ForMillis) * time.Millisecond)
-		if known, ok := p.avoid[e.Server]; !ok || until.Sub(known.until) > time.Second {
+		if known, ok := p.ejected[e.Server]; !ok || until.Sub(known.until) > time.Second {
 			p.opts.Log.Info().Str("server", e.Server).Int64("forMs", e.ForMillis).Msg("server left alone")
 		}
-		p.avoid[e.Server] = ejection{until: until, trial: until.Add(time.Duration(e.TrialMillis) * time.Millisecond)}
+		p.ejected[e.Server] = ejection{until: until, trialUntil: until.Add(time.Duration(e.TrialMillis) * time.Millisecond)}
 	}
-	for id, a := range p.avoid {
-		if !now.Before(a.trial) {
-			delete(p.avoid, id)
+	for id, a := range p.ejected {
+		if !now.Before(a.trialUntil) {
+			delete(p.ejected, id)
 		}
 	}
 }
 
-// aggregate adds a report up.
+// aggregate adds a report to the detector and returns the ejected servers.
 func (p *Peer) aggregate(now time.Time, r Report) Verdict {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -204,7 +204,7 @@
 	return Verdict{Ejected: p.detector.Ejected(now)}
 }
 
-// Handlers answer other instances, by path.
+// Handlers returns the HTTP handlers for calls from other instances, by path.
 func (p *Peer) Handlers() map[string]http.Handler {
 	report := func(_ context.Context, req *connect.Request[Report]) (*connect.Response[Verdict], error) {
 		now := p.opts.Now()
--- a/internal/outlierpeer/peer_test.go
+++ b/internal/outlierpeer/peer_test.go
@@ -17,8 +17,8 @@
 	"pollenspindle.example/pollenspindle/internal/peer"
 )
 
-// zone starts instances of one availability zone that know each other.
-func zone(t *testing.T, ids ...string) []*Peer {
+// newZone starts the instances of one availability newZone.
+func newZone(t *testing.T, ids ...string) []*Peer {
 	key, err := peer.NewKey(base64.StdEncoding.EncodeToString([]byte(strings.Repeat("k", 32))))
 	require.NoError(t, err)
 	var peers []*Peer
@@ -43,64 +43,64 @@
 	return peers
 }
 
-func desk(id string) observed.Server {
+func deskServer(id string) observed.Server {
 	return observed.Server{Server: dialect.Server{ID: id, Service: "desk"}}
 }
 
-// reportAll has every instance report what it saw.
+// reportAll makes every instance send its report.
 func reportAll(t *testing.T, peers []*Peer) {
 	for _, p := range peers {
-		p.reported = time.Time{}
+		p.lastReport = time.Time{}
 		now := time.Now()
 		answers, _ := p.dueReport(now)
 		p.report(t.Context(), now, Report{Answers: answers})
 	}
 }
 
-// Guards against a server that fails requests of a zone whose instances each see too
-// few of them to tell.
-func TestZoneFindsAFailingServerTogether(t *testing.T) {
-	peers := zone(t, "i1", "i2", "i3", "i4")
+// Guards against missing a failing server because each instance of the newZone sees too
+// few of its answers.
+func TestInstancesOfAZoneDetectAFailingServer(t *testing.T) {
+	peers := newZone(t, "i1", "i2", "i3", "i4")
 	for _, p := range peers {
 		for range 10 {
-			p.Note(desk("sound-1"), "bookings", false)
-			p.Note(desk("sound-2"), "bookings", false)
+			p.Note(deskServer("healthy-1"), "bookings", false)
+			p.Note(deskServer("healthy-2"), "bookings", false)
 		}
-		p.Note(desk("grey"), "bookings", true)
-		p.Note(desk("grey"), "bookings", false)
+		p.Note(deskServer("faulty"), "bookings", true)
+		p.Note(deskServer("faulty"), "bookings", false)
 	}
 	reportAll(t, peers)
 	for _, p := range peers {
-		p.Note(desk("sound-1"), "bookings", false)
+		p.Note(deskServer("healthy-1"), "bookings", false)
 	}
 	reportAll(t, peers)
 	now := time.Now()
 	for _, p := range peers {
-		require.True(t, p.Avoid(now, "grey", true), p.opts.Self)
-		require.False(t, p.Avoid(now, "sound-1", false), p.opts.Self)
-		require.True(t, p.Avoid(now.Add(5*time.Second), "grey", false), "bookings wait for longer")
-		require.False(t, p.Avoid(now.Add(5*time.Second), "grey", true), "reads try it again")
-		require.False(t, p.Avoid(now.Add(time.Minute), "grey", false))
+		require.True(t, p.Avoid(now, "faulty", true), p.opts.Self)
+		require.False(t, p.Avoid(now, "healthy-1", false), p.opts.Self)
+		require.True(t, p.Avoid(now.Add(5*time.Second), "faulty", false), "not repeatable")
+		require.False(t, p.Avoid(now.Add(5*time.Second), "faulty", true), "repeatable")
+		require.False(t, p.Avoid(now.Add(time.Minute), "faulty", false))
 	}
 }
 
-func TestStrangersReportIsNotTaken(t *testing.T) {
-	peers := zone(t, "i1", "i2")
+func TestReportWithWrongKeyIsRejected(t *testing.T) {
+	peers := newZone(t, "i1", "i2")
 	other, err := peer.NewKey(base64.StdEncoding.EncodeToString([]byte(strings.Repeat("x", 32))))
 	require.NoError(t, err)
 	for _, p := range peers {
 		p.caller.Key = other
 		for range 30 {
-			p.Note(desk("sound"), "bookings", false)
-			p.Note(desk("grey"), "bookings", true)
+			p.Note(deskServer("healthy"), "bookings", false)
+			p.Note(deskServer("faulty"), "bookings", true)
 		}
 	}
-	owner, _ := peers[0].opts.Table.OwnerIn("a", ownerKey)
+	aggregator, _ := peers[0].opts.Table.OwnerIn("a", aggregatorKey)
 	for _, p := range peers {
-		if p.opts.Self == owner.ID {
+		if p.opts.Self == aggregator.ID {
 			continue
 		}
 		reportAll(t, []*Peer{p})
-		require.False(t, p.Avoid(time.Now(), "grey", false))
+		require.False(t, p.Avoid(time.Now(), "faulty", false))
 	}
 }
