--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -1,17 +1,16 @@
 // Package suspect finds requests that crash the backend servers that run them.
 //
-// A caller sends such a request again when its server is gone, so a single one
-// can empty a fleet. Every request that was running when a backend server
-// crashed is a suspect, by the fingerprint of its body within its workspace.
-// After two crashes it is refused for a while. Instances share what they know
-// in their heartbeats, so it does not matter where the caller sends it next.
+// Callers retry such a poison request when its server crashes, so that a single one
+// can crash a whole fleet. Every request that was running when a backend server
+// crashed is a crash suspect, identified by the fingerprint of its body within its
+// workspace. After two crashes it is refused for some time. Instances exchange
+// suspects in their heartbeats, so it doesn't matter which instance gets the retry.
 //
-// Most suspects are innocent neighbours of the guilty one. A suspect that
-// finishes is cleared. So that a neighbour does not stand beside the guilty
-// request at two crashes, the owner of a backend server runs at most one
-// suspect there at a time. When several backend servers of one availability
-// zone end together, the zone is the cause, and what ran on one of them is no
-// suspect.
+// Most suspects only ran beside the poison request. A suspect that finishes is
+// cleared. So that no request runs beside the poison request at two crashes, the
+// owner of a backend server runs at most one suspect there at a time. When several
+// backend servers of one availability zone crash together, the zone is the cause,
+// and the requests that ran on only one of them aren't suspects.
 //
 // # Usage
 //
@@ -28,15 +27,16 @@
 	"time"
 )
 
-// Params bounds a table.
+// Params configures a [Table].
 type Params struct {
-	// Crashes is the number of crashes after which a request is refused. One
-	// would refuse every neighbour, three would cost a third server.
+	// Crashes is the number of crashes after which a request is refused. One would
+	// refuse every request that ran beside a poison request, three would cost a
+	// third server.
 	Crashes int
-	// Keep is how long a crash counts against a request. It bounds how long
-	// an innocent one can stay refused.
+	// Keep is how long a crash counts against a request. It limits how long a
+	// harmless request can be refused.
 	Keep time.Duration
-	// MaxEntries bounds the table; the oldest entry goes first. A crash adds
+	// MaxEntries limits the table; the oldest entry is evicted first. A crash adds
 	// one entry for each request of a batch.
 	MaxEntries int
 	// Together is the number of servers of one availability zone that end
@@ -46,42 +46,41 @@
 	Within   time.Duration
 }
 
-// DefaultParams is for some 45 crashes a day with batches of some tens, and for
-// the loss of a zone with hundreds of servers.
+// DefaultParams is for some 45 crashes a day with batches of some tens of requests,
+// and for the loss of a zone with hundreds of servers.
 var DefaultParams = Params{
 	Crashes: 2, Keep: 15 * time.Minute, MaxEntries: 4096, Together: 4, Within: 10 * time.Second,
 }
 
-// Crash is the end of one start of a backend server. It has the name that
-// [CrashName] gives it, so that one seen by several instances counts once.
+// Crash is the crash of one incarnation of a backend server. Its name, from
+// [CrashName], makes a crash that several instances see count once.
 type Crash struct {
 	Name string    `json:"Name"`
 	At   time.Time `json:"At"`
 }
 
-// Entry is what is known of one request. Instances send entries to each other.
+// Entry holds the crashes of one request. Instances send entries to each other.
 type Entry struct {
 	Fingerprint uint64  `json:"Fingerprint"`
 	Crashes     []Crash `json:"Crashes"`
-	// ClearedAt is when the request last finished; crashes before it do not
-	// count.
+	// ClearedAt is when the request last finished; earlier crashes don't count.
 	ClearedAt time.Time `json:"ClearedAt"`
 }
 
-// Verdict says what to do with a request.
+// Verdict is the result of checking a request.
 type Verdict int
 
 // The verdicts.
 const (
-	// Clear means that nothing is known against the request.
+	// Clear means that the request is not a suspect.
 	Clear Verdict = iota
-	// Suspected means that it may run where no other suspect runs.
+	// Suspected means that the request may run where no other suspect runs.
 	Suspected
-	// Refused means that it is not to be run.
+	// Refused means that the request must not run.
 	Refused
 )
 
-func changed(e Entry) time.Time {
+func lastChange(e Entry) time.Time {
 	last := e.ClearedAt
 	for _, c := range e.Crashes {
 		if c.At.After(last) {
@@ -91,10 +90,10 @@
 	return last
 }
 
-// join takes in another view: crashes are a set and those before the newest
-// clearing leave it, so the order in which views arrive makes no difference. At
-// most keep crashes stay.
-func (e *Entry) join(in Entry, keep int) {
+// merge merges another entry of the request: the crashes form a set without those
+// before the latest ClearedAt, so the order of merges makes no difference. At most
+// keep crashes remain.
+func (e *Entry) merge(in Entry, keep int) {
 	if in.ClearedAt.After(e.ClearedAt) {
 		e.ClearedAt = in.ClearedAt
 	}
@@ -102,14 +101,14 @@
 		e.add(c)
 	}
 	e.Crashes = slices.DeleteFunc(e.Crashes, func(c Crash) bool { return !c.At.After(e.ClearedAt) })
-	// The newest few say all there is to say.
+	// The newest crashes are enough to decide.
 	if over := len(e.Crashes) - keep; over > 0 {
 		e.Crashes = slices.Delete(e.Crashes, 0, over)
 	}
 }
 
-// add keeps the crashes in order of time. Two instances see the same crash at
-// slightly different times; the earlier one stands.
+// add inserts a crash in order of time. Two instances see the same crash at slightly
+// different times; the earlier one is kept.
 func (e *Entry) add(c Crash) {
 	i := slices.IndexFunc(e.Crashes, func(o Crash) bool { return o.Name == c.Name })
 	if i >= 0 {
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -39,7 +39,7 @@
 			events: func(t *suspect.Table) { t.Crash(at(0), "a/1", fp); t.Crash(at(1), "a/2", fp) },
 			now:    at(2), want: suspect.Refused,
 		},
-		"a neighbour that finished between two crashes": {
+		"finished between two crashes": {
 			events: func(t *suspect.Table) {
 				t.Crash(at(0), "a/1", fp)
 				t.Finished(at(1), fp)
@@ -51,14 +51,14 @@
 			events: func(t *suspect.Table) { t.Crash(at(0), "a/1", fp); t.Crash(at(1), "b/1", fp) },
 			now:    at(3600), want: suspect.Clear,
 		},
-		"another instance saw it finish": {
+		"finished on another instance": {
 			events: func(t *suspect.Table) {
 				t.Crash(at(0), "a/1", fp)
 				t.Merge(at(5), []suspect.Entry{{Fingerprint: fp, ClearedAt: at(4)}})
 			},
 			now: at(6), want: suspect.Clear,
 		},
-		"another instance saw the second crash": {
+		"second crash on another instance": {
 			events: func(t *suspect.Table) {
 				t.Crash(at(0), "a/1", fp)
 				t.Merge(at(5), []suspect.Entry{{Fingerprint: fp, Crashes: []suspect.Crash{{Name: "c/1", At: at(4)}}}})
@@ -78,9 +78,9 @@
 	}
 }
 
-func TestViewsAgreeWhateverTheOrder(t *testing.T) {
-	// Two instances hear of the same crashes and clearings in different
-	// orders, as heartbeats cross. Both must refuse and clear the same.
+func TestMergeIsIndependentOfOrder(t *testing.T) {
+	// Guards against instances that get the same entries in different orders, as
+	// heartbeats cross, and disagree on which requests to refuse.
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var entries []suspect.Entry
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestTableIsBounded(t *testing.T) {
+func TestTableSizeIsLimited(t *testing.T) {
 	p := suspect.DefaultParams
 	p.MaxEntries = 10
 	table := suspect.NewTable(p)
--- a/internal/suspect/table.go
+++ b/internal/suspect/table.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// Table holds the suspects known to one instance. It is not safe for
+// Table holds the crash suspects known to one instance. It is not safe for
 // concurrent use.
 type Table struct {
 	params  Params
 	entries map[uint64]*record
-	// news are the records to tell others of, the one that changed last in
-	// front; quiet are those that a lost zone explains. Each heartbeat reads the
-	// front of news; looking through all would take 0.3 ms at 4,000.
-	news, quiet *list.List
-	zones       zones
+	// active lists the records to send to other instances, the last changed first;
+	// zoneLoss lists those explained by the loss of a zone. Each heartbeat reads
+	// the front of active; scanning all records would take 0.3 ms at 4,000.
+	active, zoneLoss *list.List
+	zones            zones
 }
 
-// record is an entry and its place in one of the lists.
+// record is an entry and its position in one of the lists.
 type record struct {
 	Entry
-	in *list.List
-	at *list.Element
+	list    *list.List
+	element *list.Element
 }
 
 // NewTable returns an empty table.
 func NewTable(p Params) *Table {
-	return &Table{params: p, entries: map[uint64]*record{}, news: list.New(), quiet: list.New(), zones: zones{}}
+	return &Table{params: p, entries: map[uint64]*record{}, active: list.New(), zoneLoss: list.New(), zones: zones{}}
 }
 
-// Crash notes that a request was running when a backend server was last seen at
-// at before it crashed. [CrashName] gives the crash's name.
+// Crash records that a request was running when a backend server crashed. The server
+// was last seen at the time at; crash is the name from [CrashName].
 func (t *Table) Crash(at time.Time, crash string, fingerprint uint64) {
 	t.merge(at, Entry{Fingerprint: fingerprint, Crashes: []Crash{{Name: crash, At: at}}})
 }
 
-// Finished clears a request that has run to its end.
+// Finished clears a request that has finished.
 func (t *Table) Finished(now time.Time, fingerprint uint64) {
 	if _, ok := t.entries[fingerprint]; ok {
 		t.merge(now, Entry{Fingerprint: fingerprint, ClearedAt: now})
 	}
 }
 
-// Check says what to do with a request.
+// Check returns whether a request may run.
 func (t *Table) Check(now time.Time, fingerprint uint64) Verdict {
 	e, ok := t.entries[fingerprint]
 	switch {
-	case !ok || len(e.Crashes) == 0 || t.expired(now, e.Entry) || t.explained(e.Entry):
+	case !ok || len(e.Crashes) == 0 || t.expired(now, e.Entry) || t.causedByZoneLoss(e.Entry):
 		return Clear
 	case len(e.Crashes) >= t.params.Crashes:
 		return Refused
@@ -55,13 +55,11 @@
 	return Suspected
 }
 
-// explained reports whether the loss of a zone explains the only crash of a
-// request.
-//
-// Else a lost zone would make suspects of thousands of requests. A request that ran
-// on two servers when they ended stays one, whatever else ended with them.
-func (t *Table) explained(e Entry) bool {
-	return len(e.Crashes) == 1 && t.zones.together(e.Crashes[0], t.params.Together, t.params.Within)
+// causedByZoneLoss reports whether the loss of a zone explains the only crash of a request.
+// Otherwise a lost zone would make thousands of requests suspects. A request that ran
+// on two servers when they crashed remains a suspect in any case.
+func (t *Table) causedByZoneLoss(e Entry) bool {
+	return len(e.Crashes) == 1 && t.zones.crashedTogether(e.Crashes[0], t.params.Together, t.params.Within)
 }
 
 // RetryAfter returns how long a refused request stays refused.
@@ -70,21 +68,20 @@
 	if !ok {
 		return 0
 	}
-	return max(0, changed(e.Entry).Add(t.params.Keep).Sub(now))
+	return max(0, lastChange(e.Entry).Add(t.params.Keep).Sub(now))
 }
 
-// Newest returns at most n entries, those that changed last first, for a
-// heartbeat.
+// Newest returns at most n entries for a heartbeat, the last changed first.
 func (t *Table) Newest(now time.Time, n int) []Entry {
 	var out []Entry
-	for at := t.news.Front(); at != nil && len(out) < n; {
+	for at := t.active.Front(); at != nil && len(out) < n; {
 		e := at.Value.(*record)
 		at = at.Next()
 		if t.expired(now, e.Entry) {
 			break
 		}
-		if t.explained(e.Entry) {
-			t.put(e)
+		if t.causedByZoneLoss(e.Entry) {
+			t.reposition(e)
 			continue
 		}
 		out = append(out, Entry{Fingerprint: e.Fingerprint, Crashes: slices.Clone(e.Crashes), ClearedAt: e.ClearedAt})
@@ -92,7 +89,7 @@
 	return out
 }
 
-// Merge takes in what another instance knows.
+// Merge merges entries of another instance.
 func (t *Table) Merge(now time.Time, entries []Entry) {
 	for _, e := range entries {
 		t.merge(now, e)
@@ -104,51 +101,52 @@
 		return
 	}
 	for _, c := range in.Crashes {
-		t.zones.note(now, t.params.Keep, c)
+		t.zones.record(now, t.params.Keep, c)
 	}
 	e, ok := t.entries[in.Fingerprint]
 	if !ok {
-		t.makeRoom()
+		t.evictIfFull()
 		e = &record{Entry: Entry{Fingerprint: in.Fingerprint}}
 		t.entries[in.Fingerprint] = e
 	}
-	e.join(in, t.params.Crashes)
-	t.put(e)
+	e.merge(in, t.params.Crashes)
+	t.reposition(e)
 }
 
-// put puts a record at its place. What changes mostly changed last, so that
-// its place is near the front.
-func (t *Table) put(e *record) {
-	to := t.news
-	if t.explained(e.Entry) {
-		to = t.quiet
+// reposition moves a record to its position in its list. A changed record is mostly
+// the newest, so that its position is near the front.
+func (t *Table) reposition(e *record) {
+	to := t.active
+	if t.causedByZoneLoss(e.Entry) {
+		to = t.zoneLoss
 	}
-	if e.in != nil {
-		e.in.Remove(e.at)
+	if e.list != nil {
+		e.list.Remove(e.element)
 	}
-	e.in = to
-	last := changed(e.Entry)
+	e.list = to
+	last := lastChange(e.Entry)
 	for at := to.Front(); at != nil; at = at.Next() {
-		if !changed(at.Value.(*record).Entry).After(last) {
-			e.at = to.InsertBefore(e, at)
+		if !lastChange(at.Value.(*record).Entry).After(last) {
+			e.element = to.InsertBefore(e, at)
 			return
 		}
 	}
-	e.at = to.PushBack(e)
+	e.element = to.PushBack(e)
 }
 
 func (t *Table) expired(now time.Time, e Entry) bool {
-	return now.Sub(changed(e)) > t.params.Keep
+	return now.Sub(lastChange(e)) > t.params.Keep
 }
 
-// makeRoom drops the oldest of what a lost zone explains, or else the oldest.
-func (t *Table) makeRoom() {
+// evictIfFull evicts the oldest record that the loss of a zone explains, or else the
+// oldest one, if the table is full.
+func (t *Table) evictIfFull() {
 	if len(t.entries) < t.params.MaxEntries {
 		return
 	}
-	from := t.quiet
+	from := t.zoneLoss
 	if from.Len() == 0 {
-		from = t.news
+		from = t.active
 	}
 	e := from.Remove(from.Back()).(*record)
 	delete(t.entries, e.Fingerprint)
--- a/internal/suspect/zones.go
+++ b/internal/suspect/zones.go
@@ -6,51 +6,50 @@
 	"time"
 )
 
-// CrashName names the end of one start of a backend server.
+// CrashName returns the name of the crash of one incarnation of a backend server.
 func CrashName(zone, server, incarnation string) string {
 	return zone + "/" + server + "/" + incarnation
 }
 
-// maxEnds bounds the ends remembered of one zone: more than a zone has servers
-// at the size designed for.
-const maxEnds = 512
+// maxCrashesPerZone is the maximum number of crashes remembered per zone: more than
+// the number of servers of a zone in the largest supported fleet.
+const maxCrashesPerZone = 512
 
-// zones remembers when servers of each availability zone ended, in order of
-// time.
-type zones map[string][]serverEnd
+// zones holds the crashes of servers by availability zone, in order of time.
+type zones map[string][]serverCrash
 
-type serverEnd struct {
+type serverCrash struct {
 	server string
 	at     time.Time
 }
 
-// note takes in a crash.
-func (z zones) note(now time.Time, keep time.Duration, c Crash) {
-	zone, server, ok := place(c)
+// record adds a crash and deletes those older than keep.
+func (z zones) record(now time.Time, keep time.Duration, c Crash) {
+	zone, server, ok := splitCrashName(c)
 	if !ok {
 		return
 	}
-	ends := z[zone]
-	first, _ := slices.BinarySearchFunc(ends, now.Add(-keep), compareEnd)
-	ends = slices.Delete(ends, 0, max(first, len(ends)-maxEnds+1))
-	if !slices.ContainsFunc(ends, func(e serverEnd) bool { return e.server == server && e.at.Equal(c.At) }) {
-		at, _ := slices.BinarySearchFunc(ends, c.At, compareEnd)
-		ends = slices.Insert(ends, at, serverEnd{server: server, at: c.At})
+	crashes := z[zone]
+	first, _ := slices.BinarySearchFunc(crashes, now.Add(-keep), compareCrashTime)
+	crashes = slices.Delete(crashes, 0, max(first, len(crashes)-maxCrashesPerZone+1))
+	if !slices.ContainsFunc(crashes, func(e serverCrash) bool { return e.server == server && e.at.Equal(c.At) }) {
+		at, _ := slices.BinarySearchFunc(crashes, c.At, compareCrashTime)
+		crashes = slices.Insert(crashes, at, serverCrash{server: server, at: c.At})
 	}
-	z[zone] = ends
+	z[zone] = crashes
 }
 
-// together reports whether servers of c's zone, n with its own, ended within d
-// of it.
-func (z zones) together(c Crash, n int, d time.Duration) bool {
-	zone, _, ok := place(c)
+// crashedTogether reports whether at least n servers of c's zone, including its own,
+// crashed within d of c.
+func (z zones) crashedTogether(c Crash, n int, d time.Duration) bool {
+	zone, _, ok := splitCrashName(c)
 	if !ok {
 		return false
 	}
-	ends := z[zone]
-	first, _ := slices.BinarySearchFunc(ends, c.At.Add(-d), compareEnd)
+	crashes := z[zone]
+	first, _ := slices.BinarySearchFunc(crashes, c.At.Add(-d), compareCrashTime)
 	var servers []string
-	for _, e := range ends[first:] {
+	for _, e := range crashes[first:] {
 		if e.at.After(c.At.Add(d)) || len(servers) >= n {
 			break
 		}
@@ -61,10 +60,10 @@
 	return len(servers) >= n
 }
 
-func place(c Crash) (zone, server string, ok bool) {
+func splitCrashName(c Crash) (zone, server string, ok bool) {
 	zone, rest, _ := strings.Cut(c.Name, "/")
 	server, _, ok = strings.Cut(rest, "/")
 	return zone, server, ok
 }
 
-func compareEnd(e serverEnd, at time.Time) int { return e.at.Compare(at) }
+func compareCrashTime(e serverCrash, at time.Time) int { return e.at.Compare(at) }
--- a/internal/suspect/zones_test.go
+++ b/internal/suspect/zones_test.go
@@ -9,13 +9,11 @@
 	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
-// TestLostZoneMakesNoSuspects: callers of a lost zone send their requests again,
-// and each starts like any other. The zone's servers end within seconds, and
-// all that ran there is seen to have run on a server that crashed; the zone is
-// the cause, so nobody is told of it, and a request that crashes servers is
-// still found out meanwhile, also when several of the zone's fell by it.
+// Guards against treating all requests of a lost zone as crash suspects, since its
+// servers crash within seconds. Their entries aren't sent to other instances, but a
+// poison request is still detected, also when it crashed several servers of the zone.
 func TestLostZoneMakesNoSuspects(t *testing.T) {
-	const guilty = 1
+	const poison = 1
 	lose := func(table *suspect.Table, servers, apart int) {
 		for s := range servers {
 			for r := range 10 {
@@ -24,59 +22,59 @@
 		}
 	}
 	crash := func(table *suspect.Table, second int, zone, server string) {
-		table.Crash(at(second), suspect.CrashName(zone, server, "1"), guilty)
+		table.Crash(at(second), suspect.CrashName(zone, server, "1"), poison)
 	}
 	tests := map[string]struct {
 		events    func(t *suspect.Table)
 		neighbour suspect.Verdict
-		guilty    suspect.Verdict
-		told      int
+		poison    suspect.Verdict
+		entries   int
 	}{
-		"three servers together": {
+		"three servers of a zone together": {
 			events:    func(t *suspect.Table) { lose(t, 3, 0) },
-			neighbour: suspect.Suspected, guilty: suspect.Clear, told: 30,
+			neighbour: suspect.Suspected, poison: suspect.Clear, entries: 30,
 		},
-		"a zone": {
+		"all servers of a zone": {
 			events:    func(t *suspect.Table) { lose(t, 222, 0) },
-			neighbour: suspect.Clear, guilty: suspect.Clear,
+			neighbour: suspect.Clear, poison: suspect.Clear,
 		},
-		"servers of a zone one after the other": {
+		"servers of a zone one after another": {
 			events:    func(t *suspect.Table) { lose(t, 10, 60) },
-			neighbour: suspect.Suspected, guilty: suspect.Clear, told: 100,
+			neighbour: suspect.Suspected, poison: suspect.Clear, entries: 100,
 		},
-		"known from others": {
+		"learned from another instance": {
 			events: func(t *suspect.Table) {
 				other := suspect.NewTable(suspect.DefaultParams)
 				lose(other, 3, 0)
 				t.Merge(at(1), other.Newest(at(1), 100))
 				t.Crash(at(0), suspect.CrashName("a", "mine", "1"), 5000)
 			},
-			neighbour: suspect.Clear, guilty: suspect.Clear,
+			neighbour: suspect.Clear, poison: suspect.Clear,
 		},
-		"one crashing request ends them": {
+		"one poison request crashes all": {
 			events: func(t *suspect.Table) {
 				lose(t, 4, 0)
 				for s := range 4 {
 					crash(t, 0, "a", fmt.Sprint("s", s))
 				}
 			},
-			neighbour: suspect.Clear, guilty: suspect.Refused, told: 1,
+			neighbour: suspect.Clear, poison: suspect.Refused, entries: 1,
 		},
-		"one crashing request elsewhere before": {
+		"poison request in another zone before": {
 			events: func(t *suspect.Table) {
 				crash(t, 0, "b", "x")
 				lose(t, 222, 0)
 				crash(t, 0, "a", "s5")
 			},
-			neighbour: suspect.Clear, guilty: suspect.Refused, told: 1,
+			neighbour: suspect.Clear, poison: suspect.Refused, entries: 1,
 		},
-		"one crashing request elsewhere after": {
+		"poison request in another zone after": {
 			events: func(t *suspect.Table) {
 				lose(t, 222, 0)
 				crash(t, 0, "a", "s5")
 				crash(t, 30, "b", "x")
 			},
-			neighbour: suspect.Clear, guilty: suspect.Refused, told: 1,
+			neighbour: suspect.Clear, poison: suspect.Refused, entries: 1,
 		},
 	}
 	for name, tt := range tests {
@@ -85,8 +83,8 @@
 			tt.events(table)
 			now := at(700)
 			require.Equal(t, tt.neighbour, table.Check(now, 1000))
-			require.Equal(t, tt.guilty, table.Check(now, guilty))
-			require.Len(t, table.Newest(now, 1000), tt.told)
+			require.Equal(t, tt.poison, table.Check(now, poison))
+			require.Len(t, table.Newest(now, 1000), tt.entries)
 		})
 	}
 }
