--- a/internal/length/curve.go
+++ b/internal/length/curve.go
@@ -1,35 +1,34 @@
-// Package length learns how long outputs are and says how much longer a
-// running one will be.
+// Package length estimates the distribution of output lengths and the remaining
+// length of running generations.
 //
-// The length of a generation is unknown until it ends and heavy-tailed: a few
-// tokens or tens of thousands. A mean is therefore of little use. The package
-// keeps a survival curve for each (service, model, workspace), estimated as by
-// Kaplan and Meier over buckets of logarithmic width, so that one that was
-// cut off early (cancelled, lost) still counts as "at least this long". A key
-// with few observations leans on its coarser key, and that on a prior with a
-// Pareto tail.
+// The length of a generation is unknown until it ends and heavy-tailed: a few tokens
+// or tens of thousands, so that a mean is of little use. The package keeps a survival
+// curve for each (service, model, workspace), a Kaplan-Meier estimate over buckets of
+// logarithmic width, in which outputs that were cut off early (cancelled, lost) count
+// as "at least this long". A key with few observations is smoothed towards its coarser
+// key, and that towards a prior with a Pareto tail.
 //
 // # Usage
 //
 //	e := length.NewEstimator(length.DefaultParams)
 //	e.Observe(key, 480, false)
 //	curve := e.Curve(key)
-//	p := curve.Alive(480, 100)          // share of those at 480 tokens that reach 580
+//	p := curve.Alive(480, 100)          // share of outputs at 480 tokens that reach 580
 //	n := curve.Remaining(480, 0.9)      // tokens within which 9 in 10 of them end
 package length
 
 import "math"
 
 const (
-	// bucketsPerDoubling sets the resolution: four a doubling keep the error
-	// of a quantile below a fifth, which is below the noise of the lengths.
+	// bucketsPerDoubling is the resolution: four buckets per doubling keep the
+	// error of a quantile below a fifth, which is below the noise of the lengths.
 	bucketsPerDoubling = 4
-	// doublings covers outputs up to 2^17 tokens, beyond the context of the
-	// models in use; longer ones fall into the last bucket.
+	// doublings covers outputs up to 2^17 tokens, more than the context of the
+	// models in use; longer ones are counted in the last bucket.
 	doublings = 17
 	// buckets is the number of buckets of a curve.
 	buckets = bucketsPerDoubling*doublings + 1
-	// MaxTokens is the largest length that a curve tells apart.
+	// MaxTokens is the largest length that a curve distinguishes.
 	MaxTokens = 1 << doublings
 )
 
@@ -45,15 +44,15 @@
 	return e
 }
 
-// tabled is the length below which buckets are looked up: nearly all outputs.
-// The logarithm was most of the cost of a prediction, which asks for the
-// survival of each running sequence at several moments.
-const tabled = 4096
+// tableSize is the length below which buckets are looked up in a table; nearly all
+// outputs are shorter. A prediction needs the survival of each running sequence at
+// several times, and the logarithm would be most of its cost.
+const tableSize = 4096
 
 var bucketTable = makeBucketTable()
 
-func makeBucketTable() [tabled]uint8 {
-	var t [tabled]uint8
+func makeBucketTable() [tableSize]uint8 {
+	var t [tableSize]uint8
 	for n := range t {
 		t[n] = uint8(computeBucket(n))
 	}
@@ -62,7 +61,7 @@
 
 // bucketOf returns the bucket of a length in tokens.
 func bucketOf(tokens int) int {
-	if tokens >= 0 && tokens < tabled {
+	if tokens >= 0 && tokens < tableSize {
 		return int(bucketTable[tokens])
 	}
 	return computeBucket(tokens)
@@ -75,13 +74,12 @@
 	return min(int(math.Log2(float64(tokens))*bucketsPerDoubling), buckets-1)
 }
 
-// Curve is a survival curve at one moment. It is not changed after it was
-// made and may be read from several goroutines.
+// Curve is an immutable survival curve. It is safe for concurrent use.
 type Curve struct {
 	// survival[b] is the share of outputs that reach the start of bucket b.
 	survival [buckets + 1]float64
-	// Observations is the decayed number of outputs behind the curve's own
-	// key, without the coarser ones.
+	// Observations is the decayed number of outputs of the curve's own key,
+	// without those of coarser keys.
 	Observations float64
 }
 
@@ -100,8 +98,8 @@
 	return lo + (hi-lo)*frac
 }
 
-// Alive returns the share of the outputs which have reached soFar tokens that
-// go on for more than further tokens.
+// Alive returns the share of the outputs that have reached soFar tokens which
+// continue for more than further tokens.
 func (c *Curve) Alive(soFar, further int) float64 {
 	at := c.At(float64(soFar))
 	if at <= 0 {
@@ -110,8 +108,8 @@
 	return c.At(float64(soFar+further)) / at
 }
 
-// Remaining returns the number of further tokens within which the share
-// quantile of the outputs that have reached soFar end.
+// Remaining returns the given quantile, from 0 to 1, of the number of further tokens
+// of the outputs that have reached soFar tokens.
 func (c *Curve) Remaining(soFar int, quantile float64) int {
 	target := c.At(float64(soFar)) * (1 - quantile)
 	for b := bucketOf(soFar); b < buckets; b++ {
@@ -129,8 +127,8 @@
 	return max(0, MaxTokens-soFar)
 }
 
-// Mean returns the expected number of further tokens of an output that has
-// reached soFar, if none goes on beyond limit further tokens.
+// Mean returns the expected number of further tokens, at most limit, of an output
+// that has reached soFar tokens.
 func (c *Curve) Mean(soFar, limit int) float64 {
 	at := c.At(float64(soFar))
 	if at <= 0 || limit <= 0 {
--- a/internal/length/estimator.go
+++ b/internal/length/estimator.go
@@ -2,44 +2,44 @@
 
 import "math"
 
-// Params sets how fast an [Estimator] forgets and how much it leans on
-// coarser keys.
+// Params configures how fast an [Estimator] discounts old observations and how
+// strongly it smooths towards coarser keys.
 type Params struct {
-	// HalfLife is the number of observations of a key after which an old one
-	// counts half. It bounds how long demand that has shifted is mistaken.
+	// HalfLife is the number of observations of a key after which an old one has
+	// half its weight. It limits how long estimates are off after demand shifts.
 	HalfLife float64
-	// PriorWeight is the number of outputs, still running at a length, below
-	// which a key's own hazard there counts less than that of the coarser key.
+	// PriorWeight is the number of outputs still running at a length below which
+	// the key's own hazard counts less than that of the coarser key.
 	PriorWeight float64
-	// PriorTail is the exponent of the Pareto tail that is assumed before
-	// anything was observed; 1 means that an output that has run for n tokens
-	// is expected to reach 2n with probability one half.
+	// PriorTail is the exponent of the Pareto tail assumed without observations; 1
+	// means that an output of n tokens so far reaches 2n with probability one half.
 	PriorTail float64
-	// MaxKeys bounds the keys kept; the one unused for longest goes first.
+	// MaxKeys is the maximum number of keys; the least recently used one is
+	// evicted first.
 	MaxKeys int
 }
 
-// DefaultParams fits a few requests a second for each model and workspace.
+// DefaultParams is for a few requests a second for each model and workspace.
 //
-// HalfLife: 400 outputs are some minutes of one busy workspace; halving it
-// makes quantiles above 0.95 noisy, doubling it doubles the time for which a
-// shift of demand causes preemptions. PriorWeight: below some ten outputs in a
-// bucket the own share is mostly noise. MaxKeys: 290 workspaces with 6 models
-// are 1,740 keys of about 1.7 KB, three megabytes.
+// HalfLife: 400 outputs are some minutes of a busy workspace; half of it makes
+// quantiles above 0.95 noisy, twice of it doubles the time for which a shift of
+// demand causes preemptions. PriorWeight: with fewer than some ten outputs in a bucket
+// the key's own hazard is mostly noise. MaxKeys: 290 workspaces with 6 models are
+// 1,740 keys of about 1.7 KB, three megabytes.
 var DefaultParams = Params{HalfLife: 400, PriorWeight: 12, PriorTail: 1, MaxKeys: 4096}
 
-// refreshEvery is the number of observations after which a curve is computed
-// again. One output changes a curve by less than its noise.
-const refreshEvery = 8
+// refreshInterval is the number of observations after which a curve is recomputed. A
+// single output changes a curve by less than its noise.
+const refreshInterval = 8
 
-// Key names who generates what. Empty fields mean any.
+// Key identifies outputs by service, model and workspace. Empty fields match any.
 type Key struct {
 	Service   string
 	Model     string
 	Workspace string
 }
 
-func (k Key) coarser() (Key, bool) {
+func (k Key) parent() (Key, bool) {
 	switch {
 	case k.Workspace != "":
 		return Key{Service: k.Service, Model: k.Model}, true
@@ -51,10 +51,10 @@
 	return Key{}, false
 }
 
-// table holds the decayed counts of one key.
-type table struct {
+// keyCounts holds the decayed counts of one key.
+type keyCounts struct {
 	// ended[b] counts outputs that ended in bucket b, atRisk[b] those that
-	// reached the start of bucket b and were still watched there.
+	// reached the start of bucket b without being censored before.
 	ended, atRisk [buckets]float32
 	total         float64
 	sinceRefresh  int
@@ -62,36 +62,35 @@
 	lastUse       int64
 }
 
-// Estimator learns the lengths of outputs. It is not safe for concurrent use.
+// Estimator estimates the lengths of outputs. It is not safe for concurrent use.
 type Estimator struct {
 	params Params
 	decay  float32
 	prior  float64
-	tables map[Key]*table
+	tables map[Key]*keyCounts
 	uses   int64
 }
 
-// NewEstimator returns an estimator that has seen nothing.
+// NewEstimator returns an estimator without observations.
 func NewEstimator(p Params) *Estimator {
 	return &Estimator{
 		params: p,
 		decay:  float32(math.Exp2(-1 / p.HalfLife)),
 		prior:  1 - math.Exp2(-p.PriorTail/bucketsPerDoubling),
-		tables: map[Key]*table{},
+		tables: map[Key]*keyCounts{},
 	}
 }
 
-// Observe takes in an output of the given number of tokens. Censored means
-// that it was cut off there and would have gone on: it was cancelled, lost, or
-// reached the caller's own bound.
+// Observe adds an output of the given number of tokens. Censored means that it was
+// cut off there: it was cancelled or lost, or reached the caller's limit.
 //
-// Leaving censored outputs out would be wrong in one direction: long ones are
-// cut off more often, so the curve would be too short and memory would fill.
+// Without censored outputs the curve would be biased: long outputs are cut off more
+// often, so that lengths would be underestimated and the engine's memory would fill.
 func (e *Estimator) Observe(k Key, tokens int, censored bool) {
 	b := bucketOf(tokens)
 	for {
-		e.table(k).add(b, e.decay, censored)
-		coarser, ok := k.coarser()
+		e.counts(k).add(b, e.decay, censored)
+		coarser, ok := k.parent()
 		if !ok {
 			return
 		}
@@ -99,7 +98,7 @@
 	}
 }
 
-func (t *table) add(b int, decay float32, censored bool) {
+func (t *keyCounts) add(b int, decay float32, censored bool) {
 	for i := range t.ended {
 		t.ended[i] *= decay
 		t.atRisk[i] *= decay
@@ -108,8 +107,8 @@
 		t.atRisk[i]++
 	}
 	if censored {
-		// It was seen in part of the bucket only. Half a bucket at risk is
-		// the usual correction of life tables.
+		// The output was observed for a part of the bucket only. Counting it as
+		// half at risk is the usual correction in life tables.
 		t.atRisk[b] -= 0.5
 	} else {
 		t.ended[b]++
@@ -118,19 +117,19 @@
 	t.sinceRefresh++
 }
 
-// Curve returns the present curve of k.
+// Curve returns the current curve of k.
 func (e *Estimator) Curve(k Key) *Curve {
-	t := e.table(k)
-	if t.curve == nil || t.sinceRefresh >= refreshEvery {
+	t := e.counts(k)
+	if t.curve == nil || t.sinceRefresh >= refreshInterval {
 		t.curve = e.compute(k, t)
 		t.sinceRefresh = 0
 	}
 	return t.curve
 }
 
-// compute joins the hazards of a key and its coarser keys: at each bucket the
-// coarser key's hazard counts as PriorWeight further outputs.
-func (e *Estimator) compute(k Key, t *table) *Curve {
+// compute combines the hazards of a key and its coarser keys: in each bucket the
+// coarser key's hazard counts like PriorWeight additional outputs.
+func (e *Estimator) compute(k Key, t *keyCounts) *Curve {
 	var hazard [buckets]float64
 	e.hazards(k, &hazard)
 	c := &Curve{Observations: t.total}
@@ -143,7 +142,7 @@
 }
 
 func (e *Estimator) hazards(k Key, hazard *[buckets]float64) {
-	coarser, ok := k.coarser()
+	coarser, ok := k.parent()
 	if ok {
 		e.hazards(coarser, hazard)
 	} else {
@@ -161,23 +160,23 @@
 	}
 }
 
-func (e *Estimator) table(k Key) *table {
+func (e *Estimator) counts(k Key) *keyCounts {
 	e.uses++
 	t, ok := e.tables[k]
 	if !ok {
 		if len(e.tables) >= e.params.MaxKeys {
-			e.evict()
+			e.evictOldest()
 		}
-		t = &table{}
+		t = &keyCounts{}
 		e.tables[k] = t
 	}
 	t.lastUse = e.uses
 	return t
 }
 
-// evict forgets the key unused for longest, so that tokens of workspaces that
-// join and leave cannot grow the table without bound.
-func (e *Estimator) evict() {
+// evictOldest deletes the least recently used key, so that workspaces that come and go
+// don't grow the map without limit.
+func (e *Estimator) evictOldest() {
 	var oldest Key
 	use := int64(math.MaxInt64)
 	for k, t := range e.tables {
--- a/internal/length/length_test.go
+++ b/internal/length/length_test.go
@@ -18,7 +18,7 @@
 	return 1 + int(median*math.Exp(sigma*rng.NormFloat64()))
 }
 
-// pareto draws lengths from start on with tail exponent alpha.
+// pareto draws lengths of at least start with tail exponent alpha.
 func pareto(rng *rand.Rand, start, alpha float64) int {
 	return min(length.MaxTokens, int(start*math.Pow(1-rng.Float64(), -1/alpha)))
 }
@@ -28,7 +28,7 @@
 		"short answers":  func(rng *rand.Rand, _ int) int { return lognormal(rng, 30, 0.4) },
 		"wide lognormal": func(rng *rand.Rand, _ int) int { return lognormal(rng, 300, 1) },
 		"heavy tail":     func(rng *rand.Rand, _ int) int { return pareto(rng, 50, 1.1) },
-		"two kinds mixed": func(rng *rand.Rand, _ int) int {
+		"mix of two kinds": func(rng *rand.Rand, _ int) int {
 			if rng.IntN(4) == 0 {
 				return lognormal(rng, 3000, 0.3)
 			}
@@ -52,12 +52,12 @@
 			for _, soFar := range []int{0, 20, 200} {
 				for _, q := range []float64{0.5, 0.9} {
 					within, reached := 0, 0
-					bound := soFar + c.Remaining(soFar, q)
+					maxLength := soFar + c.Remaining(soFar, q)
 					for range 20000 {
 						n := draw(rng, 4000)
 						if n > soFar {
 							reached++
-							if n <= bound {
+							if n <= maxLength {
 								within++
 							}
 						}
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestLongRunningIsExpectedToRunLonger(t *testing.T) {
+func TestRemainingGrowsWithLengthForHeavyTails(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	e := length.NewEstimator(length.DefaultParams)
 	for range 3000 {
@@ -85,8 +85,8 @@
 }
 
 func TestCensoredOutputsCountAsAtLeastAsLong(t *testing.T) {
-	// Callers cancel whatever runs beyond 200 tokens. Were these taken for
-	// ended, the engine would be filled as if nothing ever ran longer.
+	// Guards against counting outputs that callers cancel at 200 tokens as ended:
+	// lengths would be underestimated and the engine overfilled.
 	rng := rand.New(rand.NewPCG(5, 6))
 	censored := length.NewEstimator(length.DefaultParams)
 	naive := length.NewEstimator(length.DefaultParams)
@@ -99,7 +99,7 @@
 	require.Less(t, naive.Curve(key).Alive(0, 250), 0.1)
 }
 
-func TestNewWorkspaceLeansOnItsModel(t *testing.T) {
+func TestNewWorkspaceUsesTheCurveOfItsModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	e := length.NewEstimator(length.DefaultParams)
 	for range 1000 {
@@ -110,7 +110,7 @@
 	require.Zero(t, e.Curve(fresh).Observations)
 }
 
-func TestKeysAreBounded(t *testing.T) {
+func TestNumberOfKeysIsLimited(t *testing.T) {
 	p := length.DefaultParams
 	p.MaxKeys = 16
 	e := length.NewEstimator(p)
