--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -20,11 +20,11 @@
 	return e.Curve(k)
 }
 
-func TestPeakCoversWhatHappens(t *testing.T) {
-	// A batch in the middle of its work decodes on: sequences of unknown
-	// length, each at a random place of its output. The real peak of memory
-	// within the horizon must rarely be above the predicted one, and the
-	// prediction must stay near it, or memory lies idle.
+func TestPeakCoversTheActualPeak(t *testing.T) {
+	// Guards against a prediction that is too low or too high: for batches of
+	// sequences of unknown length, each at a random position of its output, the
+	// actual peak within the horizon must rarely exceed the prediction, and the
+	// prediction must stay near it, or memory would be unused.
 	draws := map[string]func(*rand.Rand) int{
 		"lognormal":  func(rng *rand.Rand) int { return 1 + int(200*math.Exp(rng.NormFloat64())) },
 		"heavy tail": func(rng *rand.Rand) int { return min(8000, int(60*math.Pow(1-rng.Float64(), -1/1.2))) },
@@ -40,30 +40,30 @@
 		t.Run(name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 1))
 			curve := learned(rng, draw)
-			over, predicted, real := 0, 0.0, 0.0
+			over, predicted, actual := 0, 0.0, 0.0
 			for range trials {
 				var m forecast.Memory
-				soFar, left := make([]int, batch), make([]int, batch)
+				soFar, remaining := make([]int, batch), make([]int, batch)
 				for i := range soFar {
-					soFar[i], left[i] = running(rng, draw, bound)
+					soFar[i], remaining[i] = running(rng, draw, bound)
 					m.Add(forecast.Sequence{Prompt: prompt, SoFar: soFar[i], Bound: bound, Curve: curve})
 				}
-				peak, happened := m.Peak(forecast.DefaultMargin), realPeak(soFar, left, prompt)
+				peak, actualPeak := m.Peak(forecast.DefaultMargin), realPeak(soFar, remaining, prompt)
 				predicted += peak
-				real += happened
-				if happened > peak {
+				actual += actualPeak
+				if actualPeak > peak {
 					over++
 				}
 			}
 			require.Less(t, over, trials/50, "batches above the predicted peak")
-			require.Less(t, predicted, 1.3*real, "memory set aside")
+			require.Less(t, predicted, 1.3*actual, "memory reserved")
 		})
 	}
 }
 
-// running draws a sequence as found at a random moment: long outputs run for
-// longer, so they are found more often.
-func running(rng *rand.Rand, draw func(*rand.Rand) int, bound int) (soFar, left int) {
+// running draws a sequence that runs at a random moment: long outputs run longer,
+// so they are drawn more often.
+func running(rng *rand.Rand, draw func(*rand.Rand) int, bound int) (soFar, remaining int) {
 	for {
 		n := min(draw(rng), bound)
 		if rng.IntN(bound) < n {
@@ -73,14 +73,14 @@
 	}
 }
 
-// realPeak decodes all at the same pace for 256 tokens and returns the largest
-// sum.
-func realPeak(soFar, left []int, prompt int) float64 {
+// realPeak decodes all sequences in step for 256 tokens and returns the largest
+// total.
+func realPeak(soFar, remaining []int, prompt int) float64 {
 	peak := 0
 	for ahead := range 257 {
 		sum := 0
 		for i := range soFar {
-			if left[i] >= ahead {
+			if remaining[i] >= ahead {
 				sum += prompt + soFar[i] + ahead
 			}
 		}
@@ -98,9 +98,9 @@
 	}{
 		"idle":              {max: 0},
 		"residents only":    {resident: 500, min: 500, max: 500},
-		"bound reached":     {sequences: []forecast.Sequence{{Prompt: 50, SoFar: 10, Bound: 10, Curve: curve}}, min: 60, max: 60},
+		"limit reached":     {sequences: []forecast.Sequence{{Prompt: 50, SoFar: 10, Bound: 10, Curve: curve}}, min: 60, max: 60},
 		"one of a hundred":  {sequences: []forecast.Sequence{{Prompt: 50, Curve: curve}}, min: 110, max: 200},
-		"bound below curve": {sequences: []forecast.Sequence{{Prompt: 50, Bound: 16, Curve: curve}}, min: 60, max: 70},
+		"limit below curve": {sequences: []forecast.Sequence{{Prompt: 50, Bound: 16, Curve: curve}}, min: 60, max: 70},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -129,17 +129,17 @@
 	require.InDelta(t, 12+0.8*30, v.At(30), 2)
 	require.InDelta(t, 30, v.MaxBatch(12+0.8*30, 64), 3)
 
-	// The server turns slow; a hundred reports later no more is sent there
-	// than it can serve in time.
+	// The server becomes slow; after some hundred reports the maximum batch is what
+	// it can serve within the target.
 	feed(250, 20, 2)
 	require.InDelta(t, 80, v.At(30), 6)
 	require.InDelta(t, 8, v.MaxBatch(36, 64), 2)
 }
 
-// Each report tells one step. One step in five also reads part of a prompt and
-// takes sixteen milliseconds more, at any size of the batch. Put down to the
-// batch, they would leave some of sixteen places empty at a target of 21.
-func TestIntervalLeavesOutStepsThatReadPrompts(t *testing.T) {
+// Guards against attributing prefill time to the batch size. Each report measures one
+// step, and one step in five includes prefill and takes 16 ms longer at any batch
+// size: some of sixteen slots would stay unused at a target of 21 ms.
+func TestIntervalIgnoresStepsWithPrefill(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	v := forecast.NewInterval()
 	sum := 0.0
@@ -158,7 +158,7 @@
 	require.InDelta(t, 19.5, sum/(reports-learned), 0.5)
 }
 
-func TestIntervalBearsOddReports(t *testing.T) {
+func TestIntervalIgnoresInvalidReports(t *testing.T) {
 	v := forecast.NewInterval()
 	for range 500 {
 		v.Observe(8, 20)
--- a/internal/forecast/interval.go
+++ b/internal/forecast/interval.go
@@ -7,93 +7,88 @@
 )
 
 const (
-	// intervalForget weighs an older report by this factor for each newer
-	// one. Some thirty count, a quarter of a minute at two a second: a server
-	// that has become slow is found within that time, and one that recovered
-	// takes work again. At 0.99 it was still shunned after a hundred reports.
-	intervalForget = 0.97
-	// Before anything is known a step is taken to last priorBase
-	// milliseconds, and priorPerSequence more for each sequence in the batch.
+	// intervalDecay is the decay of a report's weight with each newer one. Some
+	// thirty reports count, a quarter of a minute at two a second: a server that
+	// became slow is detected within that time, and one that recovered gets
+	// work again. At 0.99 it would still be avoided after a hundred reports.
+	intervalDecay = 0.97
+	// Without reports a step is assumed to take priorBase milliseconds, plus
+	// priorPerSequence for each sequence in the batch.
 	priorBase        = 10.0
 	priorPerSequence = 0.2
-	// The prior weighs as much as reports of unit variance with these
-	// precisions. That of the slope is higher: while all batches are of one
-	// size the reports cannot tell slope from base, and taking a slow server
-	// for a steep one would misjudge every other size.
+	// The precisions of the prior, relative to reports of unit variance. That of
+	// the slope is higher: while all batches have the same size, the reports can't
+	// separate slope and base, and attributing a slow server's time to the slope
+	// would be wrong for every other size.
 	basePrecision        = 0.01
 	perSequencePrecision = 4.0
-	// recentReports is the number of newest reports of which the second lowest
-	// is learned from. A report tells the time of one step, and a step that also
-	// reads a prompt takes nearly twice as long, whatever the size of the batch.
-	// At full load one step in eight to five does; of five reports four do so in
-	// one of a hundred and fifty. A server that has become slow is seen three
-	// reports later than without it.
+	// recentReports is the number of latest reports of which the second lowest is
+	// used. A report gives the time of one step, and a step with prefill takes
+	// nearly twice as long, whatever the batch size. At full load one step in five
+	// to eight includes prefill; four of five reports do so in one of 150 cases.
+	// The cost is that a server that became slow is detected three reports later.
 	recentReports = 5
 )
 
-// Interval learns a backend server's time between tokens as a line over the
-// size of its batch, by least squares with forgetting towards a prior. It is
-// for engines that batch without bound: the harm is a batch so large that
-// every running stream gets slower than its target, which no queue length
-// shows. The zero value is not ready; use [NewInterval].
+// Interval estimates a backend server's time between tokens as a linear function of
+// the batch size, by regularized least squares with exponential decay. It is for
+// engines that batch without limit, where too large a batch makes every stream slower
+// than its target without any queue building up. Create it with [NewInterval].
 //
-// Recursive least squares was tried first. While the batch stays the same its
-// covariance grows without bound in the direction that no report covers, and
-// after a slow spell a recovered server was judged too slow for a second
-// request.
+// Recursive least squares isn't suitable: while the batch size is constant, its
+// covariance grows without limit in the direction that no report covers, and after a
+// slow period a recovered server is considered too slow for a second request.
 //
-// Learning from every report was tried next. Steps that read prompts were then
-// put down to the batch, and batches were kept at 12 with a quarter of the
-// memory free, where 16 would have met the target; the steps that read prompts
-// were no shorter for it. Learning from the median of five reports was better,
-// but where one step in five reads prompts it still follows them at times.
+// Using every report isn't suitable either: the time of steps with prefill is then
+// attributed to the batch size, which limits batches to 12 with a quarter of the memory
+// free where 16 would meet the target, without making those steps shorter. The median
+// of five reports is better, but still affected when one step in five includes prefill.
 type Interval struct {
 	base, perSequence float64
-	// Decayed sums over the reports: their number, sizes, squared sizes,
-	// times, and sizes by times.
+	// Decayed sums over the reports: their number, sizes, squared sizes, times,
+	// and products of size and time.
 	n, x, xx, y, xy float64
-	// recent are the newest reports in a ring.
+	// recent is a ring buffer of the latest reports.
 	recent [recentReports]intervalReport
-	// Reports counts what was taken in.
+	// Reports is the number of observed reports.
 	Reports int
 }
 
 type intervalReport struct{ batch, millis float64 }
 
-// NewInterval returns an estimate that rests on the prior alone.
+// NewInterval returns an estimate without reports, equal to the prior.
 func NewInterval() *Interval {
 	return &Interval{base: priorBase, perSequence: priorPerSequence}
 }
 
-// Observe takes in one report: the batch size and the time between tokens in
-// milliseconds. Reports of an idle server say nothing and are left out.
+// Observe adds a report: the batch size and the time between tokens in milliseconds.
+// Reports of an idle server and invalid ones are ignored.
 func (v *Interval) Observe(batch int, millis float64) {
 	if batch <= 0 || millis <= 0 || math.IsNaN(millis) || math.IsInf(millis, 0) {
 		return
 	}
 	v.recent[v.Reports%recentReports] = intervalReport{batch: float64(batch), millis: millis}
 	v.Reports++
-	r := v.decoding()
-	v.n = intervalForget*v.n + 1
-	v.x = intervalForget*v.x + r.batch
-	v.xx = intervalForget*v.xx + r.batch*r.batch
-	v.y = intervalForget*v.y + r.millis
-	v.xy = intervalForget*v.xy + r.batch*r.millis
+	r := v.decodeOnlyReport()
+	v.n = intervalDecay*v.n + 1
+	v.x = intervalDecay*v.x + r.batch
+	v.xx = intervalDecay*v.xx + r.batch*r.batch
+	v.y = intervalDecay*v.y + r.millis
+	v.xy = intervalDecay*v.xy + r.batch*r.millis
 	v.solve()
 }
 
-// decoding returns the recent report that likely tells of a step which only
-// decoded: the second lowest by how far it is above what is expected of its
-// batch. The lowest would follow the noise.
-func (v *Interval) decoding() intervalReport {
+// decodeOnlyReport returns the recent report that most likely measured a step without
+// prefill: the one with the second lowest residual. The lowest would follow the noise.
+func (v *Interval) decodeOnlyReport() intervalReport {
 	recent := v.recent
 	n := min(v.Reports, recentReports)
-	above := func(r intervalReport) float64 { return r.millis - v.base - v.perSequence*r.batch }
-	slices.SortFunc(recent[:n], func(a, b intervalReport) int { return cmp.Compare(above(a), above(b)) })
+	residual := func(r intervalReport) float64 { return r.millis - v.base - v.perSequence*r.batch }
+	slices.SortFunc(recent[:n], func(a, b intervalReport) int { return cmp.Compare(residual(a), residual(b)) })
 	return recent[min(1, n/4)]
 }
 
-// solve finds the line of least weighted squares, the prior included.
+// solve fits the line by weighted least squares, including the prior.
 func (v *Interval) solve() {
 	a, b, d := v.n+basePrecision, v.x, v.xx+perSequencePrecision
 	e := v.y + basePrecision*priorBase
@@ -103,17 +98,16 @@
 	v.perSequence = (a*f - b*e) / det
 }
 
-// At returns the expected time between tokens at a batch size, in
-// milliseconds. It never falls with the size: where the reports say so it is
-// noise, and following it would make the largest batch look the best.
+// At returns the expected time between tokens at a batch size, in milliseconds. It
+// never decreases with the size: a negative slope is noise, and would make the
+// largest batch look best.
 func (v *Interval) At(batch int) float64 {
 	return math.Max(0, v.base+math.Max(0, v.perSequence)*float64(batch))
 }
 
-// MaxBatch returns the largest batch, at most limit, whose time between tokens
-// stays within target milliseconds. It is at least one: a server that cannot
-// meet the target even alone is a matter for placement, not for a queue that
-// would never empty.
+// MaxBatch returns the largest batch size, at most limit, whose time between tokens
+// is within target milliseconds. It is at least one: otherwise the queue of a server
+// that can't meet the target would never empty. Placement has to avoid such servers.
 func (v *Interval) MaxBatch(target float64, limit int) int {
 	lo, hi := 1, max(1, limit)
 	for lo < hi {
