--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -1,10 +1,9 @@
-// Package permit holds what an entry instance asks for before it sends a
-// request to a backend server, and what the owner of that backend server
-// answers.
+// Package permit defines the permits that entry instances need to send requests to
+// backend servers.
 //
-// Every backend server has one owner among the entry instances. The owner
-// hands out permits, so that the limit of a backend server holds across all
-// entry instances together although each of them may send to it.
+// Every backend server has one owner among the entry instances. The owner grants the
+// permits, which enforces the limit of the backend server across all entry instances
+// although each of them may send to it.
 //
 // # Usage
 //
@@ -13,7 +12,7 @@
 //
 //	p, err := acquirer.Acquire(ctx, now, permit.Request{Service: "briefing", Model: "glide-7b"})
 //	if err != nil {
-//		// *Refusal says why, and when to come back.
+//		// *Refusal has the reason and when to retry.
 //	}
 //	defer acquirer.Release(p, outcome)
 package permit
@@ -26,26 +25,26 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Request asks for a place on some backend server of a service.
+// Request is a request for a permit for some backend server of a service.
 type Request struct {
-	// ID names the request on the backend server (its X-Request-Id). The
-	// owner finds it again in the server's load report.
+	// ID is the ID of the request on the backend server (its X-Request-Id), by
+	// which the owner recognizes it in the server's load report.
 	ID        string
 	Service   string
 	Model     string
 	Workspace string
 	Class     pollenspindle.Class
-	// PromptTokens is an estimate; MaxTokens is the caller's bound, or 0.
+	// PromptTokens is an estimate; MaxTokens is the caller's limit, or 0.
 	PromptTokens int
 	MaxTokens    int
-	// PrefixHash groups requests that share the start of their prompt.
+	// PrefixHash is the same for requests with a common prompt prefix.
 	PrefixHash uint64
 	// Fingerprint identifies the request body within its workspace, to find
 	// requests that crash backend servers.
 	Fingerprint uint64
-	// Deadline is when the request is refused if it has not started.
+	// Deadline is when the request is refused if it hasn't started.
 	Deadline time.Time
-	// ExcludeServers and AvoidZones come from earlier attempts.
+	// ExcludeServers and AvoidZones are those of earlier attempts.
 	ExcludeServers []string
 	AvoidZones     []string
 }
@@ -56,52 +55,52 @@
 	Server  string
 	Address string
 	Zone    string
-	// Epoch is the roster version under which the permit was given.
+	// Epoch is the epoch of the roster under which the permit was granted.
 	Epoch int64
-	// Owner and OwnerIncarnation name the instance that gave it.
+	// Owner and OwnerIncarnation identify the instance that granted it.
 	Owner            string
 	OwnerIncarnation string
-	// ServerIncarnation is the start of the backend server that the permit
-	// is for; empty when not known.
+	// ServerIncarnation is the incarnation of the backend server that the permit
+	// is for; empty if unknown.
 	ServerIncarnation string
-	// ExpiresAt is the last moment at which the request may be sent. It
-	// comes from time.Now, so it carries a monotonic reading.
+	// ExpiresAt is the time until which the request may be sent. It is derived
+	// from time.Now, so it has a monotonic clock reading.
 	ExpiresAt time.Time
 }
 
 // Valid reports whether a request may still be sent under p.
 //
-// A process that was paused between receiving and using a permit would send
-// although the owner has given the place to another request; the server then
-// holds more than it can handle. Callers check immediately before the first byte.
+// A process that is paused between receiving and using a permit could otherwise send
+// although the owner has granted the slot to another request, and overload the server.
+// It must be called immediately before the first byte is sent.
 func (p Permit) Valid(now time.Time) bool {
 	return now.Before(p.ExpiresAt)
 }
 
-// Ending says how a request under a permit ended.
+// Ending is how a request under a permit ended.
 type Ending string
 
 // The endings of a request.
 const (
 	EndingFinished  Ending = "finished"
 	EndingCancelled Ending = "cancelled"
-	// EndingNotSent means that no byte left for the backend server.
+	// EndingNotSent means that nothing was sent to the backend server.
 	EndingNotSent Ending = "notSent"
-	// EndingRefused means that the backend server refused before running.
+	// EndingRefused means that the backend server refused the request.
 	EndingRefused Ending = "refused"
-	// EndingLost means that the connection failed and the request may run on.
+	// EndingLost means that the connection failed; the request may still be running.
 	EndingLost Ending = "lost"
-	// EndingCrashed means that the backend server died or was replaced.
+	// EndingCrashed means that the backend server crashed or was replaced.
 	EndingCrashed Ending = "crashed"
-	// ConnectionBroken is no ending yet: the connection of a request broke, and
-	// the request keeps its permit while it is looked for on a new one.
+	// ConnectionBroken isn't final: the connection of a request broke, and the
+	// request keeps its permit while it is looked up over a new connection.
 	ConnectionBroken Ending = "connectionBroken"
 )
 
-// Outcome tells the owner what became of a permit.
+// Outcome is the result of a request, as reported to the owner of its permit.
 type Outcome struct {
 	Ending Ending
-	// OutputTokens counts the tokens received.
+	// OutputTokens is the number of received tokens.
 	OutputTokens int
 	// FirstToken is the time from sending to the first token; zero if none.
 	FirstToken time.Duration
@@ -109,7 +108,7 @@
 	Duration time.Duration
 }
 
-// Reason says why a request was refused.
+// Reason is why a request was refused.
 type Reason string
 
 // The reasons for a refusal.
@@ -126,11 +125,11 @@
 	ReasonOwnerNotFound Reason = "ownerUnreachable"
 )
 
-// Refusal is the error for a request that was not run. Nothing of it was
-// sent to a backend server.
+// Refusal is the error for a request that was refused. Nothing of it was sent to a
+// backend server.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter says when coming back is worthwhile.
+	// RetryAfter is the time after which a retry is worthwhile.
 	RetryAfter time.Duration
 }
 
@@ -139,13 +138,13 @@
 	return fmt.Sprintf("request refused: %s, retry after %s", r.Reason, r.RetryAfter)
 }
 
-// Acquirer hands out permits. Acquire waits while the request is queued, at
-// most until req.Deadline, and returns a *Refusal when it is not to be run.
+// Acquirer acquires and releases permits. Acquire waits while the request is queued,
+// at most until req.Deadline, and returns a *Refusal if the request is refused.
 //
-// MaySend is asked immediately before the first byte. Broken tells that the
-// connection of a request broke, which may be the first sign that the backend
-// server has restarted: nothing is sent there under permits asked for before,
-// and its owner gives no more until a load report measured after.
+// MaySend must be called immediately before the first byte is sent. Broken reports
+// that the connection of a request broke, which may be the first sign that the
+// backend server has restarted: permits requested before can't be used any more, and
+// the owner grants no more until a load report measured afterwards.
 type Acquirer interface {
 	Acquire(ctx context.Context, now time.Time, req Request) (Permit, error)
 	MaySend(now time.Time, p Permit) bool
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -15,9 +15,9 @@
 		expiresAt time.Time
 		want      bool
 	}{
-		"before its end": {expiresAt: now.Add(time.Second), want: true},
-		"at its end":     {expiresAt: now, want: false},
-		"after its end":  {expiresAt: now.Add(-time.Second), want: false},
+		"before expiry": {expiresAt: now.Add(time.Second), want: true},
+		"at expiry":     {expiresAt: now, want: false},
+		"after expiry":  {expiresAt: now.Add(-time.Second), want: false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
