--- a/internal/warmup/limit_test.go
+++ b/internal/warmup/limit_test.go
@@ -11,7 +11,7 @@
 
 const usual = 50 * time.Millisecond
 
-// warmed returns a limit that successes have raised from 2 to 32.
+// warmed returns a limit that was raised from 2 to 32 by successes.
 func warmed() *warmup.Limit {
 	l := warmup.NewLimit(2, 32)
 	l.Started("a")
@@ -28,22 +28,22 @@
 	}{
 		"warm":                 {events: func(*warmup.Limit) {}, want: 32},
 		"the same incarnation": {events: func(l *warmup.Limit) { l.Started("a") }, want: 32},
-		"a restart":            {events: func(l *warmup.Limit) { l.Started("b") }, want: 2},
-		"its report says cold": {events: func(l *warmup.Limit) { l.TurnedCold() }, want: 2},
-		"its own report holds it down": {
+		"restart":              {events: func(l *warmup.Limit) { l.Started("b") }, want: 2},
+		"reset to cold":        {events: func(l *warmup.Limit) { l.TurnedCold() }, want: 2},
+		"no growth while reported cold": {
 			events: func(l *warmup.Limit) { l.Reported(true); times(50, func() { l.Succeeded(2, usual) }) }, want: 2,
 		},
-		"its report says warm again": {
+		"growth after reported warm": {
 			events: func(l *warmup.Limit) { l.Reported(true); l.Reported(false); l.Succeeded(2, usual) }, want: 3,
 		},
-		"a refusal halves":          {events: func(l *warmup.Limit) { l.Refused() }, want: 16},
-		"refusals end at cold":      {events: func(l *warmup.Limit) { times(20, l.Refused) }, want: 2},
-		"one slow first token":      {events: func(l *warmup.Limit) { l.Succeeded(32, 20*usual) }, want: 32},
-		"two slow ones in a row":    {events: func(l *warmup.Limit) { times(2, func() { l.Succeeded(32, 20*usual) }) }, want: 2},
-		"a full batch's first ones": {events: func(l *warmup.Limit) { times(9, func() { l.Succeeded(32, 4*usual) }) }, want: 32},
-		"declared lower":            {events: func(l *warmup.Limit) { l.Declare(2, 10) }, want: 10},
-		"declared higher":           {events: func(l *warmup.Limit) { l.Declare(2, 64) }, want: 32},
-		"declared higher, then one success": {
+		"refusal":                        {events: func(l *warmup.Limit) { l.Refused() }, want: 16},
+		"many refusals":                  {events: func(l *warmup.Limit) { times(20, l.Refused) }, want: 2},
+		"one slow first token":           {events: func(l *warmup.Limit) { l.Succeeded(32, 20*usual) }, want: 32},
+		"two slow first tokens in a row": {events: func(l *warmup.Limit) { times(2, func() { l.Succeeded(32, 20*usual) }) }, want: 2},
+		"first tokens of a full batch":   {events: func(l *warmup.Limit) { times(9, func() { l.Succeeded(32, 4*usual) }) }, want: 32},
+		"lower limit declared":           {events: func(l *warmup.Limit) { l.Declare(2, 10) }, want: 10},
+		"higher limit declared":          {events: func(l *warmup.Limit) { l.Declare(2, 64) }, want: 32},
+		"higher limit declared, then one success": {
 			events: func(l *warmup.Limit) { l.Declare(2, 64); l.Succeeded(32, usual) }, want: 33,
 		},
 	}
@@ -66,12 +66,12 @@
 	l := warmup.NewLimit(2, 32)
 	l.Started("a")
 	require.Equal(t, 2, l.Value())
-	// An idle server proves nothing about bearing more.
+	// Successes of an idle server don't raise the limit.
 	for range 50 {
 		l.Succeeded(0, usual)
 	}
 	require.Equal(t, 2, l.Value())
-	// A round of successes at the limit at most doubles it.
+	// As many successes as the limit double it.
 	for round := 2; round <= 16; round *= 2 {
 		for range round {
 			l.Succeeded(l.Value(), usual)
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestLimitBearsOddDeclarations(t *testing.T) {
+func TestLimitOfInvalidDeclarations(t *testing.T) {
 	for _, l := range []*warmup.Limit{warmup.NewLimit(0, 0), warmup.NewLimit(-1, -5), warmup.NewLimit(5, 2)} {
 		require.GreaterOrEqual(t, l.Value(), 1)
 	}
