--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -49,7 +49,7 @@
 
 // Rights says what this instance may do for an engine; it is *member.Member.
 type Rights interface {
-	Right(now time.Time, s roster.Server) permit.Right
+	Right(now time.Time, s roster.Server) permit.Authority
 }
 
 // Options is what a [Giver] needs.
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -130,8 +130,8 @@
 // rights is a right that can be lost.
 type rights struct{ role atomic.Int64 }
 
-func (r *rights) Right(time.Time, roster.Server) permit.Right {
-	return permit.Right{Role: permit.Role(r.role.Load())}
+func (r *rights) Right(time.Time, roster.Server) permit.Authority {
+	return permit.Authority{Role: permit.Role(r.role.Load())}
 }
 
 type fixture struct {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -148,11 +148,11 @@
 }
 
 // Right implements owner.Rights. A paused process has none.
-func (m *Member) Right(now time.Time, s roster.Server) permit.Right {
+func (m *Member) Right(now time.Time, s roster.Server) permit.Authority {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.guard.Allowed(now) {
-		return permit.Right{Epoch: m.lease.Roster().Epoch}
+		return permit.Authority{Epoch: m.lease.Roster().Epoch}
 	}
 	return m.lease.Right(now, s)
 }
--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -139,7 +139,7 @@
 	})
 }
 
-func (o *Owner) answer(received time.Time, right permit.Right, decision admission.Decision) *peerv1.AcquireResponse {
+func (o *Owner) answer(received time.Time, right permit.Authority, decision admission.Decision) *peerv1.AcquireResponse {
 	switch d := decision.(type) {
 	case admission.Granted:
 		return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_Granted{Granted: &peerv1.Granted{
@@ -189,7 +189,7 @@
 	}}}
 }
 
-func notOwner(right permit.Right) *peerv1.AcquireResponse {
+func notOwner(right permit.Authority) *peerv1.AcquireResponse {
 	return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_NotOwner{NotOwner: &peerv1.NotOwner{
 		Epoch: right.Epoch, Owner: right.Owner,
 	}}}
--- a/internal/owner/entry.go
+++ b/internal/owner/entry.go
@@ -15,7 +15,7 @@
 	zone  string
 	cfg   admission.Config
 	state *admission.Server
-	right permit.Right
+	right permit.Authority
 	// open says that permits may be given: the right allows it, and the
 	// configuration lets the server receive new work.
 	open bool
@@ -66,7 +66,7 @@
 // and all that waits is sent there at once, up to the limit of before. And what
 // waits for a server that is taken out is sent away at once; it would otherwise
 // be granted by the next release.
-func (e *entry) follow(now time.Time, right permit.Right, takes bool) {
+func (e *entry) follow(now time.Time, right permit.Authority, takes bool) {
 	if takes && e.away {
 		e.state.TurnedCold()
 	}
@@ -85,7 +85,7 @@
 	e.right, e.open = right, open
 }
 
-func mayGrant(r permit.Right) bool {
+func mayGrant(r permit.Authority) bool {
 	return r.Role == permit.RoleOwner || r.Role == permit.RoleDeputy
 }
 
--- a/internal/owner/entry_test.go
+++ b/internal/owner/entry_test.go
@@ -18,8 +18,8 @@
 // through.
 func TestReturningServerIsCold(t *testing.T) {
 	now := time.Unix(5000, 0)
-	owns := permit.Right{Role: permit.RoleOwner, Epoch: 1}
-	tests := map[string]permit.Right{
+	owns := permit.Authority{Role: permit.RoleOwner, Epoch: 1}
+	tests := map[string]permit.Authority{
 		"taken out":           owns,
 		"of another instance": {},
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -62,7 +62,7 @@
 
 // Rights says what this instance may do for a server.
 type Rights interface {
-	Right(now time.Time, s roster.Server) permit.Right
+	Right(now time.Time, s roster.Server) permit.Authority
 	Roster() *roster.Roster
 }
 
@@ -189,7 +189,7 @@
 	defer o.mu.Unlock()
 	for name, e := range o.entries {
 		if !keep[name] {
-			o.with(e, func() { e.follow(now, permit.Right{}, false) })
+			o.with(e, func() { e.follow(now, permit.Authority{}, false) })
 		}
 		if _, ok := snap.Servers[name]; !ok {
 			delete(o.entries, name)
@@ -230,7 +230,7 @@
 	f()
 }
 
-func (o *Owner) right(now time.Time, snap *config.Snapshot, server *pollenspindle.Server) permit.Right {
+func (o *Owner) right(now time.Time, snap *config.Snapshot, server *pollenspindle.Server) permit.Authority {
 	return o.opts.Rights.Right(now, RosterServer(snap, server))
 }
 
--- a/internal/owner/pace_test.go
+++ b/internal/owner/pace_test.go
@@ -28,7 +28,7 @@
 		cfg: cfg, state: admission.New(cfg, admission.FixedLimit{}, length.NewEstimator(length.DefaultParams)),
 		waiters: map[string]chan admission.Decision{}, given: map[string]given{}, reached: true,
 	}
-	e.follow(now.Add(-time.Hour), permit.Right{Role: permit.RoleOwner}, true)
+	e.follow(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
 	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 	return e
 }
@@ -70,7 +70,7 @@
 		"silent":                 {func(e *entry) { e.reported(now, errors.New("lost"), admission.Report{}, admission.Report{}) }, usual},
 		"not reached":            {func(e *entry) { e.reached = false }, usual},
 		"just owned":             {func(e *entry) { e.openedAt = now }, usual},
-		"of another instance":    {func(e *entry) { e.follow(now, permit.Right{}, true) }, usual},
+		"of another instance":    {func(e *entry) { e.follow(now, permit.Authority{}, true) }, usual},
 		"asked for by a request": {func(e *entry) { require.True(t, e.rests(now, usual)) }, 0},
 	}
 	for name, tt := range tests {
@@ -85,8 +85,8 @@
 // fixedRights makes this instance the owner of all.
 type fixedRights struct{}
 
-func (fixedRights) Right(time.Time, roster.Server) permit.Right {
-	return permit.Right{Role: permit.RoleOwner}
+func (fixedRights) Right(time.Time, roster.Server) permit.Authority {
+	return permit.Authority{Role: permit.RoleOwner}
 }
 func (fixedRights) Roster() *roster.Roster { return &roster.Roster{} }
 
@@ -121,7 +121,7 @@
 	defer o.workers.Release()
 	now := time.Now()
 	e := o.entry(snap, &server)
-	e.follow(now.Add(-time.Hour), permit.Right{Role: permit.RoleOwner}, true)
+	e.follow(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
 	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now.Add(-2 * time.Minute)})
 	e.reached, e.polledAt = true, now.Add(-2*time.Minute)
 	for i := 0; e.state.Limit() < server.WarmLimit; i++ {
--- a/internal/owner/ranout_test.go
+++ b/internal/owner/ranout_test.go
@@ -42,7 +42,7 @@
 	require.NoError(t, err)
 	defer o.workers.Release()
 	now := time.Now()
-	right := permit.Right{Role: permit.RoleOwner}
+	right := permit.Authority{Role: permit.RoleOwner}
 	e := o.entry(snap, &server)
 	e.follow(now.Add(-time.Hour), right, true)
 	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
--- a/internal/permit/authority.go
+++ b/internal/permit/authority.go
@@ -18,9 +18,9 @@
 	RoleDeputy
 )
 
-// Right is the authority of an instance to grant permits for one backend server,
+// Authority is the authority of an instance to grant permits for one backend server,
 // according to the roster.
-type Right struct {
+type Authority struct {
 	Role  Role
 	Epoch int64
 	// Owner is the ID of the instance that owns the server; empty if the roster is
--- a/internal/roster/right.go
+++ b/internal/roster/right.go
@@ -8,8 +8,8 @@
 )
 
 // Right returns what this instance may do for s at now.
-func (l *Lease) Right(now time.Time, s Server) permit.Right {
-	right := permit.Right{Epoch: l.roster.Epoch}
+func (l *Lease) Right(now time.Time, s Server) permit.Authority {
+	right := permit.Authority{Epoch: l.roster.Epoch}
 	owner, ok := l.roster.Owner(s.Name, s.Region)
 	if !ok {
 		return right
@@ -28,7 +28,7 @@
 	return right
 }
 
-func (l *Lease) ownerRight(now time.Time, s Server, right permit.Right) permit.Right {
+func (l *Lease) ownerRight(now time.Time, s Server, right permit.Authority) permit.Authority {
 	end, known := l.takeoverEnd(s)
 	if !known || now.Before(end) {
 		right.Role = permit.RoleWaiting
@@ -151,7 +151,7 @@
 	return at, ok && l.roster.Has(in.ID, in.Incarnation)
 }
 
-func (l *Lease) deputyRight(now time.Time, s Server, owner string, right permit.Right) permit.Right {
+func (l *Lease) deputyRight(now time.Time, s Server, owner string, right permit.Authority) permit.Authority {
 	free, known := l.olderEnd()
 	if !known {
 		return right
--- a/internal/slopes/duties.go
+++ b/internal/slopes/duties.go
@@ -64,7 +64,7 @@
 }
 
 // Right implements owner.Rights.
-func (r *rights) Right(now time.Time, s roster.Server) permit.Right {
+func (r *rights) Right(now time.Time, s roster.Server) permit.Authority {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lease.Confirm(now, epoch)
