--- a/internal/caller/fixture_test.go
+++ b/internal/caller/fixture_test.go
@@ -66,7 +66,7 @@
 
 func (p *openPermits) MaySend(now time.Time, given permit.Permit) bool { return given.Valid(now) }
 
-func (p *openPermits) Broken(time.Time, permit.Permit) {}
+func (p *openPermits) ReportBroken(time.Time, permit.Permit) {}
 
 func (p *openPermits) Release(_ permit.Permit, o permit.Outcome) {
 	p.mu.Lock()
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -112,7 +112,7 @@
 
 func (p *fakePermits) MaySend(now time.Time, given permit.Permit) bool { return given.Valid(now) }
 
-func (p *fakePermits) Broken(time.Time, permit.Permit) {}
+func (p *fakePermits) ReportBroken(time.Time, permit.Permit) {}
 
 func (p *fakePermits) Release(_ permit.Permit, o permit.Outcome) {
 	p.mu.Lock()
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -148,6 +148,6 @@
 type Acquirer interface {
 	Acquire(ctx context.Context, now time.Time, req Request) (Permit, error)
 	MaySend(now time.Time, p Permit) bool
-	Broken(now time.Time, p Permit)
+	ReportBroken(now time.Time, p Permit)
 	Release(p Permit, o Outcome)
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -230,7 +230,7 @@
 			return res
 		}
 	}
-	a.life.relay.opts.Permits.Broken(now, a.permit)
+	a.life.relay.opts.Permits.ReportBroken(now, a.permit)
 	if errors.Is(err, ErrUnknownStream) {
 		// It restarted, most likely; its owner waits for a report to know.
 		return a.lost(permit.EndingCrashed)
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -141,7 +141,7 @@
 
 func (p *fakePermits) MaySend(now time.Time, given permit.Permit) bool { return given.Valid(now) }
 
-func (p *fakePermits) Broken(_ time.Time, given permit.Permit) {
+func (p *fakePermits) ReportBroken(_ time.Time, given permit.Permit) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.broken == nil {
--- a/internal/router/broken_connection.go
+++ b/internal/router/broken_connection.go
@@ -12,9 +12,9 @@
 // the owner, which then grants nothing itself until the next load report.
 const brokenServerBackoff = 200 * time.Millisecond
 
-// Broken implements [permit.Acquirer]. A permit without an ID belongs to a
+// ReportBroken implements [permit.Acquirer]. A permit without an ID belongs to a
 // request that another instance started; that instance reports to the owner.
-func (r *Router) Broken(now time.Time, p permit.Permit) {
+func (r *Router) ReportBroken(now time.Time, p permit.Permit) {
 	r.recordBroken(now, p.Server)
 	if p.ID == "" {
 		return
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -75,7 +75,7 @@
 	const permitFor = 2 * time.Second
 	now := time.Now()
 	r := router.New(router.Options{Members: allowedMembers{}, PermitFor: permitFor, Metrics: tally.NoopScope})
-	r.Broken(now, permit.Permit{Server: "engine-1"})
+	r.ReportBroken(now, permit.Permit{Server: "engine-1"})
 	asked := func(at time.Time, server string) permit.Permit {
 		return permit.Permit{Server: server, ExpiresAt: at.Add(permitFor)}
 	}
