--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -21,8 +21,8 @@
 
 func at(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
 
-func ask(id string) admission.Ask {
-	return admission.Ask{
+func ask(id string) admission.AcquireRequest {
+	return admission.AcquireRequest{
 		PermitID: "permit-" + id, Weight: 1, MayQueue: true,
 		Request: permit.Request{
 			ID: id, Service: "briefing", Model: "glide", Workspace: "club",
@@ -122,7 +122,7 @@
 	s := opened()
 	g := granted(t, s.Acquire(at(100), ask("1")))
 	s.Release(at(5000), g.PermitID, permit.Outcome{Ending: permit.EndingCrashed})
-	atOnce := func(id string) admission.Ask {
+	atOnce := func(id string) admission.AcquireRequest {
 		a := ask(id)
 		a.MayQueue = false
 		return a
--- a/internal/admission/capacity.go
+++ b/internal/admission/capacity.go
@@ -29,7 +29,7 @@
 )
 
 // newQueueItem converts a permit request to a queue newQueueItem.
-func (s *Server) newQueueItem(now time.Time, a Ask) *queue.Item {
+func (s *Server) newQueueItem(now time.Time, a AcquireRequest) *queue.Item {
 	req := a.Request
 	deadline := req.Deadline
 	if deadline.IsZero() {
--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -9,7 +9,7 @@
 
 // grant is a permit that was granted and whose request may be running.
 type grant struct {
-	request   Ask
+	request   AcquireRequest
 	curve     *length.Curve
 	expiresAt time.Time
 	// incarnation is the server incarnation that the permit is for.
@@ -38,7 +38,7 @@
 // grant grants a permit. Its lifetime starts when the owner received the request,
 // which is after the sender read its own clock: the sender stops using the permit
 // before the owner may reuse the slot.
-func (s *Server) grant(now time.Time, a Ask, asked time.Time) Decision {
+func (s *Server) grant(now time.Time, a AcquireRequest, asked time.Time) Decision {
 	g := &grant{
 		request:     a,
 		curve:       s.lengths.Curve(lengthKey(&a.Request)),
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -33,7 +33,7 @@
 	ended map[string]time.Time
 	// lastPolled holds when a queued request was last polled, by request ID.
 	lastPolled     map[string]time.Time
-	queuedRequests map[string]Ask
+	queuedRequests map[string]AcquireRequest
 
 	// foreign are running requests without a permit of this owner.
 	foreign      []Sequence
@@ -79,7 +79,7 @@
 		permits:        map[string]*grant{},
 		ended:          map[string]time.Time{},
 		lastPolled:     map[string]time.Time{},
-		queuedRequests: map[string]Ask{},
+		queuedRequests: map[string]AcquireRequest{},
 		margin:         forecast.DefaultMargin,
 		running:        map[string]int{},
 	}
@@ -169,7 +169,7 @@
 
 // Acquire decides on one request. Repeating it with the same request ID keeps the
 // place in the queue, or returns the same permit if an answer was lost.
-func (s *Server) Acquire(now time.Time, a Ask) Decision {
+func (s *Server) Acquire(now time.Time, a AcquireRequest) Decision {
 	id := a.Request.ID
 	if g, ok := s.grants[id]; ok {
 		return s.grantedDecision(now, g)
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -67,8 +67,8 @@
 func (FixedLimit) policy() {}
 func (Unlimited) policy()  {}
 
-// Ask is a request for a permit.
-type Ask struct {
+// AcquireRequest is a request for a permit.
+type AcquireRequest struct {
 	Request permit.Request
 	// PermitID is the ID of the permit if one is granted.
 	PermitID string
@@ -81,7 +81,7 @@
 	Suspect bool
 }
 
-// Decision is the answer to an [Ask]. It is sealed: [Granted], [Queued],
+// Decision is the answer to an [AcquireRequest]. It is sealed: [Granted], [Queued],
 // [Refused] or [NotHere].
 type Decision interface{ decision() }
 
--- a/internal/owner/decide.go
+++ b/internal/owner/decide.go
@@ -76,8 +76,8 @@
 	return out
 }
 
-func (o *Owner) ask(now time.Time, snap *config.Snapshot, req *peerv1.AcquireRequest) admission.Ask {
-	ask := admission.Ask{
+func (o *Owner) ask(now time.Time, snap *config.Snapshot, req *peerv1.AcquireRequest) admission.AcquireRequest {
+	ask := admission.AcquireRequest{
 		PermitID: NewPermitID(),
 		MayQueue: req.GetWaitMillis() > 0,
 		Suspect:  o.opts.Suspects.check(now, req.GetFingerprint()) == suspect.Suspected,
--- a/internal/owner/entry_test.go
+++ b/internal/owner/entry_test.go
@@ -33,7 +33,7 @@
 			e.follow(now, owns, true)
 			e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 			ask := func(id string) admission.Decision {
-				return e.state.Acquire(now, admission.Ask{PermitID: id, MayQueue: true, Request: permit.Request{ID: id, Deadline: now.Add(time.Minute)}})
+				return e.state.Acquire(now, admission.AcquireRequest{PermitID: id, MayQueue: true, Request: permit.Request{ID: id, Deadline: now.Add(time.Minute)}})
 			}
 			for i := 0; e.state.Limit() < cfg.WarmLimit; i++ {
 				for j := range e.state.Limit() {
--- a/internal/owner/pace_test.go
+++ b/internal/owner/pace_test.go
@@ -48,7 +48,7 @@
 		return func(e *entry) {
 			for i := range n {
 				id := fmt.Sprint(i)
-				e.state.Acquire(now, admission.Ask{PermitID: id, MayQueue: true, Request: permit.Request{ID: id, Deadline: now.Add(time.Minute)}})
+				e.state.Acquire(now, admission.AcquireRequest{PermitID: id, MayQueue: true, Request: permit.Request{ID: id, Deadline: now.Add(time.Minute)}})
 			}
 		}
 	}
@@ -127,7 +127,7 @@
 	for i := 0; e.state.Limit() < server.WarmLimit; i++ {
 		for j := range e.state.Limit() {
 			id := fmt.Sprint("earlier", i, j)
-			require.IsType(t, admission.Granted{}, e.state.Acquire(now, admission.Ask{PermitID: id, Request: permit.Request{ID: id}}))
+			require.IsType(t, admission.Granted{}, e.state.Acquire(now, admission.AcquireRequest{PermitID: id, Request: permit.Request{ID: id}}))
 		}
 		for j := range e.state.Running() {
 			e.state.Release(now, fmt.Sprint("earlier", i, j), permit.Outcome{Ending: permit.EndingFinished})
--- a/internal/owner/ranout_test.go
+++ b/internal/owner/ranout_test.go
@@ -48,7 +48,7 @@
 	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 	e.reached, e.polledAt = true, now
 	past := now.Add(-permitFor - 5*time.Millisecond)
-	require.IsType(t, admission.Granted{}, e.state.Acquire(past, admission.Ask{PermitID: "r", Request: permit.Request{ID: "r", Deadline: now.Add(time.Minute)}}))
+	require.IsType(t, admission.Granted{}, e.state.Acquire(past, admission.AcquireRequest{PermitID: "r", Request: permit.Request{ID: "r", Deadline: now.Add(time.Minute)}}))
 	answer := o.Acquire(t.Context(), &peerv1.AcquireRequest{Server: "desk-1", Id: "r", WaitMillis: 10})
 	require.Nil(t, answer.GetRefused())
 	require.NotNil(t, answer.GetQueued(), "told to ask again")
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -132,8 +132,8 @@
 	TokenInterval: 42 * time.Millisecond, PermitFor: 2 * time.Second, AskFor: time.Hour,
 }
 
-func admissionAsk(i int, mayQueue bool) admission.Ask {
-	return admission.Ask{
+func admissionAsk(i int, mayQueue bool) admission.AcquireRequest {
+	return admission.AcquireRequest{
 		PermitID: fmt.Sprintf("permit-%d", i), Weight: 1, MayQueue: mayQueue,
 		Request: permit.Request{
 			ID: fmt.Sprintf("request-%d", i), Service: service, Model: modelName(i),
--- a/test/outcome/world_test.go
+++ b/test/outcome/world_test.go
@@ -246,9 +246,9 @@
 	return nodes
 }
 
-func (w *world) askOf(c *call, mayQueue bool) admission.Ask {
+func (w *world) askOf(c *call, mayQueue bool) admission.AcquireRequest {
 	id := c.id()
-	return admission.Ask{
+	return admission.AcquireRequest{
 		PermitID: id, Weight: 1, MayQueue: mayQueue,
 		Request: permit.Request{
 			ID: id, Service: "s", Model: "m", Workspace: c.workspace, Class: c.class,
