--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -72,10 +72,10 @@
 	// permits are in flight. A report measured before those permits expired would
 	// miss them, and the cold server would get twice what it can handle.
 	s := admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(0), ask("0")))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(0), ask("0")))
 	s.Open(at(2000))
 	s.Report(at(1900), report(1800))
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(1900), ask("1")))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(1900), ask("1")))
 	s.Report(at(2200), report(2100, admission.Sequence{ID: "of the old owner", Prompt: 50, Output: 3}))
 	granted(t, s.Acquire(at(2200), ask("2")))
 	require.IsType(t, admission.Queued{}, s.Acquire(at(2201), ask("3")))
@@ -127,9 +127,9 @@
 		a.MayQueue = false
 		return a
 	}
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(5001), atOnce("2")))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(5001), atOnce("2")))
 	s.Report(at(5100), report(4900))
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(5101), atOnce("3")), "measured before the crash")
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(5101), atOnce("3")), "measured before the crash")
 	restarted := report(5300)
 	restarted.Incarnation = "b"
 	s.Report(at(5400), restarted)
@@ -144,7 +144,7 @@
 	s.Unreachable()
 	now := ask("1")
 	now.MayQueue = false
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(500), now))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(500), now))
 	require.IsType(t, admission.Queued{}, s.Acquire(at(500), ask("2")))
 	require.Empty(t, s.Tick(at(900)), "no grant while unreachable")
 	s.Report(at(1000), report(950))
@@ -152,10 +152,10 @@
 	granted(t, s.Acquire(at(1001), ask("2")))
 
 	s.Unreachable()
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(4000), ask("3")), "no report for too long")
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(4000), ask("3")), "no report for too long")
 	s.Report(at(5000), report(4900))
 	s.Gone(at(5001))
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(5002), ask("4")), "the process has exited")
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(5002), ask("4")), "the process has exited")
 }
 
 func TestUnusedPermitIsReclaimed(t *testing.T) {
@@ -285,7 +285,7 @@
 	s.Release(at(1100), g.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 3})
 	b := ask("2")
 	b.MayQueue = false
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(1200), b))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(1200), b))
 	g = granted(t, s.Acquire(at(9000), b))
 	s.Release(at(9900), g.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 3})
 	slow(10000, 20*time.Millisecond)
@@ -310,7 +310,7 @@
 	after := s.Release(at(400), late.PermitID, permit.Outcome{Ending: permit.EndingLost})
 	require.NotNil(t, after)
 	require.Equal(t, "a", after.OldIncarnation)
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(500), ask("new")))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(500), ask("new")))
 
 	// Only the connection had failed: the same incarnation reports again, and a
 	// lost request is no longer a crash.
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -103,7 +103,7 @@
 	for id := range s.queuedRequests {
 		s.deleteQueued(id)
 		s.queue.Remove(id)
-		out = append(out, NotHere{RequestID: id, LoadPermille: s.LoadPermille(now)})
+		out = append(out, Unavailable{RequestID: id, LoadPermille: s.LoadPermille(now)})
 	}
 	return out
 }
@@ -249,7 +249,7 @@
 }
 
 func (s *Server) unavailable(now time.Time, id string) Decision {
-	return NotHere{RequestID: id, LoadPermille: s.LoadPermille(now), RetryAfter: s.queue.RetryAfter(s.queue.Len())}
+	return Unavailable{RequestID: id, LoadPermille: s.LoadPermille(now), RetryAfter: s.queue.RetryAfter(s.queue.Len())}
 }
 
 func (s *Server) deleteQueued(id string) {
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -82,7 +82,7 @@
 }
 
 // Decision is the answer to an [AcquireRequest]. It is sealed: [Granted], [Queued],
-// [Refused] or [NotHere].
+// [Refused] or [Unavailable].
 type Decision interface{ decision() }
 
 // Granted grants a permit.
@@ -109,18 +109,18 @@
 	Refusal   permit.Refusal
 }
 
-// NotHere means that this server can't take the request now and another may be
+// Unavailable means that this server can't take the request now and another may be
 // better. LoadPermille is the utilization of this server; 1000 or more is full.
-type NotHere struct {
+type Unavailable struct {
 	RequestID    string
 	LoadPermille int
 	RetryAfter   time.Duration
 }
 
-func (Granted) decision() {}
-func (Queued) decision()  {}
-func (Refused) decision() {}
-func (NotHere) decision() {}
+func (Granted) decision()     {}
+func (Queued) decision()      {}
+func (Refused) decision()     {}
+func (Unavailable) decision() {}
 
 // Sequence is one running request as reported by the engine. Prompt and Output are
 // in tokens.
--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -62,7 +62,7 @@
 		o.gone(e, req.GetId(), decision)
 		return refused(permit.ReasonDeadline, retryNotReady, fullPermille)
 	}
-	if _, ok := decision.(admission.NotHere); ok && received.Sub(opened) < firstReport {
+	if _, ok := decision.(admission.Unavailable); ok && received.Sub(opened) < firstReport {
 		return hold(ctx, o.waitOf(req))
 	}
 	if o.ranOut(received, decision) {
@@ -154,7 +154,7 @@
 		return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_Queued{Queued: &peerv1.Queued{Ahead: int32(d.Ahead)}}}
 	case admission.Refused:
 		return refused(d.Refusal.Reason, d.Refusal.RetryAfter, fullPermille)
-	case admission.NotHere:
+	case admission.Unavailable:
 		return refused(permit.ReasonOverloaded, d.RetryAfter, d.LoadPermille)
 	}
 	return refused(permit.ReasonOverloaded, retryNotReady, fullPermille)
--- a/internal/owner/entry.go
+++ b/internal/owner/entry.go
@@ -109,7 +109,7 @@
 		return d.RequestID
 	case admission.Refused:
 		return d.RequestID
-	case admission.NotHere:
+	case admission.Unavailable:
 		return d.RequestID
 	}
 	return ""
--- a/internal/owner/entry_test.go
+++ b/internal/owner/entry_test.go
@@ -50,8 +50,8 @@
 			waiter := make(chan admission.Decision, 1)
 			e.waiters["waits"] = waiter
 			e.follow(now, meanwhile, false)
-			require.IsType(t, admission.NotHere{}, <-waiter)
-			require.IsType(t, admission.NotHere{}, ask("later"))
+			require.IsType(t, admission.Unavailable{}, <-waiter)
+			require.IsType(t, admission.Unavailable{}, ask("later"))
 			e.follow(now, owns, true)
 			require.Equal(t, cfg.ColdLimit, e.state.Limit())
 		})
--- a/test/outcome/world_test.go
+++ b/test/outcome/world_test.go
@@ -215,7 +215,7 @@
 	nodes := w.place(c)
 	for i, n := range nodes {
 		d := n.state.Acquire(w.now, w.askOf(c, len(nodes) == 1))
-		if no, ok := d.(admission.NotHere); ok {
+		if no, ok := d.(admission.Unavailable); ok {
 			w.views[n.server.Name] = placement.View{LoadPermille: no.LoadPermille, At: w.now}
 			if i+1 < len(nodes) {
 				continue
@@ -263,7 +263,7 @@
 		w.send(n, d)
 	case admission.Refused:
 		w.refuse(d)
-	case admission.NotHere:
+	case admission.Unavailable:
 		// No server has reported yet.
 		c := w.callOf(d.RequestID)
 		w.after(d.RetryAfter, func() { w.ask(c) })
