--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -108,9 +108,9 @@
 	return out
 }
 
-// SetBounds sets the part of the limit that this instance may grant: it leaves
+// SetQuota sets the part of the limit that this instance may grant: it leaves
 // reserve to others and, if share is positive, has at most share grants itself.
-func (s *Server) SetBounds(reserve, share int) {
+func (s *Server) SetQuota(reserve, share int) {
 	s.reserve, s.share = reserve, share
 }
 
--- a/internal/owner/entry.go
+++ b/internal/owner/entry.go
@@ -78,7 +78,7 @@
 			e.state.Open(right.ReportAfter)
 			e.openedAt = now
 		}
-		e.state.SetBounds(right.Reserve, right.Share)
+		e.state.SetQuota(right.Reserve, right.Share)
 	case e.open:
 		e.deliver(e.state.Close(now))
 	}
