--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -114,8 +114,8 @@
 	s.reserve, s.share = reserve, share
 }
 
-// Declare applies a changed configuration of the server.
-func (s *Server) Declare(cfg Config) {
+// UpdateConfig applies a changed configuration of the server.
+func (s *Server) UpdateConfig(cfg Config) {
 	s.cfg = cfg
 	s.limit.Declare(cfg.ColdLimit, cfg.WarmLimit)
 }
--- a/internal/owner/entry.go
+++ b/internal/owner/entry.go
@@ -55,7 +55,7 @@
 func (e *entry) declare(cfg admission.Config) {
 	if cfg != e.cfg {
 		e.cfg = cfg
-		e.state.Declare(cfg)
+		e.state.UpdateConfig(cfg)
 	}
 }
 
