--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -120,9 +120,9 @@
 	s.limit.Declare(cfg.ColdLimit, cfg.WarmLimit)
 }
 
-// TurnedCold resets the server to its cold limit, after its availability zone or
+// ResetToCold resets the server to its cold limit, after its availability zone or
 // the server itself returned to service.
-func (s *Server) TurnedCold() {
+func (s *Server) ResetToCold() {
 	s.limit.TurnedCold()
 }
 
--- a/internal/owner/entry.go
+++ b/internal/owner/entry.go
@@ -68,7 +68,7 @@
 // be granted by the next release.
 func (e *entry) follow(now time.Time, right permit.Authority, takes bool) {
 	if takes && e.away {
-		e.state.TurnedCold()
+		e.state.ResetToCold()
 	}
 	e.away = !takes
 	open := takes && mayGrant(right)
--- a/test/outcome/outcome_test.go
+++ b/test/outcome/outcome_test.go
@@ -193,7 +193,7 @@
 	require.Equal(t, before, w.startedInLeaving(), "new work in the zone taken out")
 	for _, n := range w.nodes {
 		if n.server.Zone == leaving {
-			n.state.TurnedCold()
+			n.state.ResetToCold()
 			n.peak = 0
 		}
 	}
