--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -141,7 +141,7 @@
 // that hasn't reported for longer, or whose process has exited.
 func TestRequestsQueueDuringABriefDisconnection(t *testing.T) {
 	s := opened()
-	s.Unreachable()
+	s.MarkUnreachable()
 	now := ask("1")
 	now.MayQueue = false
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(500), now))
@@ -151,7 +151,7 @@
 	require.Len(t, s.Tick(at(1000)), 1)
 	granted(t, s.Acquire(at(1001), ask("2")))
 
-	s.Unreachable()
+	s.MarkUnreachable()
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(4000), ask("3")), "no report for too long")
 	s.Report(at(5000), report(4900))
 	s.Gone(at(5001))
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -126,9 +126,9 @@
 	s.limit.TurnedCold()
 }
 
-// Unreachable records that the server doesn't answer. Nothing is granted until it
+// MarkUnreachable records that the server doesn't answer. Nothing is granted until it
 // reports again.
-func (s *Server) Unreachable() {
+func (s *Server) MarkUnreachable() {
 	s.reachable = false
 }
 
--- a/internal/owner/poll.go
+++ b/internal/owner/poll.go
@@ -124,7 +124,7 @@
 			if errors.Is(err, ErrGone) {
 				restart = e.state.Gone(now)
 			} else {
-				e.state.Unreachable()
+				e.state.MarkUnreachable()
 			}
 			return
 		}
