--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -154,7 +154,7 @@
 	s.MarkUnreachable()
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(4000), ask("3")), "no report for too long")
 	s.Report(at(5000), report(4900))
-	s.Gone(at(5001))
+	s.MarkExited(at(5001))
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(5002), ask("4")), "the process has exited")
 }
 
@@ -303,7 +303,7 @@
 	lost := granted(t, s.Acquire(at(100), ask("lost before")))
 	late := granted(t, s.Acquire(at(100), ask("lost after")))
 	require.Nil(t, s.Release(at(200), lost.PermitID, permit.Outcome{Ending: permit.EndingLost}))
-	gone := s.Gone(at(300))
+	gone := s.MarkExited(at(300))
 	require.Equal(t, "a", gone.OldIncarnation)
 	require.Len(t, gone.Running, 1)
 	require.Equal(t, "lost before", gone.Running[0].ID)
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -132,13 +132,13 @@
 	s.reachable = false
 }
 
-// Gone records that nothing listens at the server's address any more: its process
+// MarkExited records that nothing listens at the server's address any more: its process
 // has exited. It returns the requests that are known to have been lost with it.
 //
 // A process that isn't restarted never reports a new incarnation. A network that
 // refuses connections looks the same; then the lost requests are wrongly suspected
 // until they finish on another server.
-func (s *Server) Gone(now time.Time) *Restart {
+func (s *Server) MarkExited(now time.Time) *Restart {
 	s.reachable = false
 	s.exited = s.report.Incarnation
 	restart := &Restart{OldIncarnation: s.exited}
--- a/internal/owner/poll.go
+++ b/internal/owner/poll.go
@@ -122,7 +122,7 @@
 		if err != nil {
 			o.opts.Metrics.Counter("load_polls_failed").Inc(1)
 			if errors.Is(err, ErrGone) {
-				restart = e.state.Gone(now)
+				restart = e.state.MarkExited(now)
 			} else {
 				e.state.MarkUnreachable()
 			}
