--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -325,7 +325,7 @@
 // measured after it; a late report measured before doesn't count.
 func TestNoGrantAfterAPossibleRestart(t *testing.T) {
 	signs := map[string]func(s *admission.Server, permitID string){
-		"connection broken": func(s *admission.Server, permitID string) { s.Broken(at(1000), permitID) },
+		"connection broken": func(s *admission.Server, permitID string) { s.MarkBroken(at(1000), permitID) },
 		"answer lost": func(s *admission.Server, permitID string) {
 			s.Release(at(1000), permitID, permit.Outcome{Ending: permit.EndingLost})
 		},
@@ -350,6 +350,6 @@
 	next := report(1100)
 	next.Incarnation = "b"
 	s.Report(at(1200), next)
-	s.Broken(at(1300), g.PermitID)
+	s.MarkBroken(at(1300), g.PermitID)
 	granted(t, s.Acquire(at(1310), ask("next")))
 }
--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -101,9 +101,9 @@
 	return nil
 }
 
-// Broken records that the connection of a request under a permit broke. The
+// MarkBroken records that the connection of a request under a permit broke. The
 // request keeps its slot.
-func (s *Server) Broken(now time.Time, permitID string) {
+func (s *Server) MarkBroken(now time.Time, permitID string) {
 	if g, ok := s.permits[permitID]; ok && g.incarnation == s.report.Incarnation {
 		s.suspendGrants(now)
 	}
--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -210,7 +210,7 @@
 		o.with(e, func() {
 			if permit.Ending(r.GetEnding()) == permit.ConnectionBroken {
 				e.polledAt, e.troubledAt = time.Time{}, now
-				e.state.Broken(now, r.GetPermitId())
+				e.state.MarkBroken(now, r.GetPermitId())
 				return
 			}
 			if g, ok := e.given[r.GetPermitId()]; ok && r.GetEnding() == string(permit.EndingFinished) {
