--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -35,7 +35,7 @@
 func opened() *admission.Server {
 	s := admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
 	s.Open(start)
-	s.Report(start, report(0))
+	s.ApplyReport(start, report(0))
 	return s
 }
 
@@ -74,9 +74,9 @@
 	s := admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(0), ask("0")))
 	s.Open(at(2000))
-	s.Report(at(1900), report(1800))
+	s.ApplyReport(at(1900), report(1800))
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(1900), ask("1")))
-	s.Report(at(2200), report(2100, admission.Sequence{ID: "of the old owner", Prompt: 50, Output: 3}))
+	s.ApplyReport(at(2200), report(2100, admission.Sequence{ID: "of the old owner", Prompt: 50, Output: 3}))
 	granted(t, s.Acquire(at(2200), ask("2")))
 	require.IsType(t, admission.Queued{}, s.Acquire(at(2201), ask("3")))
 }
@@ -86,17 +86,17 @@
 	g := granted(t, s.Acquire(at(100), ask("1")))
 	require.Equal(t, 1, s.Running())
 	// The report was measured before the request reached the server.
-	s.Report(at(200), report(50))
+	s.ApplyReport(at(200), report(50))
 	require.Equal(t, 1, s.Running())
 	// This one lists the request, which still counts once.
-	s.Report(at(300), report(250, admission.Sequence{ID: "1", Prompt: 100, Output: 2}))
+	s.ApplyReport(at(300), report(250, admission.Sequence{ID: "1", Prompt: 100, Output: 2}))
 	require.Equal(t, 1, s.Running())
 	// The request ends; a report measured before that still lists it.
 	s.Release(at(400), g.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 5})
-	s.Report(at(500), report(350, admission.Sequence{ID: "1", Prompt: 100, Output: 4}))
+	s.ApplyReport(at(500), report(350, admission.Sequence{ID: "1", Prompt: 100, Output: 4}))
 	require.Zero(t, s.Running())
 	// A request without a permit of this owner counts.
-	s.Report(at(600), report(550, admission.Sequence{ID: "x", Prompt: 100, Output: 4}))
+	s.ApplyReport(at(600), report(550, admission.Sequence{ID: "x", Prompt: 100, Output: 4}))
 	require.Equal(t, 1, s.Running())
 }
 
@@ -107,10 +107,10 @@
 	g := granted(t, s.Acquire(at(0), ask("1")))
 	s.Release(at(5000), g.PermitID, permit.Outcome{Ending: permit.EndingLost})
 	require.Equal(t, 1, s.Running())
-	s.Report(at(5200), report(5100, admission.Sequence{ID: "1", Prompt: 100, Output: 50}))
+	s.ApplyReport(at(5200), report(5100, admission.Sequence{ID: "1", Prompt: 100, Output: 50}))
 	s.Tick(at(5200))
 	require.Equal(t, 1, s.Running())
-	s.Report(at(6200), report(6100))
+	s.ApplyReport(at(6200), report(6100))
 	s.Tick(at(6200))
 	require.Zero(t, s.Running())
 }
@@ -128,11 +128,11 @@
 		return a
 	}
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(5001), atOnce("2")))
-	s.Report(at(5100), report(4900))
+	s.ApplyReport(at(5100), report(4900))
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(5101), atOnce("3")), "measured before the crash")
 	restarted := report(5300)
 	restarted.Incarnation = "b"
-	s.Report(at(5400), restarted)
+	s.ApplyReport(at(5400), restarted)
 	granted(t, s.Acquire(at(5401), ask("4")))
 }
 
@@ -147,13 +147,13 @@
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(500), now))
 	require.IsType(t, admission.Queued{}, s.Acquire(at(500), ask("2")))
 	require.Empty(t, s.Tick(at(900)), "no grant while unreachable")
-	s.Report(at(1000), report(950))
+	s.ApplyReport(at(1000), report(950))
 	require.Len(t, s.Tick(at(1000)), 1)
 	granted(t, s.Acquire(at(1001), ask("2")))
 
 	s.MarkUnreachable()
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(4000), ask("3")), "no report for too long")
-	s.Report(at(5000), report(4900))
+	s.ApplyReport(at(5000), report(4900))
 	s.MarkExited(at(5001))
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(5002), ask("4")), "the process has exited")
 }
@@ -163,10 +163,10 @@
 	// getting a permit and using it.
 	s := opened()
 	granted(t, s.Acquire(at(0), ask("1")))
-	s.Report(at(1900), report(1800))
+	s.ApplyReport(at(1900), report(1800))
 	s.Tick(at(1900))
 	require.Equal(t, 1, s.Running(), "the permit may still be used")
-	s.Report(at(2300), report(2200))
+	s.ApplyReport(at(2300), report(2200))
 	s.Tick(at(2300))
 	require.Zero(t, s.Running())
 }
@@ -199,10 +199,10 @@
 func TestRestartReturnsRunningRequests(t *testing.T) {
 	s := opened()
 	granted(t, s.Acquire(at(0), ask("1")))
-	s.Report(at(300), report(250, admission.Sequence{ID: "1", Prompt: 100, Output: 2}))
+	s.ApplyReport(at(300), report(250, admission.Sequence{ID: "1", Prompt: 100, Output: 2}))
 	r := report(900)
 	r.Incarnation = "b"
-	restart := s.Report(at(1000), r)
+	restart := s.ApplyReport(at(1000), r)
 	require.NotNil(t, restart)
 	require.Equal(t, "a", restart.OldIncarnation)
 	require.Len(t, restart.Running, 1)
@@ -239,7 +239,7 @@
 			if tt.lossFirst {
 				atLoss = lose()
 			}
-			atReport = s.Report(at(1000), again)
+			atReport = s.ApplyReport(at(1000), again)
 			if !tt.lossFirst {
 				atLoss = lose()
 			}
@@ -274,9 +274,9 @@
 		for i := range 100 {
 			r := report(from+i*10, admission.Sequence{ID: "x", Prompt: 10, Output: i + 1})
 			r.TokenInterval = interval
-			s.Report(at(from+i*10), r)
+			s.ApplyReport(at(from+i*10), r)
 		}
-		s.Report(at(from+1000), report(from+1000))
+		s.ApplyReport(at(from+1000), report(from+1000))
 	}
 	slow(0, 120*time.Millisecond)
 	a := ask("1")
@@ -314,7 +314,7 @@
 
 	// Only the connection had failed: the same incarnation reports again, and a
 	// lost request is no longer a crash.
-	s.Report(at(700), report(650))
+	s.ApplyReport(at(700), report(650))
 	g := granted(t, s.Acquire(at(800), ask("next")))
 	require.Nil(t, s.Release(at(900), g.PermitID, permit.Outcome{Ending: permit.EndingLost}))
 }
@@ -339,9 +339,9 @@
 			g := granted(t, s.Acquire(at(100), ask("running")))
 			sign(s, g.PermitID)
 			require.IsType(t, admission.Queued{}, s.Acquire(at(1010), ask("next")))
-			s.Report(at(1100), report(950))
+			s.ApplyReport(at(1100), report(950))
 			require.Empty(t, s.Tick(at(1100)), "measured before the sign")
-			s.Report(at(1500), report(1400))
+			s.ApplyReport(at(1500), report(1400))
 			require.Len(t, s.Tick(at(1500)), 1)
 		})
 	}
@@ -349,7 +349,7 @@
 	g := granted(t, s.Acquire(at(100), ask("running")))
 	next := report(1100)
 	next.Incarnation = "b"
-	s.Report(at(1200), next)
+	s.ApplyReport(at(1200), next)
 	s.MarkBroken(at(1300), g.PermitID)
 	granted(t, s.Acquire(at(1310), ask("next")))
 }
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -30,9 +30,9 @@
 	endedRetention = time.Minute
 )
 
-// Report applies a load report. If it shows a restart, Report returns the requests
+// ApplyReport applies a load report. If it shows a restart, ApplyReport returns the requests
 // that were running before it; otherwise nil.
-func (s *Server) Report(now time.Time, r Report) *Restart {
+func (s *Server) ApplyReport(now time.Time, r Report) *Restart {
 	if s.reported && r.Incarnation == s.report.Incarnation && r.MeasuredAt.Before(s.report.MeasuredAt) {
 		// Reports can arrive out of order; older ones are ignored.
 		return nil
--- a/internal/admission/shared_test.go
+++ b/internal/admission/shared_test.go
@@ -63,7 +63,7 @@
 	for i := range reports {
 		r := report(i*500, seqs...)
 		r.Used = used
-		s.Report(at(i*500), r)
+		s.ApplyReport(at(i*500), r)
 	}
 	return s, at(reports * 500)
 }
--- a/internal/owner/entry_test.go
+++ b/internal/owner/entry_test.go
@@ -31,7 +31,7 @@
 				waiters: map[string]chan admission.Decision{},
 			}
 			e.follow(now, owns, true)
-			e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
+			e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 			ask := func(id string) admission.Decision {
 				return e.state.Acquire(now, admission.AcquireRequest{PermitID: id, MayQueue: true, Request: permit.Request{ID: id, Deadline: now.Add(time.Minute)}})
 			}
--- a/internal/owner/pace_test.go
+++ b/internal/owner/pace_test.go
@@ -29,7 +29,7 @@
 		waiters: map[string]chan admission.Decision{}, given: map[string]given{}, reached: true,
 	}
 	e.follow(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
-	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
+	e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 	return e
 }
 
@@ -41,7 +41,7 @@
 			before, _ := e.state.LastReport()
 			r.MeasuredAt = now
 			e.reported(now.Add(-time.Hour), nil, before, r)
-			e.state.Report(now, r)
+			e.state.ApplyReport(now, r)
 		}
 	}
 	running := func(n int) func(*entry) {
@@ -122,7 +122,7 @@
 	now := time.Now()
 	e := o.entry(snap, &server)
 	e.follow(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
-	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now.Add(-2 * time.Minute)})
+	e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now.Add(-2 * time.Minute)})
 	e.reached, e.polledAt = true, now.Add(-2*time.Minute)
 	for i := 0; e.state.Limit() < server.WarmLimit; i++ {
 		for j := range e.state.Limit() {
--- a/internal/owner/poll.go
+++ b/internal/owner/poll.go
@@ -129,7 +129,7 @@
 			return
 		}
 		o.countPreemptions(server.Zone, before, report)
-		restart = e.state.Report(now, report)
+		restart = e.state.ApplyReport(now, report)
 		e.deliver(e.state.Tick(now))
 	})
 	if restart != nil && err == nil {
--- a/internal/owner/ranout_test.go
+++ b/internal/owner/ranout_test.go
@@ -45,7 +45,7 @@
 	right := permit.Authority{Role: permit.RoleOwner}
 	e := o.entry(snap, &server)
 	e.follow(now.Add(-time.Hour), right, true)
-	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
+	e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 	e.reached, e.polledAt = true, now
 	past := now.Add(-permitFor - 5*time.Millisecond)
 	require.IsType(t, admission.Granted{}, e.state.Acquire(past, admission.AcquireRequest{PermitID: "r", Request: permit.Request{ID: "r", Deadline: now.Add(time.Minute)}}))
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -158,11 +158,11 @@
 func busyServer(n int) *admission.Server {
 	s := admission.New(engineConfig, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
 	s.Open(epochStart)
-	s.Report(epochStart, engineReport(0))
+	s.ApplyReport(epochStart, engineReport(0))
 	for i := range n {
 		s.Acquire(epochStart, admissionAsk(i, false))
 	}
-	s.Report(epochStart, engineReport(n))
+	s.ApplyReport(epochStart, engineReport(n))
 	return s
 }
 
@@ -179,7 +179,7 @@
 func loadReport(n int) func() {
 	s := busyServer(n)
 	r := engineReport(n)
-	return func() { s.Report(epochStart, r) }
+	return func() { s.ApplyReport(epochStart, r) }
 }
 
 // tickFull looks at a queue of 256 requests of n workspaces behind a server
--- a/test/outcome/world_test.go
+++ b/test/outcome/world_test.go
@@ -191,7 +191,7 @@
 		r.Sequences = append(r.Sequences, admission.Sequence{ID: s.ID, Prompt: s.PromptTokens, Output: s.Produced})
 	}
 	r.Running = len(r.Sequences)
-	w.after(200*time.Millisecond, func() { n.state.Report(w.now, r) })
+	w.after(200*time.Millisecond, func() { n.state.ApplyReport(w.now, r) })
 	w.after(500*time.Millisecond, func() { w.report(n) })
 }
 
