--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -114,10 +114,10 @@
 		}
 		counted += prompt + seq.Output
 	}
-	if counted == 0 || r.Used <= 0 {
+	if counted == 0 || r.UsedTokens <= 0 {
 		return
 	}
-	shared := float64(counted - r.Used)
+	shared := float64(counted - r.UsedTokens)
 	shared = min(maxSharedFraction*float64(counted), max(-maxWastedFraction*float64(counted), shared))
 	s.sharedTokens += sharedWeight * (shared/float64(len(r.Sequences)) - s.sharedTokens)
 }
--- a/internal/admission/shared_test.go
+++ b/internal/admission/shared_test.go
@@ -62,7 +62,7 @@
 	const reports = 60
 	for i := range reports {
 		r := report(i*500, seqs...)
-		r.Used = used
+		r.UsedTokens = used
 		s.ApplyReport(at(i*500), r)
 	}
 	return s, at(reports * 500)
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -141,9 +141,9 @@
 	Running int
 	// Sequences lists the requests; nil if the server reports only their number.
 	Sequences []Sequence
-	// Used is the memory of the decoding sequences, in tokens; 0 if the server
+	// UsedTokens is the memory of the decoding sequences, in tokens; 0 if the server
 	// doesn't report it.
-	Used int
+	UsedTokens int
 	// Batch is the number of decoding sequences, TokenInterval the time between
 	// tokens.
 	Batch         int
--- a/internal/owner/pace.go
+++ b/internal/owner/pace.go
@@ -52,7 +52,7 @@
 		return false
 	}
 	return calmDenominator*e.state.Running() <= calmNumerator*e.state.Limit() &&
-		(e.cfg.MemoryTokens == 0 || calmDenominator*r.Used <= calmNumerator*e.cfg.MemoryTokens)
+		(e.cfg.MemoryTokens == 0 || calmDenominator*r.UsedTokens <= calmNumerator*e.cfg.MemoryTokens)
 }
 
 // rests reports whether a permit may rest on the last load report. If that is
--- a/internal/owner/pace_test.go
+++ b/internal/owner/pace_test.go
@@ -60,7 +60,7 @@
 		"some running":    {running(3), calmPolls * usual},
 		"near its limit":  {running(4), usual},
 		"queued":          {running(5), usual},
-		"near its memory": {report(admission.Report{Incarnation: "a", Used: 800}), usual},
+		"near its memory": {report(admission.Report{Incarnation: "a", UsedTokens: 800}), usual},
 		"cold":            {report(admission.Report{Incarnation: "a", Cold: true}), usual},
 		"leaving":         {report(admission.Report{Incarnation: "a", Leaving: true}), usual},
 		"restarted": {func(e *entry) {
--- a/internal/owner/poll.go
+++ b/internal/owner/poll.go
@@ -62,7 +62,7 @@
 		Leaving:       r.State == engine.LoadLeaving,
 		Running:       len(r.Running) + r.Waiting,
 		Sequences:     make([]admission.Sequence, 0, len(r.Running)),
-		Used:          r.UsedTokens,
+		UsedTokens:    r.UsedTokens,
 		Batch:         len(r.Running),
 		TokenInterval: time.Duration(r.TokenIntervalMillis * float64(time.Millisecond)),
 		Preemptions:   int(r.Preemptions),
