--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -42,7 +42,7 @@
 	g := &grant{
 		request:     a,
 		curve:       s.lengths.Curve(lengthKey(&a.Request)),
-		expiresAt:   asked.Add(s.cfg.PermitFor),
+		expiresAt:   asked.Add(s.cfg.PermitLifetime),
 		incarnation: s.report.Incarnation,
 		runningAt:   s.Running(),
 	}
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -159,7 +159,7 @@
 func (s *Server) grantedBefore(t time.Time) int {
 	n := 0
 	for _, g := range s.grants {
-		if g.expiresAt.Add(-s.cfg.PermitFor).Before(t) {
+		if g.expiresAt.Add(-s.cfg.PermitLifetime).Before(t) {
 			n++
 		}
 	}
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -37,9 +37,9 @@
 	MemoryTokens int
 	// TokenInterval is the target time between tokens; 0 for a plain service.
 	TokenInterval time.Duration
-	// PermitFor is how long a permit may be used, from the receipt of the
+	// PermitLifetime is how long a permit may be used, from the receipt of the
 	// request for it.
-	PermitFor time.Duration
+	PermitLifetime time.Duration
 	// AskFor is how long a queued request keeps its place in the queue without
 	// being polled.
 	AskFor time.Duration
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -245,11 +245,11 @@
 
 func (o *Owner) admissionConfig(snap *config.Snapshot, server *pollenspindle.Server) admission.Config {
 	cfg := admission.Config{
-		Name:      server.Name,
-		ColdLimit: server.ColdLimit,
-		WarmLimit: server.WarmLimit,
-		PermitFor: o.opts.PermitFor,
-		AskFor:    keepAsk,
+		Name:           server.Name,
+		ColdLimit:      server.ColdLimit,
+		WarmLimit:      server.WarmLimit,
+		PermitLifetime: o.opts.PermitFor,
+		AskFor:         keepAsk,
 	}
 	service, ok := snap.Services[server.Service]
 	if ok && service.Kind == pollenspindle.ServiceGeneration {
