--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,7 +16,7 @@
 
 var cfg = admission.Config{
 	Name: "engine-1", ColdLimit: 2, WarmLimit: 16, MemoryTokens: 16000,
-	TokenInterval: 40 * time.Millisecond, PermitLifetime: 2 * time.Second, AskFor: 3 * time.Second,
+	TokenInterval: 40 * time.Millisecond, PermitLifetime: 2 * time.Second, QueueTimeout: 3 * time.Second,
 }
 
 func at(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -262,7 +262,7 @@
 // and then an unused permit.
 func (s *Server) dropAbandoned(now time.Time) {
 	for id, asked := range s.lastPolled {
-		if now.Sub(asked) > s.cfg.AskFor {
+		if now.Sub(asked) > s.cfg.QueueTimeout {
 			s.Abandon(id)
 		}
 	}
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -40,9 +40,9 @@
 	// PermitLifetime is how long a permit may be used, from the receipt of the
 	// request for it.
 	PermitLifetime time.Duration
-	// AskFor is how long a queued request keeps its place in the queue without
+	// QueueTimeout is how long a queued request keeps its place in the queue without
 	// being polled.
-	AskFor time.Duration
+	QueueTimeout time.Duration
 	// MaxQueued limits the queue; 0 means the default of package queue.
 	MaxQueued int
 }
--- a/internal/owner/entry_test.go
+++ b/internal/owner/entry_test.go
@@ -25,7 +25,7 @@
 	}
 	for name, meanwhile := range tests {
 		t.Run(name, func(t *testing.T) {
-			cfg := admission.Config{Name: "desk-1", ColdLimit: 2, WarmLimit: 8, PermitLifetime: time.Second, AskFor: time.Second}
+			cfg := admission.Config{Name: "desk-1", ColdLimit: 2, WarmLimit: 8, PermitLifetime: time.Second, QueueTimeout: time.Second}
 			e := &entry{
 				cfg: cfg, state: admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams)),
 				waiters: map[string]chan admission.Decision{},
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -249,7 +249,7 @@
 		ColdLimit:      server.ColdLimit,
 		WarmLimit:      server.WarmLimit,
 		PermitLifetime: o.opts.PermitFor,
-		AskFor:         keepAsk,
+		QueueTimeout:   keepAsk,
 	}
 	service, ok := snap.Services[server.Service]
 	if ok && service.Kind == pollenspindle.ServiceGeneration {
--- a/internal/owner/pace_test.go
+++ b/internal/owner/pace_test.go
@@ -23,7 +23,7 @@
 
 // calmEntry is a server that has been well for an hour, with a limit of 4.
 func calmEntry(now time.Time) *entry {
-	cfg := admission.Config{Name: "desk-1", ColdLimit: 4, WarmLimit: 4, MemoryTokens: 1000, PermitLifetime: time.Second, AskFor: time.Second}
+	cfg := admission.Config{Name: "desk-1", ColdLimit: 4, WarmLimit: 4, MemoryTokens: 1000, PermitLifetime: time.Second, QueueTimeout: time.Second}
 	e := &entry{
 		cfg: cfg, state: admission.New(cfg, admission.FixedLimit{}, length.NewEstimator(length.DefaultParams)),
 		waiters: map[string]chan admission.Decision{}, given: map[string]given{}, reached: true,
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -129,7 +129,7 @@
 
 var engineConfig = admission.Config{
 	Name: "engine", ColdLimit: 64, WarmLimit: 64, MemoryTokens: 160000,
-	TokenInterval: 42 * time.Millisecond, PermitLifetime: 2 * time.Second, AskFor: time.Hour,
+	TokenInterval: 42 * time.Millisecond, PermitLifetime: 2 * time.Second, QueueTimeout: time.Hour,
 }
 
 func admissionAsk(i int, mayQueue bool) admission.AcquireRequest {
--- a/test/outcome/world_test.go
+++ b/test/outcome/world_test.go
@@ -152,7 +152,7 @@
 		n.batch = batch.New(batch.DefaultParams())
 		n.state = admission.New(admission.Config{
 			Name: s.Name, ColdLimit: cold, WarmLimit: 32, MemoryTokens: 16000,
-			TokenInterval: 42 * time.Millisecond, PermitLifetime: 2 * time.Second, AskFor: time.Hour,
+			TokenInterval: 42 * time.Millisecond, PermitLifetime: 2 * time.Second, QueueTimeout: time.Hour,
 		}, p.admission, lengths)
 		n.state.Open(start)
 		w.nodes = append(w.nodes, n)
