--- a/internal/router/broken_connection.go
+++ b/internal/router/broken_connection.go
@@ -30,7 +30,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, at := range r.broken {
-		if now.Sub(at) > r.opts.PermitFor+brokenServerBackoff {
+		if now.Sub(at) > r.opts.PermitLifetime+brokenServerBackoff {
 			delete(r.broken, name)
 		}
 	}
@@ -47,7 +47,7 @@
 	if !p.Valid(now) || !r.opts.Members.Allowed(now) {
 		return false
 	}
-	asked := p.ExpiresAt.Add(-r.opts.PermitFor)
+	asked := p.ExpiresAt.Add(-r.opts.PermitLifetime)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.broken[p.Server].After(asked)
--- a/internal/router/cluster_test.go
+++ b/internal/router/cluster_test.go
@@ -160,7 +160,7 @@
 	})
 	require.NoError(c.t, err)
 	in.router = router.New(router.Options{
-		Self: in.self, Members: in.member, Local: in.owner, Peers: pool, Config: store.Snapshot, Policy: router.Predicted{}, PermitFor: timing.Permit,
+		Self: in.self, Members: in.member, Local: in.owner, Peers: pool, Config: store.Snapshot, Policy: router.Predicted{}, PermitLifetime: timing.Permit,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
 	ctx, cancel := context.WithCancel(c.t.Context())
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -74,11 +74,11 @@
 	Peers   *peer.Pool
 	Config  func() *config.Snapshot
 	Policy  Policy
-	// PermitFor is how long a permit may be used.
-	PermitFor time.Duration
-	Log       zerolog.Logger
-	Metrics   tally.Scope
-	Seed      uint64
+	// PermitLifetime is how long a permit may be used.
+	PermitLifetime time.Duration
+	Log            zerolog.Logger
+	Metrics        tally.Scope
+	Seed           uint64
 }
 
 // Router implements [permit.Acquirer]. It is safe for concurrent use.
@@ -197,7 +197,7 @@
 		if ctx.Err() != nil {
 			return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonDeadline, RetryAfter: defaultRetryAfter}
 		}
-		switch a := r.requestPermit(ctx, server, req, min(remaining, maxQueueWait, r.opts.PermitFor/2)).(type) {
+		switch a := r.requestPermit(ctx, server, req, min(remaining, maxQueueWait, r.opts.PermitLifetime/2)).(type) {
 		case granted:
 			if a.permit.Valid(time.Now()) {
 				return a.permit, nil
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -74,7 +74,7 @@
 func TestMaySendRejectsPermitsFromBeforeABrokenConnection(t *testing.T) {
 	const permitFor = 2 * time.Second
 	now := time.Now()
-	r := router.New(router.Options{Members: allowedMembers{}, PermitFor: permitFor, Metrics: tally.NoopScope})
+	r := router.New(router.Options{Members: allowedMembers{}, PermitLifetime: permitFor, Metrics: tally.NoopScope})
 	r.ReportBroken(now, permit.Permit{Server: "engine-1"})
 	asked := func(at time.Time, server string) permit.Permit {
 		return permit.Permit{Server: server, ExpiresAt: at.Add(permitFor)}
@@ -123,7 +123,7 @@
 	snap := config.NewSnapshot(1, declared())
 	local := countingOwner{granted: map[string]int{}}
 	r := router.New(router.Options{
-		Self: self, Members: members, Local: local, Policy: router.Predicted{}, Seed: 1, PermitFor: time.Second,
+		Self: self, Members: members, Local: local, Policy: router.Predicted{}, Seed: 1, PermitLifetime: time.Second,
 		Config: func() *config.Snapshot { return snap }, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	now := time.Now()
--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -119,16 +119,16 @@
 		return err
 	}
 	p.router = router.New(router.Options{
-		Self:      p.self,
-		Members:   p.members,
-		Local:     p.owner,
-		Peers:     pool,
-		Config:    p.store.Snapshot,
-		Policy:    placing,
-		PermitFor: millis(s.Timing.PermitMillis),
-		Log:       telemetry.Part(p.tel.Log, "router"),
-		Metrics:   p.tel.Metrics.SubScope("router"),
-		Seed:      seed(s, 2),
+		Self:           p.self,
+		Members:        p.members,
+		Local:          p.owner,
+		Peers:          pool,
+		Config:         p.store.Snapshot,
+		Policy:         placing,
+		PermitLifetime: millis(s.Timing.PermitMillis),
+		Log:            telemetry.Part(p.tel.Log, "router"),
+		Metrics:        p.tel.Metrics.SubScope("router"),
+		Seed:           seed(s, 2),
 	})
 	p.peerServer = peer.NewServer(p.members.Handler(p.owner), key, p.tel.Metrics.SubScope("peer"), peer.Traced(p.tel.Tracer), peer.Metered(p.costs))
 	return p.newFleet(pool)
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -109,7 +109,7 @@
 	snap := config.NewSnapshot(1, fleet(n, fullWorkspaces))
 	r := router.New(router.Options{
 		Self: self, Members: members, Local: members, Config: func() *config.Snapshot { return snap },
-		Policy: router.Predicted{}, PermitFor: 2 * time.Second,
+		Policy: router.Predicted{}, PermitLifetime: 2 * time.Second,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
 	ctx := context.Background()
