--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -184,7 +184,7 @@
 	}
 	it := s.newQueueItem(now, a)
 	if ready && s.queue.Len() == 0 && s.fits(now, it) {
-		s.queue.Granted(now)
+		s.queue.RecordGrant(now)
 		s.queue.Charge(it.Workspace, it.Tokens, it.Weight)
 		return s.grant(now, a, now)
 	}
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -303,11 +303,11 @@
 	q.lastGrant = now
 }
 
-// Granted records a grant that didn't pass through the queue. Nothing waited, so the
+// RecordGrant records a grant that didn't pass through the queue. Nothing waited, so the
 // time since the previous grant depends on the demand and not on the server; it isn't
 // included in the drain rate. Otherwise, after a time of low demand, a burst that the
 // server could start immediately would be refused.
-func (q *Queue) Granted(now time.Time) {
+func (q *Queue) RecordGrant(now time.Time) {
 	q.lastGrant = now
 }
 
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -184,7 +184,7 @@
 	now := start
 	for range 100 {
 		now = now.Add(10 * time.Second)
-		q.Granted(now)
+		q.RecordGrant(now)
 	}
 	for i := range 20 {
 		it := item(fmt.Sprint(i), "w", 1)
