--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -69,7 +69,7 @@
 
 func (f *Forwarder) waitAgain(ctx context.Context, call Call, a retry.Attempt) bool {
 	again, ok := f.opts.Retries.Decide(time.Now(), call.Service.Name, a).(retry.Again)
-	return ok && f.pause(again.After) && ctx.Err() == nil
+	return ok && f.pause(again.Delay) && ctx.Err() == nil
 }
 
 func (f *Forwarder) acquire(ctx context.Context, call Call, excluded, avoided []string) (permit.Permit, error) {
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -259,10 +259,10 @@
 		return false, s.giveUp(c, r, t, lostFailure())
 	}
 	decision, ok := s.opts.Retries.Decide(now, r.service.Name, retry.Attempt{Number: max(1, t.number), Cause: f.cause}).(retry.Again)
-	if !ok || now.Add(decision.After).After(r.limit) {
+	if !ok || now.Add(decision.Delay).After(r.limit) {
 		return false, s.giveUp(c, r, t, refusedFailure(s.rng().Int64N(int64(fullSpread))))
 	}
-	timer := time.NewTimer(decision.After)
+	timer := time.NewTimer(decision.Delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/relay/life.go
+++ b/internal/relay/life.go
@@ -114,7 +114,7 @@
 	decision := l.relay.opts.Retries.Decide(time.Now(), l.job.Permit.Service, retry.Attempt{Number: number, Cause: cause})
 	switch d := decision.(type) {
 	case retry.Again:
-		timer := time.NewTimer(d.After)
+		timer := time.NewTimer(d.Delay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -61,7 +61,7 @@
 
 // Again means that the work is retried on another server after a delay, preferably
 // in another availability zone.
-type Again struct{ After time.Duration }
+type Again struct{ Delay time.Duration }
 
 // GiveUp means that the failure is returned to the caller.
 type GiveUp struct{}
@@ -115,7 +115,7 @@
 	}
 	b.tokens--
 	ceiling := min(maxDelay, baseDelay<<min(a.Number, maxAttempts))
-	return Again{After: time.Duration(rng.Int64N(int64(ceiling)))}
+	return Again{Delay: time.Duration(rng.Int64N(int64(ceiling)))}
 }
 
 func attemptLimit(c Cause) int {
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -20,7 +20,7 @@
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 		if again, ok := b.Decide(now, rng, Attempt{Number: 1, Cause: CauseLost}).(Again); ok {
 			retries++
-			require.Less(t, again.After, maxDelay)
+			require.Less(t, again.Delay, maxDelay)
 		}
 	}
 	require.InDelta(t, maxTokens+60*floorPerSecond, retries, 1)
