--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -101,8 +101,8 @@
 	b.tokens = min(b.limits.MaxTokens, b.tokens+b.limits.SuccessShare)
 }
 
-// Left returns how many retries may be made immediately.
-func (b *Budget) Left(now time.Time) float64 {
+// Remaining returns how many retries may be made immediately.
+func (b *Budget) Remaining(now time.Time) float64 {
 	b.refill(now)
 	return b.tokens
 }
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -45,7 +45,7 @@
 func (b *Budgets) Left(now time.Time, service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.budget(now, service).Left(now)
+	return b.budget(now, service).Remaining(now)
 }
 
 func (b *Budgets) budget(now time.Time, service string) *Budget {
