--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -41,8 +41,8 @@
 	return b.budget(now, service).Decide(now, b.rng, a)
 }
 
-// Left returns how many retries of service may be made immediately.
-func (b *Budgets) Left(now time.Time, service string) float64 {
+// Remaining returns how many retries of service may be made immediately.
+func (b *Budgets) Remaining(now time.Time, service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget(now, service).Remaining(now)
--- a/internal/serve/gauges.go
+++ b/internal/serve/gauges.go
@@ -69,7 +69,7 @@
 	}
 	scope.Gauge("ready").Update(ready)
 	for name := range snap.Services {
-		scope.Tagged(map[string]string{"service": name}).Gauge("retry_budget").Update(p.retries.Left(now, name))
+		scope.Tagged(map[string]string{"service": name}).Gauge("retry_budget").Update(p.retries.Remaining(now, name))
 	}
 	p.owner.Measure(now)
 	p.costs.Measure()
