--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -96,8 +96,8 @@
 	return &Budget{limits: l, tokens: l.MaxTokens, lastFill: now}
 }
 
-// Succeeded records a success.
-func (b *Budget) Succeeded() {
+// RecordSuccess records a success.
+func (b *Budget) RecordSuccess() {
 	b.tokens = min(b.limits.MaxTokens, b.tokens+b.limits.SuccessShare)
 }
 
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -26,7 +26,7 @@
 	require.InDelta(t, maxTokens+60*floorPerSecond, retries, 1)
 
 	for range 50 {
-		b.Succeeded()
+		b.RecordSuccess()
 	}
 	require.IsType(t, Again{}, b.Decide(start.Add(time.Minute), rng, Attempt{Number: 1, Cause: CauseLost}))
 }
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -31,7 +31,7 @@
 func (b *Budgets) Succeeded(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget(now, service).Succeeded()
+	b.budget(now, service).RecordSuccess()
 }
 
 // Decide returns whether a failed attempt for service is retried.
