--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -45,7 +45,7 @@
 		}
 		res := f.attempt(ctx, call, p, maySend)
 		if res.failure == nil {
-			f.opts.Retries.Succeeded(time.Now(), call.Service.Name)
+			f.opts.Retries.RecordSuccess(time.Now(), call.Service.Name)
 			return res.response, nil
 		}
 		if res.lapsed && lapses < maxReacquires && ctx.Err() == nil {
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -207,7 +207,7 @@
 		t.runs++
 		s.note(place.Server, r, rollout.Answer, res.answer.Status >= http.StatusInternalServerError, now.Sub(t.sent))
 		if res.answer.Status < http.StatusInternalServerError {
-			s.opts.Retries.Succeeded(now, r.service.Name)
+			s.opts.Retries.RecordSuccess(now, r.service.Name)
 			s.clearSuspect(now, r)
 			return false, s.write(c, r, res.answer)
 		}
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -93,7 +93,7 @@
 		switch {
 		case err == nil:
 			s.log.Info().Str("request", r.id).Int64("events", f.run.position()).Dur("took", s.opts.Now().Sub(r.start)).Msg("stream ended")
-			s.opts.Retries.Succeeded(s.opts.Now(), r.service.Name)
+			s.opts.Retries.RecordSuccess(s.opts.Now(), r.service.Name)
 			s.clearSuspect(s.opts.Now(), r)
 			return ended{}
 		case ctx.Err() != nil || errors.Is(err, errCallerGone):
--- a/internal/relay/life.go
+++ b/internal/relay/life.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		if res.failure == nil {
-			l.relay.opts.Retries.Succeeded(time.Now(), l.job.Permit.Service)
+			l.relay.opts.Retries.RecordSuccess(time.Now(), l.job.Permit.Service)
 			l.end(Finished{})
 			return
 		}
--- a/internal/retry/budgets.go
+++ b/internal/retry/budgets.go
@@ -27,8 +27,8 @@
 	return &Budgets{rng: rng, byService: map[string]*Budget{}, limits: limits}
 }
 
-// Succeeded records a success of service.
-func (b *Budgets) Succeeded(now time.Time, service string) {
+// RecordSuccess records a success of service.
+func (b *Budgets) RecordSuccess(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget(now, service).RecordSuccess()
