--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -62,8 +62,8 @@
 	TrialMillis int64 `json:"trialMillis"`
 }
 
-// Found is a new ejection and its evidence.
-type Found struct {
+// Detection is a new ejection and its evidence.
+type Detection struct {
 	Service, Server string
 	Ratio           float64
 	Number, Failed  float64
@@ -107,7 +107,7 @@
 }
 
 // Take adds answers and returns the resulting ejections.
-func (d *Detector) Take(now time.Time, all []Answers) []Found {
+func (d *Detector) Take(now time.Time, all []Answers) []Detection {
 	services := map[string]bool{}
 	for _, a := range all {
 		if a.Number <= 0 {
@@ -132,7 +132,7 @@
 		}
 	}
 	d.removeStale(now)
-	var found []Found
+	var found []Detection
 	for _, service := range slices.Sorted(maps.Keys(services)) {
 		found = append(found, d.ejectOutliers(now, service)...)
 	}
@@ -141,7 +141,7 @@
 
 // ejectOutliers ejects the servers of a service that fail more requests than the
 // others.
-func (d *Detector) ejectOutliers(now time.Time, service string) []Found {
+func (d *Detector) ejectOutliers(now time.Time, service string) []Detection {
 	ids := d.serversOf(service)
 	ejected := 0
 	for _, id := range ids {
@@ -150,7 +150,7 @@
 		}
 	}
 	maxEjected := max(1, int(maxEjectedShare*float64(len(ids))))
-	var found []Found
+	var found []Detection
 	for _, id := range ids {
 		s := d.servers[id]
 		if now.Before(s.ejectedUntil) || ejected >= maxEjected || len(ids) < 2 {
@@ -163,7 +163,7 @@
 		}
 		s.eject(now)
 		ejected++
-		found = append(found, Found{Service: service, Server: id, Ratio: ratio, Number: seen.Number, Failed: seen.Events, For: s.ejectedFor})
+		found = append(found, Detection{Service: service, Server: id, Ratio: ratio, Number: seen.Number, Failed: seen.Events, For: s.ejectedFor})
 		d.clear(id)
 	}
 	return found
