--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -66,7 +66,7 @@
 type Detection struct {
 	Service, Server string
 	Ratio           float64
-	Number, Failed  float64
+	Total, Failed   float64
 	For             time.Duration
 }
 
@@ -163,7 +163,7 @@
 		}
 		s.eject(now)
 		ejected++
-		found = append(found, Detection{Service: service, Server: id, Ratio: ratio, Number: seen.Number, Failed: seen.Events, For: s.ejectedFor})
+		found = append(found, Detection{Service: service, Server: id, Ratio: ratio, Total: seen.Number, Failed: seen.Events, For: s.ejectedFor})
 		d.clear(id)
 	}
 	return found
