--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -49,7 +49,7 @@
 	Service string `json:"service"`
 	Server  string `json:"server"`
 	Route   string `json:"route"`
-	Number  int    `json:"number"`
+	Total   int    `json:"number"`
 	Failed  int    `json:"failed"`
 }
 
@@ -110,7 +110,7 @@
 func (d *Detector) Take(now time.Time, all []Answers) []Detection {
 	services := map[string]bool{}
 	for _, a := range all {
-		if a.Number <= 0 {
+		if a.Total <= 0 {
 			continue
 		}
 		k := key{a.Server, a.Route}
@@ -120,7 +120,7 @@
 			d.counts[k] = c
 		}
 		c.decay(now)
-		c.share = c.share.Plus(evidence.Share{Events: float64(a.Failed), Number: float64(a.Number)})
+		c.share = c.share.Plus(evidence.Share{Events: float64(a.Failed), Number: float64(a.Total)})
 		s, ok := d.servers[a.Server]
 		if !ok {
 			s = &server{}
--- a/internal/outlier/simulation_test.go
+++ b/internal/outlier/simulation_test.go
@@ -63,7 +63,7 @@
 			if (server < l.faulty || l.allFail) && elapsed >= l.begin && elapsed < l.end {
 				failed = failed || rng.Float64() < l.fails
 			}
-			a := outlier.Answers{Service: "desk", Server: strconv.Itoa(server), Route: route, Number: 1}
+			a := outlier.Answers{Service: "desk", Server: strconv.Itoa(server), Route: route, Total: 1}
 			if failed {
 				a.Failed = 1
 			}
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -104,7 +104,7 @@
 		a = &outlier.Answers{Service: server.Service, Server: server.ID, Route: route}
 		p.answers[k] = a
 	}
-	a.Number++
+	a.Total++
 	if failed {
 		a.Failed++
 		p.hasFailures = true
