--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -106,8 +106,8 @@
 	return &Detector{counts: map[key]*decayingShare{}, servers: map[string]*server{}}
 }
 
-// Take adds answers and returns the resulting ejections.
-func (d *Detector) Take(now time.Time, all []Answers) []Detection {
+// Apply adds answers and returns the resulting ejections.
+func (d *Detector) Apply(now time.Time, all []Answers) []Detection {
 	services := map[string]bool{}
 	for _, a := range all {
 		if a.Total <= 0 {
--- a/internal/outlier/simulation_test.go
+++ b/internal/outlier/simulation_test.go
@@ -75,7 +75,7 @@
 		}
 		inFlight = append(inFlight, delayedReport{now.Add(reportLag), answers})
 		for len(inFlight) > 0 && !inFlight[0].at.After(now) && detect {
-			for _, f := range d.Take(now, inFlight[0].answers) {
+			for _, f := range d.Apply(now, inFlight[0].answers) {
 				r.ejections++
 				if id, _ := strconv.Atoi(f.Server); id >= l.faulty {
 					r.ejectedHealthy++
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -196,7 +196,7 @@
 func (p *Peer) aggregate(now time.Time, r Report) Verdict {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, f := range p.detector.Take(now, r.Answers) {
+	for _, f := range p.detector.Apply(now, r.Answers) {
 		p.opts.Log.Info().Str("service", f.Service).Str("server", f.Server).Float64("ratio", f.Ratio).Float64("answers", f.Total).
 			Float64("failed", f.Failed).Dur("for", f.For).Msg("server ejected")
 		p.opts.Scope.Counter("ejections").Inc(1)
