--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -60,8 +60,8 @@
 	Answers []outlier.Answers `json:"answers,omitempty"`
 }
 
-// Verdict holds the ejected servers.
-type Verdict struct {
+// ReportResponse holds the ejected servers.
+type ReportResponse struct {
 	Ejected []outlier.Ejection `json:"ejected,omitempty"`
 }
 
@@ -163,7 +163,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	client := connect.NewClient[Report, Verdict](p.caller.HTTP, "http://"+aggregator.Peer+reportProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[Report, ReportResponse](p.caller.HTTP, "http://"+aggregator.Peer+reportProcedure, peerrpc.ClientOptions()...)
 	req := connect.NewRequest(&r)
 	p.caller.Sign(now, req.Header(), reportProcedure)
 	res, err := client.CallUnary(ctx, req)
@@ -175,7 +175,7 @@
 }
 
 // applyEjections applies the ejections of the aggregator.
-func (p *Peer) applyEjections(now time.Time, v Verdict) {
+func (p *Peer) applyEjections(now time.Time, v ReportResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range v.Ejected {
@@ -193,7 +193,7 @@
 }
 
 // aggregate adds a report to the detector and returns the ejected servers.
-func (p *Peer) aggregate(now time.Time, r Report) Verdict {
+func (p *Peer) aggregate(now time.Time, r Report) ReportResponse {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, f := range p.detector.Apply(now, r.Answers) {
@@ -201,12 +201,12 @@
 			Float64("failed", f.Failed).Dur("for", f.For).Msg("server ejected")
 		p.opts.Scope.Counter("ejections").Inc(1)
 	}
-	return Verdict{Ejected: p.detector.Ejected(now)}
+	return ReportResponse{Ejected: p.detector.Ejected(now)}
 }
 
 // Handlers returns the HTTP handlers for calls from other instances, by path.
 func (p *Peer) Handlers() map[string]http.Handler {
-	report := func(_ context.Context, req *connect.Request[Report]) (*connect.Response[Verdict], error) {
+	report := func(_ context.Context, req *connect.Request[Report]) (*connect.Response[ReportResponse], error) {
 		now := p.opts.Now()
 		if err := peerrpc.Check(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
 			return nil, err
