--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -75,7 +75,7 @@
 // server's service.
 func (s *Server) note(server observed.Server, r *request, aspect rollout.Aspect, failed bool, took time.Duration) {
 	if s.opts.Outliers != nil && aspect == rollout.Answer {
-		s.opts.Outliers.Note(server, r.route.Name, failed)
+		s.opts.Outliers.RecordAnswer(server, r.route.Name, failed)
 	}
 	if s.opts.Rollouts != nil {
 		s.opts.Rollouts.Note(s.opts.Now(), server, rolloutpeer.Seen{Route: r.route.Name, Aspect: aspect, Failed: failed, Took: took})
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Note records an answer of a server.
-func (p *Peer) Note(server observed.Server, route string, failed bool) {
+// RecordAnswer records an answer of a server.
+func (p *Peer) RecordAnswer(server observed.Server, route string, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := answerKey{server.Service, server.ID, route}
--- a/internal/outlierpeer/peer_test.go
+++ b/internal/outlierpeer/peer_test.go
@@ -63,15 +63,15 @@
 	peers := newZone(t, "i1", "i2", "i3", "i4")
 	for _, p := range peers {
 		for range 10 {
-			p.Note(deskServer("healthy-1"), "bookings", false)
-			p.Note(deskServer("healthy-2"), "bookings", false)
+			p.RecordAnswer(deskServer("healthy-1"), "bookings", false)
+			p.RecordAnswer(deskServer("healthy-2"), "bookings", false)
 		}
-		p.Note(deskServer("faulty"), "bookings", true)
-		p.Note(deskServer("faulty"), "bookings", false)
+		p.RecordAnswer(deskServer("faulty"), "bookings", true)
+		p.RecordAnswer(deskServer("faulty"), "bookings", false)
 	}
 	reportAll(t, peers)
 	for _, p := range peers {
-		p.Note(deskServer("healthy-1"), "bookings", false)
+		p.RecordAnswer(deskServer("healthy-1"), "bookings", false)
 	}
 	reportAll(t, peers)
 	now := time.Now()
@@ -91,8 +91,8 @@
 	for _, p := range peers {
 		p.caller.Key = other
 		for range 30 {
-			p.Note(deskServer("healthy"), "bookings", false)
-			p.Note(deskServer("faulty"), "bookings", true)
+			p.RecordAnswer(deskServer("healthy"), "bookings", false)
+			p.RecordAnswer(deskServer("faulty"), "bookings", true)
 		}
 	}
 	aggregator, _ := peers[0].opts.Table.OwnerIn("a", aggregatorKey)
