--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -56,7 +56,7 @@
 		Self: cfg.Instance, Table: in.table, Key: key, Log: telemetry.Part(in.tel.Log, "outlier"),
 		Scope: in.tel.Metrics.SubScope("outlier"), Now: time.Now,
 	})
-	placing.SetAvoid(in.outliers.Avoid)
+	placing.SetAvoid(in.outliers.ShouldAvoid)
 	in.suspects = ingress.NewSuspects()
 	in.suspects.Tell = func(entries []suspect.Entry) { in.gossip.TellSuspects(entries) }
 	in.gossip, err = gossip.New(gossip.Options{
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// Avoid reports whether a request must not be sent to a server.
-func (p *Peer) Avoid(now time.Time, id string, repeatable bool) bool {
+// ShouldAvoid reports whether a request must not be sent to a server.
+func (p *Peer) ShouldAvoid(now time.Time, id string, repeatable bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a, ok := p.ejected[id]
--- a/internal/outlierpeer/peer_test.go
+++ b/internal/outlierpeer/peer_test.go
@@ -76,11 +76,11 @@
 	reportAll(t, peers)
 	now := time.Now()
 	for _, p := range peers {
-		require.True(t, p.Avoid(now, "faulty", true), p.opts.Self)
-		require.False(t, p.Avoid(now, "healthy-1", false), p.opts.Self)
-		require.True(t, p.Avoid(now.Add(5*time.Second), "faulty", false), "not repeatable")
-		require.False(t, p.Avoid(now.Add(5*time.Second), "faulty", true), "repeatable")
-		require.False(t, p.Avoid(now.Add(time.Minute), "faulty", false))
+		require.True(t, p.ShouldAvoid(now, "faulty", true), p.opts.Self)
+		require.False(t, p.ShouldAvoid(now, "healthy-1", false), p.opts.Self)
+		require.True(t, p.ShouldAvoid(now.Add(5*time.Second), "faulty", false), "not repeatable")
+		require.False(t, p.ShouldAvoid(now.Add(5*time.Second), "faulty", true), "repeatable")
+		require.False(t, p.ShouldAvoid(now.Add(time.Minute), "faulty", false))
 	}
 }
 
@@ -101,6 +101,6 @@
 			continue
 		}
 		reportAll(t, []*Peer{p})
-		require.False(t, p.Avoid(time.Now(), "faulty", false))
+		require.False(t, p.ShouldAvoid(time.Now(), "faulty", false))
 	}
 }
