--- a/internal/ingress/suspects.go
+++ b/internal/ingress/suspects.go
@@ -40,7 +40,7 @@
 // NewSuspects returns suspects of which none is known.
 func NewSuspects() *Suspects {
 	p := suspect.DefaultParams
-	p.Crashes, p.Keep = suspectCrashes, suspectKeep
+	p.Crashes, p.Retention = suspectCrashes, suspectKeep
 	return &Suspects{Tell: func([]suspect.Entry) {}, table: suspect.NewTable(p)}
 }
 
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -33,9 +33,9 @@
 	// refuse every request that ran beside a poison request, three would cost a
 	// third server.
 	Crashes int
-	// Keep is how long a crash counts against a request. It limits how long a
+	// Retention is how long a crash counts against a request. It limits how long a
 	// harmless request can be refused.
-	Keep time.Duration
+	Retention time.Duration
 	// MaxEntries limits the table; the oldest entry is evicted first. A crash adds
 	// one entry for each request of a batch.
 	MaxEntries int
@@ -49,7 +49,7 @@
 // DefaultParams is for some 45 crashes a day with batches of some tens of requests,
 // and for the loss of a zone with hundreds of servers.
 var DefaultParams = Params{
-	Crashes: 2, Keep: 15 * time.Minute, MaxEntries: 4096, Together: 4, Within: 10 * time.Second,
+	Crashes: 2, Retention: 15 * time.Minute, MaxEntries: 4096, Together: 4, Within: 10 * time.Second,
 }
 
 // Crash is the crash of one incarnation of a backend server. Its name, from
--- a/internal/suspect/table.go
+++ b/internal/suspect/table.go
@@ -68,7 +68,7 @@
 	if !ok {
 		return 0
 	}
-	return max(0, lastChange(e.Entry).Add(t.params.Keep).Sub(now))
+	return max(0, lastChange(e.Entry).Add(t.params.Retention).Sub(now))
 }
 
 // Newest returns at most n entries for a heartbeat, the last changed first.
@@ -101,7 +101,7 @@
 		return
 	}
 	for _, c := range in.Crashes {
-		t.zones.record(now, t.params.Keep, c)
+		t.zones.record(now, t.params.Retention, c)
 	}
 	e, ok := t.entries[in.Fingerprint]
 	if !ok {
@@ -135,7 +135,7 @@
 }
 
 func (t *Table) expired(now time.Time, e Entry) bool {
-	return now.Sub(lastChange(e)) > t.params.Keep
+	return now.Sub(lastChange(e)) > t.params.Retention
 }
 
 // evictIfFull evicts the oldest record that the loss of a zone explains, or else the
