--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -43,13 +43,13 @@
 	// within Within of each other when the zone is the cause. A request is
 	// refused after two crashes, so that alone it ends no more than a few.
 	ZoneCrashes int
-	Within      time.Duration
+	ZoneWindow  time.Duration
 }
 
 // DefaultParams is for some 45 crashes a day with batches of some tens of requests,
 // and for the loss of a zone with hundreds of servers.
 var DefaultParams = Params{
-	Crashes: 2, Retention: 15 * time.Minute, MaxEntries: 4096, ZoneCrashes: 4, Within: 10 * time.Second,
+	Crashes: 2, Retention: 15 * time.Minute, MaxEntries: 4096, ZoneCrashes: 4, ZoneWindow: 10 * time.Second,
 }
 
 // Crash is the crash of one incarnation of a backend server. Its name, from
--- a/internal/suspect/table.go
+++ b/internal/suspect/table.go
@@ -59,7 +59,7 @@
 // Otherwise a lost zone would make thousands of requests suspects. A request that ran
 // on two servers when they crashed remains a suspect in any case.
 func (t *Table) causedByZoneLoss(e Entry) bool {
-	return len(e.Crashes) == 1 && t.zones.crashedTogether(e.Crashes[0], t.params.ZoneCrashes, t.params.Within)
+	return len(e.Crashes) == 1 && t.zones.crashedTogether(e.Crashes[0], t.params.ZoneCrashes, t.params.ZoneWindow)
 }
 
 // RetryAfter returns how long a refused request stays refused.
