--- a/internal/owner/suspects.go
+++ b/internal/owner/suspects.go
@@ -55,5 +55,5 @@
 func (s *Suspects) crash(now time.Time, name string, fingerprint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Crash(now, name, fingerprint)
+	s.table.RecordCrash(now, name, fingerprint)
 }
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -224,7 +224,7 @@
 func suspectTable(n int) *suspect.Table {
 	t := suspect.NewTable(suspect.DefaultParams)
 	for i := range n {
-		t.Crash(epochStart.Add(time.Duration(i)*time.Millisecond), fmt.Sprintf("engine-%d/a", i/10), uint64(i))
+		t.RecordCrash(epochStart.Add(time.Duration(i)*time.Millisecond), fmt.Sprintf("engine-%d/a", i/10), uint64(i))
 	}
 	return t
 }
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -24,43 +24,43 @@
 	}{
 		"nothing known": {events: func(*suspect.Table) {}, now: at(1), want: suspect.Clear},
 		"one crash": {
-			events: func(t *suspect.Table) { t.Crash(at(0), "a/1", fp) },
+			events: func(t *suspect.Table) { t.RecordCrash(at(0), "a/1", fp) },
 			now:    at(1), want: suspect.Suspected,
 		},
 		"the same crash seen twice": {
-			events: func(t *suspect.Table) { t.Crash(at(0), "a/1", fp); t.Crash(at(1), "a/1", fp) },
+			events: func(t *suspect.Table) { t.RecordCrash(at(0), "a/1", fp); t.RecordCrash(at(1), "a/1", fp) },
 			now:    at(2), want: suspect.Suspected,
 		},
 		"two crashes": {
-			events: func(t *suspect.Table) { t.Crash(at(0), "a/1", fp); t.Crash(at(1), "b/1", fp) },
+			events: func(t *suspect.Table) { t.RecordCrash(at(0), "a/1", fp); t.RecordCrash(at(1), "b/1", fp) },
 			now:    at(2), want: suspect.Refused,
 		},
 		"the same server after its restart": {
-			events: func(t *suspect.Table) { t.Crash(at(0), "a/1", fp); t.Crash(at(1), "a/2", fp) },
+			events: func(t *suspect.Table) { t.RecordCrash(at(0), "a/1", fp); t.RecordCrash(at(1), "a/2", fp) },
 			now:    at(2), want: suspect.Refused,
 		},
 		"finished between two crashes": {
 			events: func(t *suspect.Table) {
-				t.Crash(at(0), "a/1", fp)
+				t.RecordCrash(at(0), "a/1", fp)
 				t.Finished(at(1), fp)
-				t.Crash(at(2), "b/1", fp)
+				t.RecordCrash(at(2), "b/1", fp)
 			},
 			now: at(3), want: suspect.Suspected,
 		},
 		"two crashes long ago": {
-			events: func(t *suspect.Table) { t.Crash(at(0), "a/1", fp); t.Crash(at(1), "b/1", fp) },
+			events: func(t *suspect.Table) { t.RecordCrash(at(0), "a/1", fp); t.RecordCrash(at(1), "b/1", fp) },
 			now:    at(3600), want: suspect.Clear,
 		},
 		"finished on another instance": {
 			events: func(t *suspect.Table) {
-				t.Crash(at(0), "a/1", fp)
+				t.RecordCrash(at(0), "a/1", fp)
 				t.Merge(at(5), []suspect.Entry{{Fingerprint: fp, ClearedAt: at(4)}})
 			},
 			now: at(6), want: suspect.Clear,
 		},
 		"second crash on another instance": {
 			events: func(t *suspect.Table) {
-				t.Crash(at(0), "a/1", fp)
+				t.RecordCrash(at(0), "a/1", fp)
 				t.Merge(at(5), []suspect.Entry{{Fingerprint: fp, Crashes: []suspect.Crash{{Name: "c/1", At: at(4)}}}})
 			},
 			now: at(6), want: suspect.Refused,
@@ -111,7 +111,7 @@
 	p.MaxEntries = 10
 	table := suspect.NewTable(p)
 	for i := range 100 {
-		table.Crash(at(i), "a/1", uint64(i))
+		table.RecordCrash(at(i), "a/1", uint64(i))
 	}
 	require.Len(t, table.Newest(at(100), 1000), 10)
 	require.Equal(t, suspect.Clear, table.Check(at(100), 0))
--- a/internal/suspect/table.go
+++ b/internal/suspect/table.go
@@ -30,9 +30,9 @@
 	return &Table{params: p, entries: map[uint64]*record{}, active: list.New(), zoneLoss: list.New(), zones: zones{}}
 }
 
-// Crash records that a request was running when a backend server crashed. The server
+// RecordCrash records that a request was running when a backend server crashed. The server
 // was last seen at the time at; crash is the name from [CrashName].
-func (t *Table) Crash(at time.Time, crash string, fingerprint uint64) {
+func (t *Table) RecordCrash(at time.Time, crash string, fingerprint uint64) {
 	t.merge(at, Entry{Fingerprint: fingerprint, Crashes: []Crash{{Name: crash, At: at}}})
 }
 
--- a/internal/suspect/zones_test.go
+++ b/internal/suspect/zones_test.go
@@ -17,12 +17,12 @@
 	lose := func(table *suspect.Table, servers, apart int) {
 		for s := range servers {
 			for r := range 10 {
-				table.Crash(at(s*apart), suspect.CrashName("a", fmt.Sprint("s", s), "1"), uint64(1000+10*s+r))
+				table.RecordCrash(at(s*apart), suspect.CrashName("a", fmt.Sprint("s", s), "1"), uint64(1000+10*s+r))
 			}
 		}
 	}
 	crash := func(table *suspect.Table, second int, zone, server string) {
-		table.Crash(at(second), suspect.CrashName(zone, server, "1"), poison)
+		table.RecordCrash(at(second), suspect.CrashName(zone, server, "1"), poison)
 	}
 	tests := map[string]struct {
 		events    func(t *suspect.Table)
@@ -47,7 +47,7 @@
 				other := suspect.NewTable(suspect.DefaultParams)
 				lose(other, 3, 0)
 				t.Merge(at(1), other.Newest(at(1), 100))
-				t.Crash(at(0), suspect.CrashName("a", "mine", "1"), 5000)
+				t.RecordCrash(at(0), suspect.CrashName("a", "mine", "1"), 5000)
 			},
 			neighbour: suspect.Clear, poison: suspect.Clear,
 		},
