--- a/internal/owner/suspects.go
+++ b/internal/owner/suspects.go
@@ -49,7 +49,7 @@
 func (s *Suspects) finished(now time.Time, fingerprint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Finished(now, fingerprint)
+	s.table.RecordFinished(now, fingerprint)
 }
 
 func (s *Suspects) crash(now time.Time, name string, fingerprint uint64) {
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -42,7 +42,7 @@
 		"finished between two crashes": {
 			events: func(t *suspect.Table) {
 				t.RecordCrash(at(0), "a/1", fp)
-				t.Finished(at(1), fp)
+				t.RecordFinished(at(1), fp)
 				t.RecordCrash(at(2), "b/1", fp)
 			},
 			now: at(3), want: suspect.Suspected,
--- a/internal/suspect/table.go
+++ b/internal/suspect/table.go
@@ -36,8 +36,8 @@
 	t.merge(at, Entry{Fingerprint: fingerprint, Crashes: []Crash{{Name: crash, At: at}}})
 }
 
-// Finished clears a request that has finished.
-func (t *Table) Finished(now time.Time, fingerprint uint64) {
+// RecordFinished clears a request that has finished.
+func (t *Table) RecordFinished(now time.Time, fingerprint uint64) {
 	if _, ok := t.entries[fingerprint]; ok {
 		t.merge(now, Entry{Fingerprint: fingerprint, ClearedAt: now})
 	}
