--- a/internal/forecast/memory.go
+++ b/internal/forecast/memory.go
@@ -80,7 +80,7 @@
 		m.mean[0] += float64(s.Prompt + s.SoFar)
 		m.maxUse[0] += float64(s.Prompt + s.SoFar)
 	}
-	reached := s.Curve.At(float64(s.SoFar))
+	reached := s.Curve.Survival(float64(s.SoFar))
 	for h := 1; h < horizons; h++ {
 		mean, variance := s.memoryAt(lookaheads[h], reached)
 		m.mean[h] += mean
@@ -128,6 +128,6 @@
 	if reached <= 0 {
 		return 0, 0
 	}
-	alive := s.Curve.At(float64(s.SoFar+further)) / reached
+	alive := s.Curve.Survival(float64(s.SoFar+further)) / reached
 	return alive * size, alive * (1 - alive) * size * size
 }
--- a/internal/length/curve.go
+++ b/internal/length/curve.go
@@ -83,8 +83,8 @@
 	Observations float64
 }
 
-// At returns the share of outputs that are longer than tokens.
-func (c *Curve) At(tokens float64) float64 {
+// Survival returns the share of outputs that are longer than tokens.
+func (c *Curve) Survival(tokens float64) float64 {
 	if tokens <= 0 {
 		return 1
 	}
@@ -101,17 +101,17 @@
 // Alive returns the share of the outputs that have reached soFar tokens which
 // continue for more than further tokens.
 func (c *Curve) Alive(soFar, further int) float64 {
-	at := c.At(float64(soFar))
+	at := c.Survival(float64(soFar))
 	if at <= 0 {
 		return 0
 	}
-	return c.At(float64(soFar+further)) / at
+	return c.Survival(float64(soFar+further)) / at
 }
 
 // Remaining returns the given quantile, from 0 to 1, of the number of further tokens
 // of the outputs that have reached soFar tokens.
 func (c *Curve) Remaining(soFar int, quantile float64) int {
-	target := c.At(float64(soFar)) * (1 - quantile)
+	target := c.Survival(float64(soFar)) * (1 - quantile)
 	for b := bucketOf(soFar); b < buckets; b++ {
 		if c.survival[b+1] > target {
 			continue
@@ -130,7 +130,7 @@
 // Mean returns the expected number of further tokens, at most limit, of an output
 // that has reached soFar tokens.
 func (c *Curve) Mean(soFar, limit int) float64 {
-	at := c.At(float64(soFar))
+	at := c.Survival(float64(soFar))
 	if at <= 0 || limit <= 0 {
 		return 0
 	}
@@ -141,7 +141,7 @@
 		if to <= from {
 			continue
 		}
-		sum += (to - from) * (c.At(from) + c.At(to)) / 2
+		sum += (to - from) * (c.Survival(from) + c.Survival(to)) / 2
 		from = to
 	}
 	return sum / at
