--- a/internal/length/curve.go
+++ b/internal/length/curve.go
@@ -98,9 +98,9 @@
 	return lo + (hi-lo)*frac
 }
 
-// Alive returns the share of the outputs that have reached soFar tokens which
+// ConditionalSurvival returns the share of the outputs that have reached soFar tokens which
 // continue for more than further tokens.
-func (c *Curve) Alive(soFar, further int) float64 {
+func (c *Curve) ConditionalSurvival(soFar, further int) float64 {
 	at := c.Survival(float64(soFar))
 	if at <= 0 {
 		return 0
--- a/internal/length/length_test.go
+++ b/internal/length/length_test.go
@@ -95,8 +95,8 @@
 		censored.Observe(key, min(n, 200), n > 200)
 		naive.Observe(key, min(n, 200), false)
 	}
-	require.Greater(t, censored.Curve(key).Alive(0, 250), 0.5)
-	require.Less(t, naive.Curve(key).Alive(0, 250), 0.1)
+	require.Greater(t, censored.Curve(key).ConditionalSurvival(0, 250), 0.5)
+	require.Less(t, naive.Curve(key).ConditionalSurvival(0, 250), 0.1)
 }
 
 func TestNewWorkspaceUsesTheCurveOfItsModel(t *testing.T) {
