--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -222,5 +222,5 @@
 	if bound <= 0 {
 		bound = length.MaxTokens
 	}
-	return float64(req.PromptTokens) + s.lengths.Curve(lengthKey(req)).Mean(0, bound)
+	return float64(req.PromptTokens) + s.lengths.Curve(lengthKey(req)).MeanRemaining(0, bound)
 }
--- a/internal/length/curve.go
+++ b/internal/length/curve.go
@@ -127,9 +127,9 @@
 	return max(0, MaxTokens-soFar)
 }
 
-// Mean returns the expected number of further tokens, at most limit, of an output
+// MeanRemaining returns the expected number of further tokens, at most limit, of an output
 // that has reached soFar tokens.
-func (c *Curve) Mean(soFar, limit int) float64 {
+func (c *Curve) MeanRemaining(soFar, limit int) float64 {
 	at := c.Survival(float64(soFar))
 	if at <= 0 || limit <= 0 {
 		return 0
--- a/internal/length/length_test.go
+++ b/internal/length/length_test.go
@@ -81,7 +81,7 @@
 	c := e.Curve(key)
 	require.Less(t, c.Remaining(50, 0.5), c.Remaining(500, 0.5))
 	require.Less(t, c.Remaining(500, 0.5), c.Remaining(5000, 0.5))
-	require.Less(t, c.Mean(50, 16000), c.Mean(1000, 16000))
+	require.Less(t, c.MeanRemaining(50, 16000), c.MeanRemaining(1000, 16000))
 }
 
 func TestCensoredOutputsCountAsAtLeastAsLong(t *testing.T) {
@@ -127,8 +127,8 @@
 	for range 4000 {
 		e.Observe(key, lognormal(rng, 100, 0.2), false)
 	}
-	require.InDelta(t, 102, e.Curve(key).Mean(0, 4000), 20)
-	require.InDelta(t, 10, e.Curve(key).Mean(0, 10), 1)
+	require.InDelta(t, 102, e.Curve(key).MeanRemaining(0, 4000), 20)
+	require.InDelta(t, 10, e.Curve(key).MeanRemaining(0, 10), 1)
 }
 
 func BenchmarkObserveAndCurve(b *testing.B) {
