--- a/internal/admission/capacity.go
+++ b/internal/admission/capacity.go
@@ -100,9 +100,9 @@
 	}
 	req := &it.Request
 	seq := forecast.Sequence{
-		Prompt: req.PromptTokens,
-		Bound:  req.MaxTokens,
-		Curve:  s.lengths.Curve(lengthKey(req)),
+		Prompt:    req.PromptTokens,
+		MaxTokens: req.MaxTokens,
+		Curve:     s.lengths.Curve(lengthKey(req)),
 	}
 	return s.memoryHeld(s.memory.PeakWith(seq, s.margin), running+1) <= capacity
 }
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -211,7 +211,7 @@
 
 func (s *Server) sequence(g *grant) forecast.Sequence {
 	req := &g.request.Request
-	return forecast.Sequence{Prompt: req.PromptTokens, SoFar: g.output, Bound: req.MaxTokens, Curve: g.curve}
+	return forecast.Sequence{Prompt: req.PromptTokens, SoFar: g.output, MaxTokens: req.MaxTokens, Curve: g.curve}
 }
 
 func (s *Server) expectedTokens(req *permit.Request) float64 {
--- a/internal/forecast/memory.go
+++ b/internal/forecast/memory.go
@@ -40,9 +40,9 @@
 	Prompt int
 	// SoFar is the number of generated tokens.
 	SoFar int
-	// Bound is the maximum number of generated tokens; 0 means no limit but the
+	// MaxTokens is the maximum number of generated tokens; 0 means no limit but the
 	// model's context.
-	Bound int
+	MaxTokens int
 	// Curve is the survival curve of the output length.
 	Curve *length.Curve
 }
@@ -76,7 +76,7 @@
 
 // Add adds s to the prediction.
 func (m *Memory) Add(s Sequence) {
-	if s.Bound <= 0 || s.SoFar <= s.Bound {
+	if s.MaxTokens <= 0 || s.SoFar <= s.MaxTokens {
 		m.mean[0] += float64(s.Prompt + s.SoFar)
 		m.maxUse[0] += float64(s.Prompt + s.SoFar)
 	}
@@ -85,7 +85,7 @@
 		mean, variance := s.memoryAt(lookaheads[h], reached)
 		m.mean[h] += mean
 		m.variance[h] += variance
-		if reach := s.SoFar + lookaheads[h]; s.Bound <= 0 || reach <= s.Bound {
+		if reach := s.SoFar + lookaheads[h]; s.MaxTokens <= 0 || reach <= s.MaxTokens {
 			m.maxUse[h] += float64(s.Prompt + reach)
 		}
 	}
@@ -122,7 +122,7 @@
 // Reached is the share of outputs that are longer than what s has generated.
 func (s Sequence) memoryAt(further int, reached float64) (mean, variance float64) {
 	size := float64(s.Prompt + s.SoFar + further)
-	if s.Bound > 0 && s.SoFar+further > s.Bound {
+	if s.MaxTokens > 0 && s.SoFar+further > s.MaxTokens {
 		return 0, 0
 	}
 	if reached <= 0 {
