--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -191,13 +191,13 @@
 	for _, g := range s.grants {
 		seq := s.sequence(g)
 		if g.output > 0 {
-			seq.SoFar += grown
+			seq.Generated += grown
 		}
 		s.memory.Add(seq)
 	}
 	curve := s.lengths.Curve(length.Key{})
 	for _, f := range s.foreign {
-		s.memory.Add(forecast.Sequence{Prompt: f.Prompt, SoFar: f.Output + grown, Curve: curve})
+		s.memory.Add(forecast.Sequence{Prompt: f.Prompt, Generated: f.Output + grown, Curve: curve})
 	}
 }
 
@@ -211,7 +211,7 @@
 
 func (s *Server) sequence(g *grant) forecast.Sequence {
 	req := &g.request.Request
-	return forecast.Sequence{Prompt: req.PromptTokens, SoFar: g.output, MaxTokens: req.MaxTokens, Curve: g.curve}
+	return forecast.Sequence{Prompt: req.PromptTokens, Generated: g.output, MaxTokens: req.MaxTokens, Curve: g.curve}
 }
 
 func (s *Server) expectedTokens(req *permit.Request) float64 {
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -46,7 +46,7 @@
 				soFar, remaining := make([]int, batch), make([]int, batch)
 				for i := range soFar {
 					soFar[i], remaining[i] = running(rng, draw, bound)
-					m.Add(forecast.Sequence{Prompt: prompt, SoFar: soFar[i], MaxTokens: bound, Curve: curve})
+					m.Add(forecast.Sequence{Prompt: prompt, Generated: soFar[i], MaxTokens: bound, Curve: curve})
 				}
 				peak, actualPeak := m.Peak(forecast.DefaultMargin), realPeak(soFar, remaining, prompt)
 				predicted += peak
@@ -98,7 +98,7 @@
 	}{
 		"idle":              {max: 0},
 		"residents only":    {resident: 500, min: 500, max: 500},
-		"limit reached":     {sequences: []forecast.Sequence{{Prompt: 50, SoFar: 10, MaxTokens: 10, Curve: curve}}, min: 60, max: 60},
+		"limit reached":     {sequences: []forecast.Sequence{{Prompt: 50, Generated: 10, MaxTokens: 10, Curve: curve}}, min: 60, max: 60},
 		"one of a hundred":  {sequences: []forecast.Sequence{{Prompt: 50, Curve: curve}}, min: 110, max: 200},
 		"limit below curve": {sequences: []forecast.Sequence{{Prompt: 50, MaxTokens: 16, Curve: curve}}, min: 60, max: 70},
 	}
@@ -175,7 +175,7 @@
 func BenchmarkPeakWith(b *testing.B) {
 	curve := learned(rand.New(rand.NewPCG(4, 4)), func(rng *rand.Rand) int { return 1 + rng.IntN(4000) })
 	var m forecast.Memory
-	s := forecast.Sequence{Prompt: 200, SoFar: 40, MaxTokens: 9000, Curve: curve}
+	s := forecast.Sequence{Prompt: 200, Generated: 40, MaxTokens: 9000, Curve: curve}
 	for range 40 {
 		m.Add(s)
 	}
--- a/internal/forecast/memory.go
+++ b/internal/forecast/memory.go
@@ -38,8 +38,8 @@
 // Sequence is one running generation; its lengths are in tokens.
 type Sequence struct {
 	Prompt int
-	// SoFar is the number of generated tokens.
-	SoFar int
+	// Generated is the number of generated tokens.
+	Generated int
 	// MaxTokens is the maximum number of generated tokens; 0 means no limit but the
 	// model's context.
 	MaxTokens int
@@ -76,16 +76,16 @@
 
 // Add adds s to the prediction.
 func (m *Memory) Add(s Sequence) {
-	if s.MaxTokens <= 0 || s.SoFar <= s.MaxTokens {
-		m.mean[0] += float64(s.Prompt + s.SoFar)
-		m.maxUse[0] += float64(s.Prompt + s.SoFar)
+	if s.MaxTokens <= 0 || s.Generated <= s.MaxTokens {
+		m.mean[0] += float64(s.Prompt + s.Generated)
+		m.maxUse[0] += float64(s.Prompt + s.Generated)
 	}
-	reached := s.Curve.Survival(float64(s.SoFar))
+	reached := s.Curve.Survival(float64(s.Generated))
 	for h := 1; h < horizons; h++ {
 		mean, variance := s.memoryAt(lookaheads[h], reached)
 		m.mean[h] += mean
 		m.variance[h] += variance
-		if reach := s.SoFar + lookaheads[h]; s.MaxTokens <= 0 || reach <= s.MaxTokens {
+		if reach := s.Generated + lookaheads[h]; s.MaxTokens <= 0 || reach <= s.MaxTokens {
 			m.maxUse[h] += float64(s.Prompt + reach)
 		}
 	}
@@ -121,13 +121,13 @@
 // tokens: its full size with the probability that s is still running, otherwise none.
 // Reached is the share of outputs that are longer than what s has generated.
 func (s Sequence) memoryAt(further int, reached float64) (mean, variance float64) {
-	size := float64(s.Prompt + s.SoFar + further)
-	if s.MaxTokens > 0 && s.SoFar+further > s.MaxTokens {
+	size := float64(s.Prompt + s.Generated + further)
+	if s.MaxTokens > 0 && s.Generated+further > s.MaxTokens {
 		return 0, 0
 	}
 	if reached <= 0 {
 		return 0, 0
 	}
-	alive := s.Curve.Survival(float64(s.SoFar+further)) / reached
+	alive := s.Curve.Survival(float64(s.Generated+further)) / reached
 	return alive * size, alive * (1 - alive) * size * size
 }
