--- a/internal/admission/capacity.go
+++ b/internal/admission/capacity.go
@@ -112,7 +112,7 @@
 // requests would keep sending to it.
 func (s *Server) isSlow() bool {
 	return s.cfg.TokenInterval > 0 && s.interval.Reports >= minSlowReports &&
-		s.interval.At(probeBatch) > slowFactor*s.targetMillis()
+		s.interval.Expected(probeBatch) > slowFactor*s.targetMillis()
 }
 
 func (s *Server) targetMillis() float64 {
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -126,13 +126,13 @@
 		}
 	}
 	feed(200, 12, 0.8)
-	require.InDelta(t, 12+0.8*30, v.At(30), 2)
+	require.InDelta(t, 12+0.8*30, v.Expected(30), 2)
 	require.InDelta(t, 30, v.MaxBatch(12+0.8*30, 64), 3)
 
 	// The server becomes slow; after some hundred reports the maximum batch is what
 	// it can serve within the target.
 	feed(250, 20, 2)
-	require.InDelta(t, 80, v.At(30), 6)
+	require.InDelta(t, 80, v.Expected(30), 6)
 	require.InDelta(t, 8, v.MaxBatch(36, 64), 2)
 }
 
@@ -152,7 +152,7 @@
 		}
 		v.Observe(batch, millis)
 		if n >= learned {
-			sum += v.At(16)
+			sum += v.Expected(16)
 		}
 	}
 	require.InDelta(t, 19.5, sum/(reports-learned), 0.5)
@@ -167,9 +167,9 @@
 		v.Observe(8, millis)
 	}
 	v.Observe(0, 900)
-	require.InDelta(t, 20, v.At(8), 0.5)
+	require.InDelta(t, 20, v.Expected(8), 0.5)
 	require.GreaterOrEqual(t, v.MaxBatch(1, 64), 1)
-	require.GreaterOrEqual(t, v.At(40), v.At(8))
+	require.GreaterOrEqual(t, v.Expected(40), v.Expected(8))
 }
 
 func BenchmarkPeakWith(b *testing.B) {
--- a/internal/forecast/interval.go
+++ b/internal/forecast/interval.go
@@ -98,10 +98,10 @@
 	v.perSequence = (a*f - b*e) / det
 }
 
-// At returns the expected time between tokens at a batch size, in milliseconds. It
+// Expected returns the expected time between tokens at a batch size, in milliseconds. It
 // never decreases with the size: a negative slope is noise, and would make the
 // largest batch look best.
-func (v *Interval) At(batch int) float64 {
+func (v *Interval) Expected(batch int) float64 {
 	return math.Max(0, v.base+math.Max(0, v.perSequence)*float64(batch))
 }
 
@@ -112,7 +112,7 @@
 	lo, hi := 1, max(1, limit)
 	for lo < hi {
 		mid := (lo + hi + 1) / 2
-		if v.At(mid) <= target {
+		if v.Expected(mid) <= target {
 			lo = mid
 		} else {
 			hi = mid - 1
