--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -117,7 +117,7 @@
 // UpdateConfig applies a changed configuration of the server.
 func (s *Server) UpdateConfig(cfg Config) {
 	s.cfg = cfg
-	s.limit.Declare(cfg.ColdLimit, cfg.WarmLimit)
+	s.limit.SetLimits(cfg.ColdLimit, cfg.WarmLimit)
 }
 
 // ResetToCold resets the server to its cold limit, after its availability zone or
--- a/internal/warmup/limit.go
+++ b/internal/warmup/limit.go
@@ -73,8 +73,8 @@
 	return l.value < l.warm
 }
 
-// Declare applies changed limits of the configuration.
-func (l *Limit) Declare(cold, warm int) {
+// SetLimits applies changed limits of the configuration.
+func (l *Limit) SetLimits(cold, warm int) {
 	l.cold = max(1, cold)
 	l.warm = max(l.cold, warm)
 	// A higher limit is reached by successes, a lower one applies immediately.
--- a/internal/warmup/limit_test.go
+++ b/internal/warmup/limit_test.go
@@ -41,10 +41,10 @@
 		"one slow first token":           {events: func(l *warmup.Limit) { l.Succeeded(32, 20*usual) }, want: 32},
 		"two slow first tokens in a row": {events: func(l *warmup.Limit) { times(2, func() { l.Succeeded(32, 20*usual) }) }, want: 2},
 		"first tokens of a full batch":   {events: func(l *warmup.Limit) { times(9, func() { l.Succeeded(32, 4*usual) }) }, want: 32},
-		"lower limit declared":           {events: func(l *warmup.Limit) { l.Declare(2, 10) }, want: 10},
-		"higher limit declared":          {events: func(l *warmup.Limit) { l.Declare(2, 64) }, want: 32},
+		"lower limit declared":           {events: func(l *warmup.Limit) { l.SetLimits(2, 10) }, want: 10},
+		"higher limit declared":          {events: func(l *warmup.Limit) { l.SetLimits(2, 64) }, want: 32},
 		"higher limit declared, then one success": {
-			events: func(l *warmup.Limit) { l.Declare(2, 64); l.Succeeded(32, usual) }, want: 33,
+			events: func(l *warmup.Limit) { l.SetLimits(2, 64); l.Succeeded(32, usual) }, want: 33,
 		},
 	}
 	for name, tt := range tests {
