--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -39,7 +39,7 @@
 	}
 	var restart *Restart
 	old := s.report.Incarnation
-	if s.limit.Started(r.Incarnation) {
+	if s.limit.RecordIncarnation(r.Incarnation) {
 		restart = s.endIncarnation(now, old)
 	}
 	s.limit.Reported(r.Cold)
--- a/internal/warmup/limit.go
+++ b/internal/warmup/limit.go
@@ -81,10 +81,10 @@
 	l.value = min(l.value, l.warm)
 }
 
-// Started records the incarnation that a report or an answer came from, and reports
+// RecordIncarnation records the incarnation that a report or an answer came from, and reports
 // whether the server has restarted. A new incarnation is considered cold whatever its
 // load report says.
-func (l *Limit) Started(incarnation string) (restarted bool) {
+func (l *Limit) RecordIncarnation(incarnation string) (restarted bool) {
 	if incarnation == "" || incarnation == l.incarnation {
 		return false
 	}
--- a/internal/warmup/limit_test.go
+++ b/internal/warmup/limit_test.go
@@ -14,7 +14,7 @@
 // warmed returns a limit that was raised from 2 to 32 by successes.
 func warmed() *warmup.Limit {
 	l := warmup.NewLimit(2, 32)
-	l.Started("a")
+	l.RecordIncarnation("a")
 	for range 100 {
 		l.Succeeded(l.Value(), usual)
 	}
@@ -27,8 +27,8 @@
 		want   int
 	}{
 		"warm":                 {events: func(*warmup.Limit) {}, want: 32},
-		"the same incarnation": {events: func(l *warmup.Limit) { l.Started("a") }, want: 32},
-		"restart":              {events: func(l *warmup.Limit) { l.Started("b") }, want: 2},
+		"the same incarnation": {events: func(l *warmup.Limit) { l.RecordIncarnation("a") }, want: 32},
+		"restart":              {events: func(l *warmup.Limit) { l.RecordIncarnation("b") }, want: 2},
 		"reset to cold":        {events: func(l *warmup.Limit) { l.TurnedCold() }, want: 2},
 		"no growth while reported cold": {
 			events: func(l *warmup.Limit) { l.Reported(true); times(50, func() { l.Succeeded(2, usual) }) }, want: 2,
@@ -64,7 +64,7 @@
 
 func TestGrowthFollowsSuccesses(t *testing.T) {
 	l := warmup.NewLimit(2, 32)
-	l.Started("a")
+	l.RecordIncarnation("a")
 	require.Equal(t, 2, l.Value())
 	// Successes of an idle server don't raise the limit.
 	for range 50 {
