--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -123,7 +123,7 @@
 // ResetToCold resets the server to its cold limit, after its availability zone or
 // the server itself returned to service.
 func (s *Server) ResetToCold() {
-	s.limit.TurnedCold()
+	s.limit.Reset()
 }
 
 // MarkUnreachable records that the server doesn't answer. Nothing is granted until it
--- a/internal/warmup/limit.go
+++ b/internal/warmup/limit.go
@@ -90,14 +90,14 @@
 	}
 	restarted = l.incarnation != ""
 	l.incarnation = incarnation
-	l.TurnedCold()
+	l.Reset()
 	return restarted
 }
 
-// TurnedCold resets the limit to the cold limit: after a report that the server is
+// Reset resets the limit to the cold limit: after a report that the server is
 // cold, when the server or its availability zone returns to service, or when the owner
 // doesn't know the server's state.
-func (l *Limit) TurnedCold() {
+func (l *Limit) Reset() {
 	l.value = l.cold
 	l.meanFirstToken, l.samples, l.slowInRow = 0, 0, 0
 	l.ColdStarts++
@@ -109,7 +109,7 @@
 // raising the limit on them would crash a cold engine repeatedly.
 func (l *Limit) Reported(cold bool) {
 	if cold && (!l.reportedCold || l.value > l.cold) {
-		l.TurnedCold()
+		l.Reset()
 	}
 	l.reportedCold = cold
 }
@@ -124,7 +124,7 @@
 // in use; otherwise the success doesn't show that the server can handle more.
 func (l *Limit) Succeeded(running int, firstToken time.Duration) {
 	if l.becameCold(firstToken) {
-		l.TurnedCold()
+		l.Reset()
 		return
 	}
 	if !l.reportedCold && l.slowInRow == 0 && 2*running >= l.value && l.value < l.warm {
--- a/internal/warmup/limit_test.go
+++ b/internal/warmup/limit_test.go
@@ -29,7 +29,7 @@
 		"warm":                 {events: func(*warmup.Limit) {}, want: 32},
 		"the same incarnation": {events: func(l *warmup.Limit) { l.RecordIncarnation("a") }, want: 32},
 		"restart":              {events: func(l *warmup.Limit) { l.RecordIncarnation("b") }, want: 2},
-		"reset to cold":        {events: func(l *warmup.Limit) { l.TurnedCold() }, want: 2},
+		"reset to cold":        {events: func(l *warmup.Limit) { l.Reset() }, want: 2},
 		"no growth while reported cold": {
 			events: func(l *warmup.Limit) { l.Reported(true); times(50, func() { l.Succeeded(2, usual) }) }, want: 2,
 		},
