--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -42,7 +42,7 @@
 	if s.limit.RecordIncarnation(r.Incarnation) {
 		restart = s.endIncarnation(now, old)
 	}
-	s.limit.Reported(r.Cold)
+	s.limit.SetReportedCold(r.Cold)
 	s.adjustMargin(r, restart != nil)
 	if r.TokenInterval > 0 {
 		s.interval.Observe(r.Batch, float64(r.TokenInterval)/float64(time.Millisecond))
--- a/internal/warmup/limit.go
+++ b/internal/warmup/limit.go
@@ -103,11 +103,11 @@
 	l.ColdStarts++
 }
 
-// Reported records whether the server reports that it is cold. While it does,
+// SetReportedCold records whether the server reports that it is cold. While it does,
 // successes don't raise the limit: only the server knows what it still has to load.
 // Requests that succeed within the cold limit don't show that it can handle more;
 // raising the limit on them would crash a cold engine repeatedly.
-func (l *Limit) Reported(cold bool) {
+func (l *Limit) SetReportedCold(cold bool) {
 	if cold && (!l.reportedCold || l.value > l.cold) {
 		l.Reset()
 	}
--- a/internal/warmup/limit_test.go
+++ b/internal/warmup/limit_test.go
@@ -31,10 +31,10 @@
 		"restart":              {events: func(l *warmup.Limit) { l.RecordIncarnation("b") }, want: 2},
 		"reset to cold":        {events: func(l *warmup.Limit) { l.Reset() }, want: 2},
 		"no growth while reported cold": {
-			events: func(l *warmup.Limit) { l.Reported(true); times(50, func() { l.Succeeded(2, usual) }) }, want: 2,
+			events: func(l *warmup.Limit) { l.SetReportedCold(true); times(50, func() { l.Succeeded(2, usual) }) }, want: 2,
 		},
 		"growth after reported warm": {
-			events: func(l *warmup.Limit) { l.Reported(true); l.Reported(false); l.Succeeded(2, usual) }, want: 3,
+			events: func(l *warmup.Limit) { l.SetReportedCold(true); l.SetReportedCold(false); l.Succeeded(2, usual) }, want: 3,
 		},
 		"refusal":                        {events: func(l *warmup.Limit) { l.Refused() }, want: 16},
 		"many refusals":                  {events: func(l *warmup.Limit) { times(20, l.Refused) }, want: 2},
