--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -93,7 +93,7 @@
 		s.suspendGrants(now)
 		return nil
 	case permit.EndingRefused:
-		s.limit.Refused()
+		s.limit.RecordRefusal()
 	case permit.EndingFinished, permit.EndingCancelled:
 		s.recordOutcome(g, o)
 	}
--- a/internal/warmup/limit.go
+++ b/internal/warmup/limit.go
@@ -114,8 +114,8 @@
 	l.reportedCold = cold
 }
 
-// Refused records that the server refused a request before running it.
-func (l *Limit) Refused() {
+// RecordRefusal records that the server refused a request before running it.
+func (l *Limit) RecordRefusal() {
 	l.value = max(l.cold, min(l.value, l.warm)/refusalDivisor)
 }
 
--- a/internal/warmup/limit_test.go
+++ b/internal/warmup/limit_test.go
@@ -36,8 +36,8 @@
 		"growth after reported warm": {
 			events: func(l *warmup.Limit) { l.SetReportedCold(true); l.SetReportedCold(false); l.Succeeded(2, usual) }, want: 3,
 		},
-		"refusal":                        {events: func(l *warmup.Limit) { l.Refused() }, want: 16},
-		"many refusals":                  {events: func(l *warmup.Limit) { times(20, l.Refused) }, want: 2},
+		"refusal":                        {events: func(l *warmup.Limit) { l.RecordRefusal() }, want: 16},
+		"many refusals":                  {events: func(l *warmup.Limit) { times(20, l.RecordRefusal) }, want: 2},
 		"one slow first token":           {events: func(l *warmup.Limit) { l.Succeeded(32, 20*usual) }, want: 32},
 		"two slow first tokens in a row": {events: func(l *warmup.Limit) { times(2, func() { l.Succeeded(32, 20*usual) }) }, want: 2},
 		"first tokens of a full batch":   {events: func(l *warmup.Limit) { times(9, func() { l.Succeeded(32, 4*usual) }) }, want: 32},
