--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -139,7 +139,7 @@
 			running = 0
 		}
 		g.firstTokenSeen = true
-		s.limit.Succeeded(running, o.FirstToken)
+		s.limit.RecordSuccess(running, o.FirstToken)
 	}
 	expected := s.expectedTokens(req)
 	s.queue.Charge(req.Workspace, float64(req.PromptTokens+o.OutputTokens)-expected, g.request.Weight)
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -142,7 +142,7 @@
 			g.output = seq.Output
 			if seq.Output > 0 && !g.firstTokenSeen {
 				g.firstTokenSeen = true
-				s.limit.Succeeded(g.runningAt, 0)
+				s.limit.RecordSuccess(g.runningAt, 0)
 			}
 			continue
 		}
--- a/internal/warmup/limit.go
+++ b/internal/warmup/limit.go
@@ -119,10 +119,10 @@
 	l.value = max(l.cold, min(l.value, l.warm)/refusalDivisor)
 }
 
-// Succeeded records the time to the first token of a request, and how many requests
+// RecordSuccess records the time to the first token of a request, and how many requests
 // were running when it was sent. It raises the limit by one if at least half of it was
 // in use; otherwise the success doesn't show that the server can handle more.
-func (l *Limit) Succeeded(running int, firstToken time.Duration) {
+func (l *Limit) RecordSuccess(running int, firstToken time.Duration) {
 	if l.becameCold(firstToken) {
 		l.Reset()
 		return
--- a/internal/warmup/limit_test.go
+++ b/internal/warmup/limit_test.go
@@ -16,7 +16,7 @@
 	l := warmup.NewLimit(2, 32)
 	l.RecordIncarnation("a")
 	for range 100 {
-		l.Succeeded(l.Value(), usual)
+		l.RecordSuccess(l.Value(), usual)
 	}
 	return l
 }
@@ -31,20 +31,20 @@
 		"restart":              {events: func(l *warmup.Limit) { l.RecordIncarnation("b") }, want: 2},
 		"reset to cold":        {events: func(l *warmup.Limit) { l.Reset() }, want: 2},
 		"no growth while reported cold": {
-			events: func(l *warmup.Limit) { l.SetReportedCold(true); times(50, func() { l.Succeeded(2, usual) }) }, want: 2,
+			events: func(l *warmup.Limit) { l.SetReportedCold(true); times(50, func() { l.RecordSuccess(2, usual) }) }, want: 2,
 		},
 		"growth after reported warm": {
-			events: func(l *warmup.Limit) { l.SetReportedCold(true); l.SetReportedCold(false); l.Succeeded(2, usual) }, want: 3,
+			events: func(l *warmup.Limit) { l.SetReportedCold(true); l.SetReportedCold(false); l.RecordSuccess(2, usual) }, want: 3,
 		},
 		"refusal":                        {events: func(l *warmup.Limit) { l.RecordRefusal() }, want: 16},
 		"many refusals":                  {events: func(l *warmup.Limit) { times(20, l.RecordRefusal) }, want: 2},
-		"one slow first token":           {events: func(l *warmup.Limit) { l.Succeeded(32, 20*usual) }, want: 32},
-		"two slow first tokens in a row": {events: func(l *warmup.Limit) { times(2, func() { l.Succeeded(32, 20*usual) }) }, want: 2},
-		"first tokens of a full batch":   {events: func(l *warmup.Limit) { times(9, func() { l.Succeeded(32, 4*usual) }) }, want: 32},
+		"one slow first token":           {events: func(l *warmup.Limit) { l.RecordSuccess(32, 20*usual) }, want: 32},
+		"two slow first tokens in a row": {events: func(l *warmup.Limit) { times(2, func() { l.RecordSuccess(32, 20*usual) }) }, want: 2},
+		"first tokens of a full batch":   {events: func(l *warmup.Limit) { times(9, func() { l.RecordSuccess(32, 4*usual) }) }, want: 32},
 		"lower limit declared":           {events: func(l *warmup.Limit) { l.SetLimits(2, 10) }, want: 10},
 		"higher limit declared":          {events: func(l *warmup.Limit) { l.SetLimits(2, 64) }, want: 32},
 		"higher limit declared, then one success": {
-			events: func(l *warmup.Limit) { l.SetLimits(2, 64); l.Succeeded(32, usual) }, want: 33,
+			events: func(l *warmup.Limit) { l.SetLimits(2, 64); l.RecordSuccess(32, usual) }, want: 33,
 		},
 	}
 	for name, tt := range tests {
@@ -68,13 +68,13 @@
 	require.Equal(t, 2, l.Value())
 	// Successes of an idle server don't raise the limit.
 	for range 50 {
-		l.Succeeded(0, usual)
+		l.RecordSuccess(0, usual)
 	}
 	require.Equal(t, 2, l.Value())
 	// As many successes as the limit double it.
 	for round := 2; round <= 16; round *= 2 {
 		for range round {
-			l.Succeeded(l.Value(), usual)
+			l.RecordSuccess(l.Value(), usual)
 		}
 		require.Equal(t, min(32, 2*round), l.Value())
 	}
