--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -21,7 +21,7 @@
 
 func at(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
 
-func ask(id string) admission.AcquireRequest {
+func request(id string) admission.AcquireRequest {
 	return admission.AcquireRequest{
 		PermitID: "permit-" + id, Weight: 1, MayQueue: true,
 		Request: permit.Request{
@@ -31,8 +31,8 @@
 	}
 }
 
-// opened returns an open server that has reported that it is idle.
-func opened() *admission.Server {
+// openServer returns an open server that has reported that it is idle.
+func openServer() *admission.Server {
 	s := admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
 	s.Open(start)
 	s.ApplyReport(start, report(0))
@@ -56,10 +56,10 @@
 }
 
 func TestColdServerIsLimited(t *testing.T) {
-	s := opened()
+	s := openServer()
 	n := 0
 	for i := range 10 {
-		if _, ok := s.Acquire(at(i), ask(fmt.Sprint(i))).(admission.Granted); ok {
+		if _, ok := s.Acquire(at(i), request(fmt.Sprint(i))).(admission.Granted); ok {
 			n++
 		}
 	}
@@ -72,18 +72,18 @@
 	// permits are in flight. A report measured before those permits expired would
 	// miss them, and the cold server would get twice what it can handle.
 	s := admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
-	require.IsType(t, admission.Unavailable{}, s.Acquire(at(0), ask("0")))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(0), request("0")))
 	s.Open(at(2000))
 	s.ApplyReport(at(1900), report(1800))
-	require.IsType(t, admission.Unavailable{}, s.Acquire(at(1900), ask("1")))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(1900), request("1")))
 	s.ApplyReport(at(2200), report(2100, admission.Sequence{ID: "of the old owner", Prompt: 50, Output: 3}))
-	granted(t, s.Acquire(at(2200), ask("2")))
-	require.IsType(t, admission.Queued{}, s.Acquire(at(2201), ask("3")))
+	granted(t, s.Acquire(at(2200), request("2")))
+	require.IsType(t, admission.Queued{}, s.Acquire(at(2201), request("3")))
 }
 
 func TestLaggingReportsCountEachRequestOnce(t *testing.T) {
-	s := opened()
-	g := granted(t, s.Acquire(at(100), ask("1")))
+	s := openServer()
+	g := granted(t, s.Acquire(at(100), request("1")))
 	require.Equal(t, 1, s.Running())
 	// The report was measured before the request reached the server.
 	s.ApplyReport(at(200), report(50))
@@ -103,8 +103,8 @@
 func TestLostRequestKeepsItsSlotUntilAReportOmitsIt(t *testing.T) {
 	// Guards against reusing the slot of a request whose connection was lost: the
 	// server may still be running it, and would get one request too many.
-	s := opened()
-	g := granted(t, s.Acquire(at(0), ask("1")))
+	s := openServer()
+	g := granted(t, s.Acquire(at(0), request("1")))
 	s.Release(at(5000), g.PermitID, permit.Outcome{Ending: permit.EndingLost})
 	require.Equal(t, 1, s.Running())
 	s.ApplyReport(at(5200), report(5100, admission.Sequence{ID: "1", Prompt: 100, Output: 50}))
@@ -119,11 +119,11 @@
 	// Guards against an engine that crashes and restarts cold before the next load
 	// report: its callers retry immediately, and the new incarnation would get the
 	// load of the warm one.
-	s := opened()
-	g := granted(t, s.Acquire(at(100), ask("1")))
+	s := openServer()
+	g := granted(t, s.Acquire(at(100), request("1")))
 	s.Release(at(5000), g.PermitID, permit.Outcome{Ending: permit.EndingCrashed})
 	atOnce := func(id string) admission.AcquireRequest {
-		a := ask(id)
+		a := request(id)
 		a.MayQueue = false
 		return a
 	}
@@ -133,36 +133,36 @@
 	restarted := report(5300)
 	restarted.Incarnation = "b"
 	s.ApplyReport(at(5400), restarted)
-	granted(t, s.Acquire(at(5401), ask("4")))
+	granted(t, s.Acquire(at(5401), request("4")))
 }
 
 // Guards against refusing callers that could wait when a single poll of the server
 // fails and the next one, half a second later, succeeds. Nobody waits for a server
 // that hasn't reported for longer, or whose process has exited.
 func TestRequestsQueueDuringABriefDisconnection(t *testing.T) {
-	s := opened()
+	s := openServer()
 	s.MarkUnreachable()
-	now := ask("1")
+	now := request("1")
 	now.MayQueue = false
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(500), now))
-	require.IsType(t, admission.Queued{}, s.Acquire(at(500), ask("2")))
+	require.IsType(t, admission.Queued{}, s.Acquire(at(500), request("2")))
 	require.Empty(t, s.Tick(at(900)), "no grant while unreachable")
 	s.ApplyReport(at(1000), report(950))
 	require.Len(t, s.Tick(at(1000)), 1)
-	granted(t, s.Acquire(at(1001), ask("2")))
+	granted(t, s.Acquire(at(1001), request("2")))
 
 	s.MarkUnreachable()
-	require.IsType(t, admission.Unavailable{}, s.Acquire(at(4000), ask("3")), "no report for too long")
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(4000), request("3")), "no report for too long")
 	s.ApplyReport(at(5000), report(4900))
 	s.MarkExited(at(5001))
-	require.IsType(t, admission.Unavailable{}, s.Acquire(at(5002), ask("4")), "the process has exited")
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(5002), request("4")), "the process has exited")
 }
 
 func TestUnusedPermitIsReclaimed(t *testing.T) {
 	// Guards against a slot that stays taken when an instance crashes between
 	// getting a permit and using it.
-	s := opened()
-	granted(t, s.Acquire(at(0), ask("1")))
+	s := openServer()
+	granted(t, s.Acquire(at(0), request("1")))
 	s.ApplyReport(at(1900), report(1800))
 	s.Tick(at(1900))
 	require.Equal(t, 1, s.Running(), "the permit may still be used")
@@ -172,22 +172,22 @@
 }
 
 func TestRepeatedRequestReturnsTheSamePermit(t *testing.T) {
-	s := opened()
-	first := granted(t, s.Acquire(at(0), ask("1")))
-	again := ask("1")
+	s := openServer()
+	first := granted(t, s.Acquire(at(0), request("1")))
+	again := request("1")
 	again.PermitID = "another"
 	require.Equal(t, first, s.Acquire(at(500), again))
 	require.Equal(t, 1, s.Running())
 }
 
 func TestQueuedRequestStartsOrIsDropped(t *testing.T) {
-	s := opened()
-	g := granted(t, s.Acquire(at(0), ask("1")))
-	granted(t, s.Acquire(at(0), ask("2")))
-	require.IsType(t, admission.Queued{}, s.Acquire(at(0), ask("gone")))
-	require.IsType(t, admission.Queued{}, s.Acquire(at(0), ask("waits")))
+	s := openServer()
+	g := granted(t, s.Acquire(at(0), request("1")))
+	granted(t, s.Acquire(at(0), request("2")))
+	require.IsType(t, admission.Queued{}, s.Acquire(at(0), request("gone")))
+	require.IsType(t, admission.Queued{}, s.Acquire(at(0), request("waits")))
 	// The first request is polled again; the other one is abandoned.
-	require.IsType(t, admission.Queued{}, s.Acquire(at(2000), ask("waits")))
+	require.IsType(t, admission.Queued{}, s.Acquire(at(2000), request("waits")))
 	s.Release(at(3500), g.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 3})
 	out := s.Tick(at(3500))
 	require.Len(t, out, 1)
@@ -197,8 +197,8 @@
 }
 
 func TestRestartReturnsRunningRequests(t *testing.T) {
-	s := opened()
-	granted(t, s.Acquire(at(0), ask("1")))
+	s := openServer()
+	granted(t, s.Acquire(at(0), request("1")))
 	s.ApplyReport(at(300), report(250, admission.Sequence{ID: "1", Prompt: 100, Output: 2}))
 	r := report(900)
 	r.Incarnation = "b"
@@ -220,44 +220,44 @@
 	tests := map[string]struct {
 		ending    permit.Ending
 		lossFirst bool
-		named     bool
+		returned  bool
 	}{
-		"loss first":               {ending: permit.EndingLost, lossFirst: true, named: true},
-		"restart first":            {ending: permit.EndingLost, named: true},
-		"seen by the sender first": {ending: permit.EndingCrashed, lossFirst: true, named: true},
-		"seen by the owner first":  {ending: permit.EndingCrashed, named: true},
+		"loss first":               {ending: permit.EndingLost, lossFirst: true, returned: true},
+		"restart first":            {ending: permit.EndingLost, returned: true},
+		"seen by the sender first": {ending: permit.EndingCrashed, lossFirst: true, returned: true},
+		"seen by the owner first":  {ending: permit.EndingCrashed, returned: true},
 		"never sent":               {ending: permit.EndingNotSent},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := opened()
-			g := granted(t, s.Acquire(at(800), ask("1")))
-			lose := func() *admission.Restart {
+			s := openServer()
+			g := granted(t, s.Acquire(at(800), request("1")))
+			releaseLost := func() *admission.Restart {
 				return s.Release(at(1000), g.PermitID, permit.Outcome{Ending: tt.ending})
 			}
 			var atLoss, atReport *admission.Restart
 			if tt.lossFirst {
-				atLoss = lose()
+				atLoss = releaseLost()
 			}
 			atReport = s.ApplyReport(at(1000), again)
 			if !tt.lossFirst {
-				atLoss = lose()
+				atLoss = releaseLost()
 			}
 			require.NotNil(t, atReport)
-			named := atReport.Running
+			returned := atReport.Running
 			if atLoss != nil {
 				require.Equal(t, "a", atLoss.OldIncarnation)
-				named = append(named, atLoss.Running...)
+				returned = append(returned, atLoss.Running...)
 			}
-			require.Equal(t, tt.named, len(named) == 1)
+			require.Equal(t, tt.returned, len(returned) == 1)
 			require.Zero(t, s.Running())
 		})
 	}
 }
 
 func TestSuspectsNeverRunTogether(t *testing.T) {
-	s := opened()
-	a, b := ask("1"), ask("2")
+	s := openServer()
+	a, b := request("1"), request("2")
 	a.Suspect, b.Suspect = true, true
 	g := granted(t, s.Acquire(at(0), a))
 	require.IsType(t, admission.Queued{}, s.Acquire(at(1), b))
@@ -269,7 +269,7 @@
 	// Guards against sending work to a server that doesn't fail but is three times
 	// too slow. It gets one request now and then; once these show that it has
 	// recovered, it takes its share again.
-	s := opened()
+	s := openServer()
 	slow := func(from int, interval time.Duration) {
 		for i := range 100 {
 			r := report(from+i*10, admission.Sequence{ID: "x", Prompt: 10, Output: i + 1})
@@ -279,18 +279,18 @@
 		s.ApplyReport(at(from+1000), report(from+1000))
 	}
 	slow(0, 120*time.Millisecond)
-	a := ask("1")
+	a := request("1")
 	a.MayQueue = false
 	g := granted(t, s.Acquire(at(1000), a))
 	s.Release(at(1100), g.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 3})
-	b := ask("2")
+	b := request("2")
 	b.MayQueue = false
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(1200), b))
 	g = granted(t, s.Acquire(at(9000), b))
 	s.Release(at(9900), g.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 3})
 	slow(10000, 20*time.Millisecond)
 	for i := range 2 {
-		granted(t, s.Acquire(at(12000+i), ask(fmt.Sprint("later", i))))
+		granted(t, s.Acquire(at(12000+i), request(fmt.Sprint("later", i))))
 	}
 }
 
@@ -299,9 +299,9 @@
 	// its address refuses connections and no report will show a new incarnation.
 	// Lost requests are returned whether their sender or the owner notices first;
 	// requests that were never sent or are still open are not.
-	s := opened()
-	lost := granted(t, s.Acquire(at(100), ask("lost before")))
-	late := granted(t, s.Acquire(at(100), ask("lost after")))
+	s := openServer()
+	lost := granted(t, s.Acquire(at(100), request("lost before")))
+	late := granted(t, s.Acquire(at(100), request("lost after")))
 	require.Nil(t, s.Release(at(200), lost.PermitID, permit.Outcome{Ending: permit.EndingLost}))
 	gone := s.MarkExited(at(300))
 	require.Equal(t, "a", gone.OldIncarnation)
@@ -310,12 +310,12 @@
 	after := s.Release(at(400), late.PermitID, permit.Outcome{Ending: permit.EndingLost})
 	require.NotNil(t, after)
 	require.Equal(t, "a", after.OldIncarnation)
-	require.IsType(t, admission.Unavailable{}, s.Acquire(at(500), ask("new")))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(500), request("new")))
 
 	// Only the connection had failed: the same incarnation reports again, and a
 	// lost request is no longer a crash.
 	s.ApplyReport(at(700), report(650))
-	g := granted(t, s.Acquire(at(800), ask("next")))
+	g := granted(t, s.Acquire(at(800), request("next")))
 	require.Nil(t, s.Release(at(900), g.PermitID, permit.Outcome{Ending: permit.EndingLost}))
 }
 
@@ -335,21 +335,21 @@
 	}
 	for name, sign := range signs {
 		t.Run(name, func(t *testing.T) {
-			s := opened()
-			g := granted(t, s.Acquire(at(100), ask("running")))
+			s := openServer()
+			g := granted(t, s.Acquire(at(100), request("running")))
 			sign(s, g.PermitID)
-			require.IsType(t, admission.Queued{}, s.Acquire(at(1010), ask("next")))
+			require.IsType(t, admission.Queued{}, s.Acquire(at(1010), request("next")))
 			s.ApplyReport(at(1100), report(950))
 			require.Empty(t, s.Tick(at(1100)), "measured before the sign")
 			s.ApplyReport(at(1500), report(1400))
 			require.Len(t, s.Tick(at(1500)), 1)
 		})
 	}
-	s := opened()
-	g := granted(t, s.Acquire(at(100), ask("running")))
+	s := openServer()
+	g := granted(t, s.Acquire(at(100), request("running")))
 	next := report(1100)
 	next.Incarnation = "b"
 	s.ApplyReport(at(1200), next)
 	s.MarkBroken(at(1300), g.PermitID)
-	granted(t, s.Acquire(at(1310), ask("next")))
+	granted(t, s.Acquire(at(1310), request("next")))
 }
--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -38,11 +38,11 @@
 // grant grants a permit. Its lifetime starts when the owner received the request,
 // which is after the sender read its own clock: the sender stops using the permit
 // before the owner may reuse the slot.
-func (s *Server) grant(now time.Time, a AcquireRequest, asked time.Time) Decision {
+func (s *Server) grant(now time.Time, a AcquireRequest, requestedAt time.Time) Decision {
 	g := &grant{
 		request:     a,
 		curve:       s.lengths.Curve(lengthKey(&a.Request)),
-		expiresAt:   asked.Add(s.cfg.PermitLifetime),
+		expiresAt:   requestedAt.Add(s.cfg.PermitLifetime),
 		incarnation: s.report.Incarnation,
 		runningAt:   s.Running(),
 	}
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -219,10 +219,10 @@
 		if !ok {
 			return out
 		}
-		asked := s.lastPolled[it.ID]
+		polled := s.lastPolled[it.ID]
 		a := s.queuedRequests[it.ID]
 		s.deleteQueued(it.ID)
-		out = append(out, s.grant(now, a, asked))
+		out = append(out, s.grant(now, a, polled))
 	}
 }
 
@@ -261,8 +261,8 @@
 // sender crashed or their caller went away. They would hold a place in the queue
 // and then an unused permit.
 func (s *Server) dropAbandoned(now time.Time) {
-	for id, asked := range s.lastPolled {
-		if now.Sub(asked) > s.cfg.QueueTimeout {
+	for id, polled := range s.lastPolled {
+		if now.Sub(polled) > s.cfg.QueueTimeout {
 			s.Abandon(id)
 		}
 	}
--- a/internal/admission/shared_test.go
+++ b/internal/admission/shared_test.go
@@ -29,7 +29,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			s, now := reporting(1200, tt.used)
-			_, ok := s.Acquire(now, ask("next")).(admission.Granted)
+			_, ok := s.Acquire(now, request("next")).(admission.Granted)
 			require.Equal(t, tt.fits, ok)
 			require.GreaterOrEqual(t, s.LoadPermille(now), 500)
 		})
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -11,12 +11,12 @@
 //
 //	s := admission.New(cfg, admission.Predicted{}, lengths)
 //	s.Open(now)                       // the instance owns the server from now on
-//	s.Report(now, report)             // each load report
-//	switch d := s.Acquire(now, ask).(type) {
+//	s.ApplyReport(now, report)        // each load report
+//	switch d := s.Acquire(now, req).(type) {
 //	case admission.Granted:           // send a permit
 //	case admission.Queued:            // answer later, from Tick
 //	case admission.Refused:           // final, with a Retry-After
-//	case admission.NotHere:           // try another backend server
+//	case admission.Unavailable:       // try another backend server
 //	}
 //	for _, d := range s.Tick(now) {}  // grants and refusals of queued requests
 //	s.Release(now, permitID, outcome)
@@ -75,7 +75,7 @@
 	// Weight, MaxRunning and MaxQueued are those of the workspace.
 	Weight, MaxRunning, MaxQueued int
 	// MayQueue allows the request to be queued. Without it the answer is a
-	// permit, a refusal, or [NotHere].
+	// permit, a refusal, or [Unavailable].
 	MayQueue bool
 	// Suspect marks a crash suspect; see package suspect.
 	Suspect bool
--- a/internal/length/curve.go
+++ b/internal/length/curve.go
@@ -13,8 +13,8 @@
 //	e := length.NewEstimator(length.DefaultParams)
 //	e.Observe(key, 480, false)
 //	curve := e.Curve(key)
-//	p := curve.Alive(480, 100)          // share of outputs at 480 tokens that reach 580
-//	n := curve.Remaining(480, 0.9)      // tokens within which 9 in 10 of them end
+//	p := curve.ConditionalSurvival(480, 100) // share of outputs at 480 tokens that reach 580
+//	n := curve.Remaining(480, 0.9)           // tokens within which 9 in 10 of them end
 package length
 
 import "math"
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -10,7 +10,7 @@
 // # Usage
 //
 //	d := outlier.NewDetector()
-//	d.Take(now, report)
+//	d.Apply(now, answers)
 //	ejected := d.Ejected(now)
 package outlier
 
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -7,8 +7,8 @@
 //
 //	p := outlierpeer.New(outlierpeer.Options{...})
 //	go p.Run(ctx)
-//	p.Note(server, "bookings", failed)
-//	if p.Avoid(now, id, repeatable) {
+//	p.RecordAnswer(server, "bookings", failed)
+//	if p.ShouldAvoid(now, id, repeatable) {
 //		...
 //	}
 package outlierpeer
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -141,8 +141,8 @@
 // Acquirer acquires and releases permits. Acquire waits while the request is queued,
 // at most until req.Deadline, and returns a *Refusal if the request is refused.
 //
-// MaySend must be called immediately before the first byte is sent. Broken reports
-// that the connection of a request broke, which may be the first sign that the
+// MaySend must be called immediately before the first byte is sent. ReportBroken
+// reports that the connection of a request broke, which may be the first sign that the
 // backend server has restarted: permits requested before can't be used any more, and
 // the owner grants no more until a load report measured afterwards.
 type Acquirer interface {
--- a/internal/router/acquire.go
+++ b/internal/router/acquire.go
@@ -90,7 +90,7 @@
 func (r *Router) requestPermitFrom(ctx context.Context, to roster.Instance, server *pollenspindle.Server, req *permit.Request, wait time.Duration) permitAnswer {
 	msg := r.acquireRequest(server, req, wait)
 	// The permit's lifetime starts before the call is sent.
-	asked := time.Now()
+	requestedAt := time.Now()
 	res, err := r.send(ctx, to, msg, wait)
 	if err != nil {
 		if ctx.Err() == nil {
@@ -103,7 +103,7 @@
 		// Without the load of grants a server would look idle until it first refuses, and
 		// the two servers that a prompt prefix prefers would fill up while others are idle.
 		r.recordLoad(server.Name, int(a.Granted.GetLoadPermille()), 0)
-		return granted{r.newPermit(asked, to, server, a.Granted)}
+		return granted{r.newPermit(requestedAt, to, server, a.Granted)}
 	case *peerv1.AcquireResponse_Refused:
 		after := time.Duration(a.Refused.GetRetryAfterMillis()) * time.Millisecond
 		r.recordLoad(server.Name, int(a.Refused.GetLoadPermille()), after)
@@ -155,7 +155,7 @@
 	}
 }
 
-func (r *Router) newPermit(asked time.Time, by roster.Instance, server *pollenspindle.Server, g *peerv1.Granted) permit.Permit {
+func (r *Router) newPermit(requestedAt time.Time, by roster.Instance, server *pollenspindle.Server, g *peerv1.Granted) permit.Permit {
 	return permit.Permit{
 		ID:                g.GetPermitId(),
 		Server:            server.Name,
@@ -165,7 +165,7 @@
 		Owner:             by.ID,
 		OwnerIncarnation:  g.GetOwnerIncarnation(),
 		ServerIncarnation: g.GetServerIncarnation(),
-		ExpiresAt:         asked.Add(time.Duration(g.GetValidMillis()) * time.Millisecond),
+		ExpiresAt:         requestedAt.Add(time.Duration(g.GetValidMillis()) * time.Millisecond),
 	}
 }
 
--- a/internal/router/broken_connection.go
+++ b/internal/router/broken_connection.go
@@ -47,10 +47,10 @@
 	if !p.Valid(now) || !r.opts.Members.Allowed(now) {
 		return false
 	}
-	asked := p.ExpiresAt.Add(-r.opts.PermitLifetime)
+	requestedAt := p.ExpiresAt.Add(-r.opts.PermitLifetime)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.broken[p.Server].After(asked)
+	return !r.broken[p.Server].After(requestedAt)
 }
 
 // brokenRecently reports whether a connection to server broke within brokenServerBackoff.
--- a/internal/router/cluster_test.go
+++ b/internal/router/cluster_test.go
@@ -91,10 +91,10 @@
 }
 
 // Load implements owner.Loads. The servers remain cold.
-func (b *backend) Load(_ context.Context, asked time.Time, _ pollenspindle.ServiceKind, address string) (admission.Report, error) {
+func (b *backend) Load(_ context.Context, measuredAt time.Time, _ pollenspindle.ServiceKind, address string) (admission.Report, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := admission.Report{Incarnation: "s1", MeasuredAt: asked, Running: len(b.running[address]), Sequences: []admission.Sequence{}}
+	r := admission.Report{Incarnation: "s1", MeasuredAt: measuredAt, Running: len(b.running[address]), Sequences: []admission.Sequence{}}
 	for id := range b.running[address] {
 		r.Sequences = append(r.Sequences, admission.Sequence{ID: id})
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -153,12 +153,12 @@
 	refusal := &permit.Refusal{Reason: permit.ReasonNoServer, RetryAfter: defaultRetryAfter}
 	var best *pollenspindle.Server
 	bestLoad := 0
-	asked := 0
+	tried := 0
 	for _, server := range candidates {
-		if asked == immediateCandidates && best != nil {
+		if tried == immediateCandidates && best != nil {
 			break
 		}
-		asked++
+		tried++
 		switch a := r.requestPermit(ctx, server, req, 0).(type) {
 		case granted:
 			return a.permit, nil
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -76,7 +76,7 @@
 	now := time.Now()
 	r := router.New(router.Options{Members: allowedMembers{}, PermitLifetime: permitFor, Metrics: tally.NoopScope})
 	r.ReportBroken(now, permit.Permit{Server: "engine-1"})
-	asked := func(at time.Time, server string) permit.Permit {
+	requestedAt := func(at time.Time, server string) permit.Permit {
 		return permit.Permit{Server: server, ExpiresAt: at.Add(permitFor)}
 	}
 	tests := map[string]struct {
@@ -84,10 +84,10 @@
 		now    time.Time
 		want   bool
 	}{
-		"requested before": {asked(now.Add(-time.Second), "engine-1"), now.Add(time.Millisecond), false},
-		"requested after":  {asked(now.Add(time.Millisecond), "engine-1"), now.Add(2 * time.Millisecond), true},
-		"another server":   {asked(now.Add(-time.Second), "engine-2"), now.Add(time.Millisecond), true},
-		"expired":          {asked(now.Add(time.Millisecond), "engine-1"), now.Add(time.Minute), false},
+		"requested before": {requestedAt(now.Add(-time.Second), "engine-1"), now.Add(time.Millisecond), false},
+		"requested after":  {requestedAt(now.Add(time.Millisecond), "engine-1"), now.Add(2 * time.Millisecond), true},
+		"another server":   {requestedAt(now.Add(-time.Second), "engine-2"), now.Add(time.Millisecond), true},
+		"expired":          {requestedAt(now.Add(time.Millisecond), "engine-1"), now.Add(time.Minute), false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) { require.Equal(t, tt.want, r.MaySend(tt.now, tt.permit)) })
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -15,7 +15,7 @@
 // # Usage
 //
 //	t := suspect.NewTable(suspect.DefaultParams)
-//	t.Crash(now, suspect.CrashName("kigali-a", "engine-3", "5f2c"), fingerprint)
+//	t.RecordCrash(now, suspect.CrashName("kigali-a", "engine-3", "5f2c"), fingerprint)
 //	switch t.Check(now, fingerprint) {
 //	case suspect.Clear, suspect.Suspected:
 //	case suspect.Refused: // answer with t.RetryAfter(now, fingerprint)
@@ -39,9 +39,9 @@
 	// MaxEntries limits the table; the oldest entry is evicted first. A crash adds
 	// one entry for each request of a batch.
 	MaxEntries int
-	// ZoneCrashes is the number of servers of one availability zone that end
-	// within Within of each other when the zone is the cause. A request is
-	// refused after two crashes, so that alone it ends no more than a few.
+	// ZoneCrashes is the number of servers of one availability zone that must crash
+	// within ZoneWindow of each other for the zone to be the cause. A single poison
+	// request crashes fewer servers, since it is refused after two crashes.
 	ZoneCrashes int
 	ZoneWindow  time.Duration
 }
--- a/internal/warmup/limit.go
+++ b/internal/warmup/limit.go
@@ -10,11 +10,11 @@
 // # Usage
 //
 //	l := warmup.NewLimit(server.ColdLimit, server.WarmLimit)
-//	l.Started(report.Incarnation)
+//	l.RecordIncarnation(report.Incarnation)
 //	if running < l.Value() {
 //		// one more request may start
 //	}
-//	l.Succeeded(running, firstToken)
+//	l.RecordSuccess(running, firstToken)
 package warmup
 
 import "time"
@@ -47,8 +47,8 @@
 	incarnation string
 	// reportedCold is set while the server reports that it is cold.
 	reportedCold bool
-	// meanFirstToken is the moving average of the time to the first token, and seen the
-	// number of times in it.
+	// meanFirstToken is the moving average of the time to the first token, and
+	// samples the number of times in it.
 	meanFirstToken time.Duration
 	samples        int
 	slowInRow      int
