--- a/internal/forecast/memory.go
+++ b/internal/forecast/memory.go
@@ -48,9 +48,9 @@
 }
 
 // Memory is the predicted memory use of one engine. The zero value is an idle engine.
-// It is for engines whose batches hold sequences of unknown length, to prevent that
-// memory fills while they decode: the engine then preempts and recomputes some of
-// them while their streams stall.
+// It is for engines whose batches hold sequences of unknown length: if the memory
+// fills while they decode, the engine preempts and recomputes some of them while
+// their streams stall.
 //
 // All running sequences grow by one token per step. A sequence that ends frees its
 // memory, so the peak is usually not at the last horizon. The cost of adding a
--- a/internal/length/estimator.go
+++ b/internal/length/estimator.go
@@ -21,9 +21,9 @@
 
 // DefaultParams is for a few requests a second for each model and workspace.
 //
-// HalfLife: 400 outputs are some minutes of a busy workspace; half of it makes
-// quantiles above 0.95 noisy, twice of it doubles the time for which a shift of
-// demand causes preemptions. PriorWeight: with fewer than some ten outputs in a bucket
+// HalfLife: 400 outputs are some minutes of a busy workspace; 200 make quantiles
+// above 0.95 noisy, 800 double the time for which a shift of demand causes
+// preemptions. PriorWeight: with fewer than some ten outputs in a bucket
 // the key's own hazard is mostly noise. MaxKeys: 290 workspaces with 6 models are
 // 1,740 keys of about 1.7 KB, three megabytes.
 var DefaultParams = Params{HalfLife: 400, PriorWeight: 12, PriorTail: 1, MaxKeys: 4096}
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,9 +1,9 @@
 // Package queue orders the requests that wait for one backend server.
 //
 // It is for demand above the server's capacity, a few large workspaces among many
-// small ones, and long requests mixed with short ones. It prevents that a large
-// workspace starves the small ones, that patient work never runs, and that requests
-// wait only to be refused at their deadline.
+// small ones, and long requests mixed with short ones. It keeps large workspaces from
+// starving small ones, lets patient work run, and refuses requests immediately that
+// would otherwise wait only to be refused at their deadline.
 //
 // Workspaces share by tokens, not by requests: each has a virtual time that
 // advances by tokens divided by weight, and the one furthest behind goes next
