--- a/internal/admission/capacity.go
+++ b/internal/admission/capacity.go
@@ -28,7 +28,7 @@
 	probeBatch = 1
 )
 
-// newQueueItem converts a permit request to a queue newQueueItem.
+// newQueueItem converts a permit request to a queue item.
 func (s *Server) newQueueItem(now time.Time, a AcquireRequest) *queue.Item {
 	req := a.Request
 	deadline := req.Deadline
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -30,8 +30,8 @@
 	endedRetention = time.Minute
 )
 
-// ApplyReport applies a load report. If it shows a restart, ApplyReport returns the requests
-// that were running before it; otherwise nil.
+// ApplyReport applies a load report. If it shows a restart, ApplyReport returns the
+// requests that were running before it; otherwise nil.
 func (s *Server) ApplyReport(now time.Time, r Report) *Restart {
 	if s.reported && r.Incarnation == s.report.Incarnation && r.MeasuredAt.Before(s.report.MeasuredAt) {
 		// Reports can arrive out of order; older ones are ignored.
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -96,7 +96,7 @@
 }
 
 // Close stops granting permits because another instance owns the server now. It
-// returns a decision for each queued request, which is then sent to the new owner.
+// returns a decision for each queued request; the senders then ask the new owner.
 func (s *Server) Close(now time.Time) []Decision {
 	s.open = false
 	var out []Decision
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -86,7 +86,7 @@
 	EndingCancelled Ending = "cancelled"
 	// EndingNotSent means that nothing was sent to the backend server.
 	EndingNotSent Ending = "notSent"
-	// EndingRefused means that the backend server refused the request.
+	// EndingRefused means that the backend server refused the request before running it.
 	EndingRefused Ending = "refused"
 	// EndingLost means that the connection failed; the request may still be running.
 	EndingLost Ending = "lost"
