--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -207,7 +207,7 @@
 		t.runs++
 		s.note(place.Server, r, rollout.MetricAnswer, res.answer.Status >= http.StatusInternalServerError, now.Sub(t.sent))
 		if res.answer.Status < http.StatusInternalServerError {
-			s.opts.Retries.Succeeded(now, r.service.Name)
+			s.opts.Retries.RecordSuccess(now, r.service.Name)
 			s.clearSuspect(now, r)
 			return false, s.write(c, r, res.answer)
 		}
@@ -259,10 +259,10 @@
 		return false, s.giveUp(c, r, t, lostFailure())
 	}
 	decision, ok := s.opts.Retries.Decide(now, r.service.Name, retry.Attempt{Number: max(1, t.number), Cause: f.cause}).(retry.Again)
-	if !ok || now.Add(decision.After).After(r.limit) {
+	if !ok || now.Add(decision.Delay).After(r.limit) {
 		return false, s.giveUp(c, r, t, refusedFailure(s.rng().Int64N(int64(fullSpread))))
 	}
-	timer := time.NewTimer(decision.After)
+	timer := time.NewTimer(decision.Delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/length/length_test.go
+++ b/internal/length/length_test.go
@@ -18,7 +18,7 @@
 	return 1 + int(median*math.Exp(sigma*rng.NormFloat64()))
 }
 
-// pareto draws lengths from start on with tail exponent alpha.
+// pareto draws lengths of at least start with tail exponent alpha.
 func pareto(rng *rand.Rand, start, alpha float64) int {
 	return min(length.MaxTokens, int(start*math.Pow(1-rng.Float64(), -1/alpha)))
 }
@@ -28,7 +28,7 @@
 		"short answers":  func(rng *rand.Rand, _ int) int { return lognormal(rng, 30, 0.4) },
 		"wide lognormal": func(rng *rand.Rand, _ int) int { return lognormal(rng, 300, 1) },
 		"heavy tail":     func(rng *rand.Rand, _ int) int { return pareto(rng, 50, 1.1) },
-		"two kinds mixed": func(rng *rand.Rand, _ int) int {
+		"mix of two kinds": func(rng *rand.Rand, _ int) int {
 			if rng.IntN(4) == 0 {
 				return lognormal(rng, 3000, 0.3)
 			}
@@ -52,12 +52,12 @@
 			for _, soFar := range []int{0, 20, 200} {
 				for _, q := range []float64{0.5, 0.9} {
 					within, reached := 0, 0
-					bound := soFar + c.Remaining(soFar, q)
+					maxLength := soFar + c.Remaining(soFar, q)
 					for range 20000 {
 						n := draw(rng, 4000)
 						if n > soFar {
 							reached++
-							if n <= bound {
+							if n <= maxLength {
 								within++
 							}
 						}
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestLongRunningIsExpectedToRunLonger(t *testing.T) {
+func TestRemainingGrowsWithLengthForHeavyTails(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	e := length.NewEstimator(length.DefaultParams)
 	for range 3000 {
@@ -81,12 +81,12 @@
 	c := e.Curve(key)
 	require.Less(t, c.Remaining(50, 0.5), c.Remaining(500, 0.5))
 	require.Less(t, c.Remaining(500, 0.5), c.Remaining(5000, 0.5))
-	require.Less(t, c.Mean(50, 16000), c.Mean(1000, 16000))
+	require.Less(t, c.MeanRemaining(50, 16000), c.MeanRemaining(1000, 16000))
 }
 
 func TestCensoredOutputsCountAsAtLeastAsLong(t *testing.T) {
-	// Callers cancel whatever runs beyond 200 tokens. Were these taken for
-	// ended, the engine would be filled as if nothing ever ran longer.
+	// Guards against counting outputs that callers cancel at 200 tokens as ended:
+	// lengths would be underestimated and the engine overfilled.
 	rng := rand.New(rand.NewPCG(5, 6))
 	censored := length.NewEstimator(length.DefaultParams)
 	naive := length.NewEstimator(length.DefaultParams)
@@ -95,11 +95,11 @@
 		censored.Observe(key, min(n, 200), n > 200)
 		naive.Observe(key, min(n, 200), false)
 	}
-	require.Greater(t, censored.Curve(key).Alive(0, 250), 0.5)
-	require.Less(t, naive.Curve(key).Alive(0, 250), 0.1)
+	require.Greater(t, censored.Curve(key).ConditionalSurvival(0, 250), 0.5)
+	require.Less(t, naive.Curve(key).ConditionalSurvival(0, 250), 0.1)
 }
 
-func TestNewWorkspaceLeansOnItsModel(t *testing.T) {
+func TestNewWorkspaceUsesTheCurveOfItsModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	e := length.NewEstimator(length.DefaultParams)
 	for range 1000 {
@@ -110,7 +110,7 @@
 	require.Zero(t, e.Curve(fresh).Observations)
 }
 
-func TestKeysAreBounded(t *testing.T) {
+func TestNumberOfKeysIsLimited(t *testing.T) {
 	p := length.DefaultParams
 	p.MaxKeys = 16
 	e := length.NewEstimator(p)
@@ -127,8 +127,8 @@
 	for range 4000 {
 		e.Observe(key, lognormal(rng, 100, 0.2), false)
 	}
-	require.InDelta(t, 102, e.Curve(key).Mean(0, 4000), 20)
-	require.InDelta(t, 10, e.Curve(key).Mean(0, 10), 1)
+	require.InDelta(t, 102, e.Curve(key).MeanRemaining(0, 4000), 20)
+	require.InDelta(t, 10, e.Curve(key).MeanRemaining(0, 10), 1)
 }
 
 func BenchmarkObserveAndCurve(b *testing.B) {
--- a/internal/owner/entry.go
+++ b/internal/owner/entry.go
@@ -15,7 +15,7 @@
 	zone  string
 	cfg   admission.Config
 	state *admission.Server
-	right permit.Right
+	right permit.Authority
 	// open says that permits may be given: the right allows it, and the
 	// configuration lets the server receive new work.
 	open bool
@@ -55,7 +55,7 @@
 func (e *entry) declare(cfg admission.Config) {
 	if cfg != e.cfg {
 		e.cfg = cfg
-		e.state.Declare(cfg)
+		e.state.UpdateConfig(cfg)
 	}
 }
 
@@ -66,9 +66,9 @@
 // and all that waits is sent there at once, up to the limit of before. And what
 // waits for a server that is taken out is sent away at once; it would otherwise
 // be granted by the next release.
-func (e *entry) follow(now time.Time, right permit.Right, takes bool) {
+func (e *entry) follow(now time.Time, right permit.Authority, takes bool) {
 	if takes && e.away {
-		e.state.TurnedCold()
+		e.state.ResetToCold()
 	}
 	e.away = !takes
 	open := takes && mayGrant(right)
@@ -78,14 +78,14 @@
 			e.state.Open(right.ReportAfter)
 			e.openedAt = now
 		}
-		e.state.SetBounds(right.Reserve, right.Share)
+		e.state.SetQuota(right.Reserve, right.Share)
 	case e.open:
 		e.deliver(e.state.Close(now))
 	}
 	e.right, e.open = right, open
 }
 
-func mayGrant(r permit.Right) bool {
+func mayGrant(r permit.Authority) bool {
 	return r.Role == permit.RoleOwner || r.Role == permit.RoleDeputy
 }
 
@@ -109,7 +109,7 @@
 		return d.RequestID
 	case admission.Refused:
 		return d.RequestID
-	case admission.NotHere:
+	case admission.Unavailable:
 		return d.RequestID
 	}
 	return ""
--- a/internal/owner/entry_test.go
+++ b/internal/owner/entry_test.go
@@ -18,22 +18,22 @@
 // through.
 func TestReturningServerIsCold(t *testing.T) {
 	now := time.Unix(5000, 0)
-	owns := permit.Right{Role: permit.RoleOwner, Epoch: 1}
-	tests := map[string]permit.Right{
+	owns := permit.Authority{Role: permit.RoleOwner, Epoch: 1}
+	tests := map[string]permit.Authority{
 		"taken out":           owns,
 		"of another instance": {},
 	}
 	for name, meanwhile := range tests {
 		t.Run(name, func(t *testing.T) {
-			cfg := admission.Config{Name: "desk-1", ColdLimit: 2, WarmLimit: 8, PermitFor: time.Second, AskFor: time.Second}
+			cfg := admission.Config{Name: "desk-1", ColdLimit: 2, WarmLimit: 8, PermitLifetime: time.Second, QueueTimeout: time.Second}
 			e := &entry{
 				cfg: cfg, state: admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams)),
 				waiters: map[string]chan admission.Decision{},
 			}
 			e.follow(now, owns, true)
-			e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
+			e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 			ask := func(id string) admission.Decision {
-				return e.state.Acquire(now, admission.Ask{PermitID: id, MayQueue: true, Request: permit.Request{ID: id, Deadline: now.Add(time.Minute)}})
+				return e.state.Acquire(now, admission.AcquireRequest{PermitID: id, MayQueue: true, Request: permit.Request{ID: id, Deadline: now.Add(time.Minute)}})
 			}
 			for i := 0; e.state.Limit() < cfg.WarmLimit; i++ {
 				for j := range e.state.Limit() {
@@ -50,8 +50,8 @@
 			waiter := make(chan admission.Decision, 1)
 			e.waiters["waits"] = waiter
 			e.follow(now, meanwhile, false)
-			require.IsType(t, admission.NotHere{}, <-waiter)
-			require.IsType(t, admission.NotHere{}, ask("later"))
+			require.IsType(t, admission.Unavailable{}, <-waiter)
+			require.IsType(t, admission.Unavailable{}, ask("later"))
 			e.follow(now, owns, true)
 			require.Equal(t, cfg.ColdLimit, e.state.Limit())
 		})
--- a/internal/owner/poll.go
+++ b/internal/owner/poll.go
@@ -62,7 +62,7 @@
 		Leaving:       r.State == engine.LoadLeaving,
 		Running:       len(r.Running) + r.Waiting,
 		Sequences:     make([]admission.Sequence, 0, len(r.Running)),
-		Used:          r.UsedTokens,
+		UsedTokens:    r.UsedTokens,
 		Batch:         len(r.Running),
 		TokenInterval: time.Duration(r.TokenIntervalMillis * float64(time.Millisecond)),
 		Preemptions:   int(r.Preemptions),
@@ -122,14 +122,14 @@
 		if err != nil {
 			o.opts.Metrics.Counter("load_polls_failed").Inc(1)
 			if errors.Is(err, ErrGone) {
-				restart = e.state.Gone(now)
+				restart = e.state.MarkExited(now)
 			} else {
-				e.state.Unreachable()
+				e.state.MarkUnreachable()
 			}
 			return
 		}
 		o.countPreemptions(server.Zone, before, report)
-		restart = e.state.Report(now, report)
+		restart = e.state.ApplyReport(now, report)
 		e.deliver(e.state.Tick(now))
 	})
 	if restart != nil && err == nil {
--- a/internal/owner/ranout_test.go
+++ b/internal/owner/ranout_test.go
@@ -42,13 +42,13 @@
 	require.NoError(t, err)
 	defer o.workers.Release()
 	now := time.Now()
-	right := permit.Right{Role: permit.RoleOwner}
+	right := permit.Authority{Role: permit.RoleOwner}
 	e := o.entry(snap, &server)
 	e.follow(now.Add(-time.Hour), right, true)
-	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
+	e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 	e.reached, e.polledAt = true, now
 	past := now.Add(-permitFor - 5*time.Millisecond)
-	require.IsType(t, admission.Granted{}, e.state.Acquire(past, admission.Ask{PermitID: "r", Request: permit.Request{ID: "r", Deadline: now.Add(time.Minute)}}))
+	require.IsType(t, admission.Granted{}, e.state.Acquire(past, admission.AcquireRequest{PermitID: "r", Request: permit.Request{ID: "r", Deadline: now.Add(time.Minute)}}))
 	answer := o.Acquire(t.Context(), &peerv1.AcquireRequest{Server: "desk-1", Id: "r", WaitMillis: 10})
 	require.Nil(t, answer.GetRefused())
 	require.NotNil(t, answer.GetQueued(), "told to ask again")
--- a/internal/owner/suspects.go
+++ b/internal/owner/suspects.go
@@ -49,11 +49,11 @@
 func (s *Suspects) finished(now time.Time, fingerprint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Finished(now, fingerprint)
+	s.table.RecordFinished(now, fingerprint)
 }
 
 func (s *Suspects) crash(now time.Time, name string, fingerprint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Crash(now, name, fingerprint)
+	s.table.RecordCrash(now, name, fingerprint)
 }
--- a/internal/relay/life.go
+++ b/internal/relay/life.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		if res.failure == nil {
-			l.relay.opts.Retries.Succeeded(time.Now(), l.job.Permit.Service)
+			l.relay.opts.Retries.RecordSuccess(time.Now(), l.job.Permit.Service)
 			l.end(Finished{})
 			return
 		}
@@ -114,7 +114,7 @@
 	decision := l.relay.opts.Retries.Decide(time.Now(), l.job.Permit.Service, retry.Attempt{Number: number, Cause: cause})
 	switch d := decision.(type) {
 	case retry.Again:
-		timer := time.NewTimer(d.After)
+		timer := time.NewTimer(d.Delay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
