--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -14,18 +14,18 @@
 	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
-// fullPermille is the load that is told of a server with no place.
-const fullPermille = 1000
+// fullLoadPermille is the load reported for a server without free capacity.
+const fullLoadPermille = 1000
 
-// retryNotReady is told to callers when nothing better is known: about the
-// time in which a load report or a new owner's right arrives.
-const retryNotReady = time.Second
+// defaultRetryAfter is the Retry-After time without a better estimate: about the
+// time until a load report arrives or a new owner may grant permits.
+const defaultRetryAfter = time.Second
 
-// firstReport is how long after its right began an owner keeps asks waiting for
-// the first load report, in place of sending them away.
-const firstReport = 2 * time.Second
+// firstReportTimeout is how long a new owner keeps requests waiting for the first
+// load report instead of refusing them.
+const firstReportTimeout = 2 * time.Second
 
-// Acquire answers an ask of a peer or of this instance's own router.
+// Acquire handles a permit request of a peer or of this instance's own router.
 func (o *Owner) Acquire(ctx context.Context, req *peerv1.AcquireRequest) *peerv1.AcquireResponse {
 	ctx, span := startSpan(ctx, req)
 	defer span.End()
@@ -37,43 +37,43 @@
 	snap := o.opts.Config()
 	server, ok := snap.Servers[req.GetServer()]
 	if !ok || !snap.TakesNewWork(server) {
-		return refused(permit.ReasonNoServer, retryNotReady, fullPermille)
+		return refusedResponse(permit.ReasonNoServer, defaultRetryAfter, fullLoadPermille)
 	}
 	if o.opts.Suspects.check(received, req.GetFingerprint()) == suspect.Refused {
-		return refused(permit.ReasonSuspect, o.opts.Suspects.retryAfter(received, req.GetFingerprint()), fullPermille)
+		return refusedResponse(permit.ReasonSuspect, o.opts.Suspects.retryAfter(received, req.GetFingerprint()), fullLoadPermille)
 	}
 	right := o.right(received, snap, server)
 	if req.GetEpoch() != right.Epoch || right.Role == permit.RoleNone {
-		return notOwner(right)
+		return notOwnerResponse(right)
 	}
 	if right.Role == permit.RoleWaiting {
-		return hold(ctx, o.waitOf(req))
+		return delayedResponse(ctx, o.waitLimit(req))
 	}
 	e := o.entry(snap, server)
-	d, ok := o.decideFresh(ctx, snap, server, e, req)
+	d, ok := o.decideOnFreshReport(ctx, snap, server, e, req)
 	if !ok {
-		return hold(ctx, o.waitOf(req))
+		return delayedResponse(ctx, o.waitLimit(req))
 	}
-	decision, opened := d.decision, d.opened
+	decision, grantingSince := d.decision, d.grantingSince
 	if d.waiter != nil {
-		decision = o.await(ctx, e, req, d.waiter)
+		decision = o.waitForDecision(ctx, e, req, d.waiter)
 	}
 	if ctx.Err() != nil {
-		o.gone(e, req.GetId(), decision)
-		return refused(permit.ReasonDeadline, retryNotReady, fullPermille)
+		o.abandonRequest(e, req.GetId(), decision)
+		return refusedResponse(permit.ReasonDeadline, defaultRetryAfter, fullLoadPermille)
 	}
-	if _, ok := decision.(admission.NotHere); ok && received.Sub(opened) < firstReport {
-		return hold(ctx, o.waitOf(req))
+	if _, ok := decision.(admission.NotHere); ok && received.Sub(grantingSince) < firstReportTimeout {
+		return delayedResponse(ctx, o.waitLimit(req))
 	}
-	if o.ranOut(received, decision) {
-		return hold(ctx, o.waitOf(req))
+	if o.permitExpired(received, decision) {
+		return delayedResponse(ctx, o.waitLimit(req))
 	}
-	return o.answer(received, right, decision)
+	return o.response(received, right, decision)
 }
 
-// ranOut reports whether a permit of an earlier ask has run out before this answer:
-// the asker is to ask again, as nobody is too busy for it.
-func (o *Owner) ranOut(received time.Time, decision admission.Decision) bool {
+// permitExpired reports whether a permit granted to an earlier call with the same
+// request ID has expired. The requesting instance then asks again: the server isn't full.
+func (o *Owner) permitExpired(received time.Time, decision admission.Decision) bool {
 	g, ok := decision.(admission.Granted)
 	return ok && o.validFor(received, g) <= 0
 }
@@ -82,20 +82,20 @@
 	return min(o.opts.PermitFor, g.ExpiresAt.Sub(received))
 }
 
-// startSpan makes a span for the owner's part of a request that is traced; its
-// asker may be in this process or another.
+// startSpan starts a span for the owner's part of a traced request, which may
+// come from this process or another.
 func startSpan(ctx context.Context, req *peerv1.AcquireRequest) (context.Context, trace.Span) {
 	return trace.SpanFromContext(ctx).TracerProvider().Tracer("pollenspindle").Start(ctx, "owner.acquire",
 		trace.WithAttributes(attribute.String("server", req.GetServer()), attribute.String("engine.request", req.GetId())))
 }
 
-// await waits for a decision, at most for the slice that the asker gave.
-func (o *Owner) await(ctx context.Context, e *entry, req *peerv1.AcquireRequest, waiter chan admission.Decision) admission.Decision {
-	timer := time.NewTimer(o.waitOf(req))
+// waitForDecision waits for a decision, at most as long as the request allows.
+func (o *Owner) waitForDecision(ctx context.Context, e *entry, req *peerv1.AcquireRequest, waiter chan admission.Decision) admission.Decision {
+	timer := time.NewTimer(o.waitLimit(req))
 	defer timer.Stop()
 	select {
 	case d := <-waiter:
-		return o.taken(e, req, d)
+		return o.recordGrant(e, req, d)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -107,7 +107,7 @@
 	select {
 	case d := <-waiter:
 		if g, ok := d.(admission.Granted); ok {
-			e.given[g.PermitID] = givenTo(req)
+			e.holders[g.PermitID] = holderOf(req)
 		}
 		return d
 	default:
@@ -115,31 +115,31 @@
 	}
 }
 
-func (o *Owner) taken(e *entry, req *peerv1.AcquireRequest, d admission.Decision) admission.Decision {
+func (o *Owner) recordGrant(e *entry, req *peerv1.AcquireRequest, d admission.Decision) admission.Decision {
 	if g, ok := d.(admission.Granted); ok {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.given[g.PermitID] = givenTo(req)
+		e.holders[g.PermitID] = holderOf(req)
 	}
 	return d
 }
 
-// gone gives back what was given to an asker that no longer listens: its
-// caller went away, or its connection broke. A permit that nobody uses would
-// hold a place of a cold server until it ends and a later report shows it.
-func (o *Owner) gone(e *entry, id string, decision admission.Decision) {
+// abandonRequest cancels a request whose caller went away or whose connection broke,
+// and releases its permit. An unused permit would occupy a slot of a cold server
+// until it expires and a later load report shows that it isn't used.
+func (o *Owner) abandonRequest(e *entry, id string, decision admission.Decision) {
 	now := time.Now()
-	o.with(e, func() {
+	o.withLock(e, func() {
 		e.state.Abandon(id)
 		if g, ok := decision.(admission.Granted); ok {
-			delete(e.given, g.PermitID)
+			delete(e.holders, g.PermitID)
 			e.state.Release(now, g.PermitID, permit.Outcome{Ending: permit.EndingNotSent})
 		}
 		e.deliver(e.state.Tick(now))
 	})
 }
 
-func (o *Owner) answer(received time.Time, right permit.Right, decision admission.Decision) *peerv1.AcquireResponse {
+func (o *Owner) response(received time.Time, right permit.Right, decision admission.Decision) *peerv1.AcquireResponse {
 	switch d := decision.(type) {
 	case admission.Granted:
 		return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_Granted{Granted: &peerv1.Granted{
@@ -153,20 +153,21 @@
 	case admission.Queued:
 		return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_Queued{Queued: &peerv1.Queued{Ahead: int32(d.Ahead)}}}
 	case admission.Refused:
-		return refused(d.Refusal.Reason, d.Refusal.RetryAfter, fullPermille)
+		return refusedResponse(d.Refusal.Reason, d.Refusal.RetryAfter, fullLoadPermille)
 	case admission.NotHere:
-		return refused(permit.ReasonOverloaded, d.RetryAfter, d.LoadPermille)
+		return refusedResponse(permit.ReasonOverloaded, d.RetryAfter, d.LoadPermille)
 	}
-	return refused(permit.ReasonOverloaded, retryNotReady, fullPermille)
+	return refusedResponse(permit.ReasonOverloaded, defaultRetryAfter, fullLoadPermille)
 }
 
-// hold answers an ask while this instance waits for its right. Who may wait
-// keeps asking here; who may not goes elsewhere.
-func hold(ctx context.Context, wait time.Duration) *peerv1.AcquireResponse {
+// delayedResponse responds while this instance can't grant permits yet. A request
+// that may wait is held for a moment and told that it is queued, so that it asks here
+// again; any other is refused and goes elsewhere.
+func delayedResponse(ctx context.Context, wait time.Duration) *peerv1.AcquireResponse {
 	if wait == 0 {
-		return refused(permit.ReasonOverloaded, retryNotReady, fullPermille)
+		return refusedResponse(permit.ReasonOverloaded, defaultRetryAfter, fullLoadPermille)
 	}
-	timer := time.NewTimer(min(wait, waitingSlice))
+	timer := time.NewTimer(min(wait, notReadyWait))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -175,27 +176,27 @@
 	return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_Queued{Queued: &peerv1.Queued{}}}
 }
 
-// waitOf returns how long an ask may wait here. The life of a permit counts
-// from the ask, so one given after half of it could hardly be used.
-func (o *Owner) waitOf(req *peerv1.AcquireRequest) time.Duration {
-	return min(max(0, time.Duration(req.GetWaitMillis())*time.Millisecond), maxSlice, o.opts.PermitFor/2)
+// waitLimit returns how long a request may wait here. A permit's validity counts
+// from the request, so one granted after half of it could hardly be used.
+func (o *Owner) waitLimit(req *peerv1.AcquireRequest) time.Duration {
+	return min(max(0, time.Duration(req.GetWaitMillis())*time.Millisecond), maxAcquireWait, o.opts.PermitFor/2)
 }
 
-func refused(reason permit.Reason, after time.Duration, load int) *peerv1.AcquireResponse {
+func refusedResponse(reason permit.Reason, retryAfter time.Duration, loadPermille int) *peerv1.AcquireResponse {
 	return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_Refused{Refused: &peerv1.Refused{
 		Reason:           string(reason),
-		RetryAfterMillis: int32(after / time.Millisecond),
-		LoadPermille:     int32(load),
+		RetryAfterMillis: int32(retryAfter / time.Millisecond),
+		LoadPermille:     int32(loadPermille),
 	}}}
 }
 
-func notOwner(right permit.Right) *peerv1.AcquireResponse {
+func notOwnerResponse(right permit.Right) *peerv1.AcquireResponse {
 	return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_NotOwner{NotOwner: &peerv1.NotOwner{
 		Epoch: right.Epoch, Owner: right.Owner,
 	}}}
 }
 
-// Release takes back permits.
+// Release handles the release of permits by the instances that hold them.
 func (o *Owner) Release(released []*peerv1.Released) {
 	o.opts.Costs.Of(control.RolePermits).Run(func() { o.release(released) })
 }
@@ -207,21 +208,21 @@
 		if e == nil {
 			continue
 		}
-		o.with(e, func() {
+		o.withLock(e, func() {
 			if permit.Ending(r.GetEnding()) == permit.ConnectionBroken {
-				e.polledAt, e.troubledAt = time.Time{}, now
+				e.polledAt, e.lastTroubleAt = time.Time{}, now
 				e.state.Broken(now, r.GetPermitId())
 				return
 			}
-			if g, ok := e.given[r.GetPermitId()]; ok && r.GetEnding() == string(permit.EndingFinished) {
-				o.opts.Suspects.finished(now, g.fingerprint)
+			if holder, ok := e.holders[r.GetPermitId()]; ok && r.GetEnding() == string(permit.EndingFinished) {
+				o.opts.Suspects.recordFinished(now, holder.fingerprint)
 			}
-			delete(e.given, r.GetPermitId())
+			delete(e.holders, r.GetPermitId())
 			if ending := permit.Ending(r.GetEnding()); ending == permit.EndingLost || ending == permit.EndingCrashed {
-				// The server may have crashed. Asking it now and not at the
-				// next poll finds a request that crashes servers before its
-				// caller has sent it many times over.
-				e.polledAt, e.troubledAt = time.Time{}, now
+				// The server may have crashed. Polling it at once detects a
+				// request that crashes servers before its caller has retried
+				// it many times.
+				e.polledAt, e.lastTroubleAt = time.Time{}, now
 			}
 			restart := e.state.Release(now, r.GetPermitId(), permit.Outcome{
 				Ending:       permit.Ending(r.GetEnding()),
@@ -229,7 +230,7 @@
 				FirstToken:   time.Duration(r.GetFirstTokenMillis()) * time.Millisecond,
 				Duration:     time.Duration(r.GetDurationMillis()) * time.Millisecond,
 			})
-			o.crashed(e.lastSeen(now, restart), e, restart)
+			o.recordCrash(e.lastSeen(now, restart), e, restart)
 			e.deliver(e.state.Tick(now))
 		})
 	}
--- a/internal/owner/decide.go
+++ b/internal/owner/decide.go
@@ -13,36 +13,36 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// decided is what became of an ask at first.
-type decided struct {
+// acquireResult is the immediate result of a permit request.
+type acquireResult struct {
 	decision admission.Decision
-	// opened is when the right began under which it was decided.
-	opened time.Time
-	// waiter is set when the request is queued and the asker wants to wait.
+	// grantingSince is when the right began under which the decision was made.
+	grantingSince time.Time
+	// waiter receives the decision later if the request is queued.
 	waiter chan admission.Decision
-	// fresh is set when a newer load report has been called for; without a
-	// decision the ask waits for it.
-	fresh chan struct{}
+	// reportReady is set when a newer load report has been requested, and closed
+	// when it arrives or fails. Without a decision the request waits for it.
+	reportReady chan struct{}
 }
 
-// decideFresh decides at once, or when the load report has come without which
-// nothing more may be granted. It reports false when that takes too long.
-func (o *Owner) decideFresh(ctx context.Context, snap *config.Snapshot, server *pollenspindle.Server, e *entry, req *peerv1.AcquireRequest) (decided, bool) {
-	limit := time.NewTimer(waitingSlice)
+// decideOnFreshReport decides at once, or after a newer load report if nothing more may
+// be granted on the last one. It returns false when the report takes too long.
+func (o *Owner) decideOnFreshReport(ctx context.Context, snap *config.Snapshot, server *pollenspindle.Server, e *entry, req *peerv1.AcquireRequest) (acquireResult, bool) {
+	limit := time.NewTimer(notReadyWait)
 	defer limit.Stop()
 	for {
 		now := time.Now()
-		var d decided
+		var d acquireResult
 		o.opts.Costs.Of(control.RolePermits).Run(func() { d = o.decide(now, snap, server, e, req) })
-		if d.fresh != nil {
-			// The poll outlives the ask, whose asker may go away.
+		if d.reportReady != nil {
+			// The poll continues if the requesting instance goes away.
 			o.poll(context.WithoutCancel(ctx), now, snap, *server, e)
 		}
 		if d.decision != nil {
 			return d, true
 		}
 		select {
-		case <-d.fresh:
+		case <-d.reportReady:
 		case <-limit.C:
 			return d, false
 		case <-ctx.Done():
@@ -51,23 +51,23 @@
 	}
 }
 
-// decide asks admission, unless a newer load report is needed first.
-func (o *Owner) decide(now time.Time, snap *config.Snapshot, server *pollenspindle.Server, e *entry, req *peerv1.AcquireRequest) (out decided) {
-	o.with(e, func() {
+// decide runs admission, unless a newer load report is needed first.
+func (o *Owner) decide(now time.Time, snap *config.Snapshot, server *pollenspindle.Server, e *entry, req *peerv1.AcquireRequest) (out acquireResult) {
+	o.withLock(e, func() {
 		// The right is read again under the lock, so that no decision is made
-		// under one that a newer roster has ended.
-		e.follow(now, o.right(now, snap, server), snap.TakesNewWork(server))
-		out.opened = e.openedAt
-		rests := e.rests(now, o.opts.PollEvery)
-		out.fresh = e.fresh
-		if !rests {
+		// under a right that a newer roster has revoked.
+		e.applyRight(now, o.right(now, snap, server), snap.TakesNewWork(server))
+		out.grantingSince = e.grantingSince
+		sufficient := e.lastReportSuffices(now, o.opts.PollEvery)
+		out.reportReady = e.reportReady
+		if !sufficient {
 			return
 		}
-		out.decision = e.state.Acquire(now, o.ask(now, snap, req))
+		out.decision = e.state.Acquire(now, o.admissionRequest(now, snap, req))
 		switch d := out.decision.(type) {
 		case admission.Granted:
-			e.granted()
-			e.given[d.PermitID] = givenTo(req)
+			e.countGrant()
+			e.holders[d.PermitID] = holderOf(req)
 		case admission.Queued:
 			out.waiter = make(chan admission.Decision, 1)
 			e.waiters[d.RequestID] = out.waiter
@@ -76,7 +76,7 @@
 	return out
 }
 
-func (o *Owner) ask(now time.Time, snap *config.Snapshot, req *peerv1.AcquireRequest) admission.Ask {
+func (o *Owner) admissionRequest(now time.Time, snap *config.Snapshot, req *peerv1.AcquireRequest) admission.Ask {
 	ask := admission.Ask{
 		PermitID: NewPermitID(),
 		MayQueue: req.GetWaitMillis() > 0,
@@ -100,6 +100,6 @@
 	return ask
 }
 
-func givenTo(req *peerv1.AcquireRequest) given {
-	return given{asker: req.GetAsker(), incarnation: req.GetAskerIncarnation(), fingerprint: req.GetFingerprint()}
+func holderOf(req *peerv1.AcquireRequest) permitHolder {
+	return permitHolder{instance: req.GetAsker(), incarnation: req.GetAskerIncarnation(), fingerprint: req.GetFingerprint()}
 }
--- a/internal/owner/entry.go
+++ b/internal/owner/entry.go
@@ -9,88 +9,90 @@
 	"pollenspindle.example/pollenspindle/internal/roster"
 )
 
-// entry is one backend server at its owner.
+// entry is the state of one backend server at its owner or deputy.
 type entry struct {
 	mu    sync.Mutex
 	zone  string
 	cfg   admission.Config
 	state *admission.Server
 	right permit.Right
-	// open says that permits may be given: the right allows it, and the
+	// granting is true while permits may be granted: the right allows it, and the
 	// configuration lets the server receive new work.
-	open bool
-	// away is set while the server or its availability zone is taken out, or
-	// the server is another instance's.
-	away bool
-	// openedAt is when the right last began.
-	openedAt time.Time
-	// waiters holds the channel of each ask that waits now. Each has room for
-	// one decision and gets one at most, so delivering never blocks.
+	granting bool
+	// unavailable is true while the server or its availability zone is out of
+	// service, or the server is assigned to another instance.
+	unavailable bool
+	// grantingSince is when the current right to grant permits began.
+	grantingSince time.Time
+	// waiters holds the channel of each waiting request by its ID. Each has a
+	// buffer of one and receives at most one decision, so delivering never blocks.
 	waiters map[string]chan admission.Decision
-	given   map[string]given
-	// polledAt is when the last poll began; polling is set while one runs.
-	polledAt time.Time
-	polling  bool
-	reached  bool
-	// troubledAt is when the server last gave a sign of trouble; see calm.
-	troubledAt time.Time
-	// sinceReport and sincePoll count the permits given since the poll began
-	// that brought the last report, and since the last poll began.
-	sinceReport int
-	sincePoll   int
-	// previous is the last report of the incarnation before.
-	previous admission.Report
-	// fresh is set while an ask has called for a report; see rests.
-	fresh chan struct{}
+	// holders says by permit ID to which instance a permit was granted.
+	holders map[string]permitHolder
+	// polledAt is when the last poll began; polling is true while one runs.
+	polledAt  time.Time
+	polling   bool
+	reachable bool
+	// lastTroubleAt is when the server last showed a sign of trouble; see stable.
+	lastTroubleAt time.Time
+	// grantsSinceReport counts the permits granted since the start of the poll that
+	// brought the last report, grantsSincePoll those since the start of the last poll.
+	grantsSinceReport int
+	grantsSincePoll   int
+	// previousReport is the last report of the previous incarnation.
+	previousReport admission.Report
+	// reportReady is set while a request waits for a report; see lastReportSuffices.
+	reportReady chan struct{}
 }
 
-// given says whose a permit is.
-type given struct {
-	asker       string
+// permitHolder identifies the instance that holds a permit, and its request.
+type permitHolder struct {
+	instance    string
 	incarnation string
 	fingerprint uint64
 }
 
-// declare takes over a changed configuration.
-func (e *entry) declare(cfg admission.Config) {
+// setConfig applies a changed configuration.
+func (e *entry) setConfig(cfg admission.Config) {
 	if cfg != e.cfg {
 		e.cfg = cfg
 		e.state.Declare(cfg)
 	}
 }
 
-// follow puts right in force; takes says that the server may receive new work.
+// applyRight applies the current right; takesNewWork says whether the server may
+// receive new work.
 //
-// A server that returns counts as cold. The failure without it: a zone comes
-// back after minutes without work, its servers have lost what made them warm,
-// and all that waits is sent there at once, up to the limit of before. And what
-// waits for a server that is taken out is sent away at once; it would otherwise
-// be granted by the next release.
-func (e *entry) follow(now time.Time, right permit.Right, takes bool) {
-	if takes && e.away {
+// A server that returns to service counts as cold. Otherwise, when a zone returns
+// after minutes without work, its servers have lost their warm state, and all
+// waiting requests are sent there at once, up to the old limit. Requests that wait for
+// a server that is taken out of service are refused at once, as the next release would
+// otherwise grant them.
+func (e *entry) applyRight(now time.Time, right permit.Right, takesNewWork bool) {
+	if takesNewWork && e.unavailable {
 		e.state.TurnedCold()
 	}
-	e.away = !takes
-	open := takes && mayGrant(right)
+	e.unavailable = !takesNewWork
+	granting := takesNewWork && mayGrant(right)
 	switch {
-	case open:
-		if !e.open || right.ReportAfter.After(e.right.ReportAfter) {
+	case granting:
+		if !e.granting || right.ReportAfter.After(e.right.ReportAfter) {
 			e.state.Open(right.ReportAfter)
-			e.openedAt = now
+			e.grantingSince = now
 		}
 		e.state.SetBounds(right.Reserve, right.Share)
-	case e.open:
+	case e.granting:
 		e.deliver(e.state.Close(now))
 	}
-	e.right, e.open = right, open
+	e.right, e.granting = right, granting
 }
 
 func mayGrant(r permit.Right) bool {
 	return r.Role == permit.RoleOwner || r.Role == permit.RoleDeputy
 }
 
-// deliver hands decisions to the asks that wait for them. A grant for which
-// nobody waits at the moment is found by the next ask with the same id.
+// deliver sends decisions to the requests that wait for them. A grant that no call
+// waits for at the moment is found by the next call with the same request ID.
 func (e *entry) deliver(decisions []admission.Decision) {
 	for _, d := range decisions {
 		id := requestID(d)
@@ -115,29 +117,28 @@
 	return ""
 }
 
-// takeBack ends the permits of askers that are gone from the roster. An asker
-// that died releases nothing; without this a server that doesn't name its
-// requests would seem full for good. They count until a report no longer shows
-// them, since what was sent may still run.
-func (e *entry) takeBack(now time.Time, r *roster.Roster) {
-	for id, g := range e.given {
-		if !r.Has(g.asker, g.incarnation) {
-			delete(e.given, id)
+// releaseOrphanedPermits ends the permits of instances that left the roster. A crashed
+// instance releases nothing, so a server whose load reports don't name its requests would
+// otherwise seem full forever. The permits count until a report no longer shows them,
+// since requests already sent may still run.
+func (e *entry) releaseOrphanedPermits(now time.Time, r *roster.Roster) {
+	for id, holder := range e.holders {
+		if !r.Has(holder.instance, holder.incarnation) {
+			delete(e.holders, id)
 			e.state.Release(now, id, permit.Outcome{Ending: permit.EndingLost})
 		}
 	}
 }
 
-// lastSeen returns when the start of the server that has ended was last seen.
-// Servers that a lost zone took with it were last seen together, however far
-// apart they come back; and a request that has finished elsewhere since then is
-// cleared of it.
-func (e *entry) lastSeen(now time.Time, ended *admission.Restart) time.Time {
-	if ended == nil {
+// lastSeen returns when the ended incarnation of the server was last seen running.
+// Servers lost with their zone were last seen at the same time, however far apart they
+// return, and a request that has finished elsewhere since then isn't blamed for the crash.
+func (e *entry) lastSeen(now time.Time, restart *admission.Restart) time.Time {
+	if restart == nil {
 		return now
 	}
-	for _, r := range []admission.Report{e.previous, e.lastReport()} {
-		if r.Incarnation == ended.OldIncarnation && !r.MeasuredAt.IsZero() {
+	for _, r := range []admission.Report{e.previousReport, e.lastReport()} {
+		if r.Incarnation == restart.OldIncarnation && !r.MeasuredAt.IsZero() {
 			return r.MeasuredAt
 		}
 	}
--- a/internal/owner/entry_test.go
+++ b/internal/owner/entry_test.go
@@ -12,16 +12,15 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// TestReturningServerIsCold: operators take a server out and bring it back, or
-// it becomes another instance's for a while. What waits for it is sent away,
-// and its limit is the cold one again, because nobody knows what it went
-// through.
+// A server is taken out of service and returns, or another instance owns it for a
+// while. Its waiting requests are refused, and its limit is the cold limit again,
+// because its state is unknown. Guards against overload of a returned cold server.
 func TestReturningServerIsCold(t *testing.T) {
 	now := time.Unix(5000, 0)
-	owns := permit.Right{Role: permit.RoleOwner, Epoch: 1}
+	owner := permit.Right{Role: permit.RoleOwner, Epoch: 1}
 	tests := map[string]permit.Right{
-		"taken out":           owns,
-		"of another instance": {},
+		"out of service":            owner,
+		"owned by another instance": {},
 	}
 	for name, meanwhile := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -30,29 +29,29 @@
 				cfg: cfg, state: admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams)),
 				waiters: map[string]chan admission.Decision{},
 			}
-			e.follow(now, owns, true)
+			e.applyRight(now, owner, true)
 			e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
-			ask := func(id string) admission.Decision {
+			acquire := func(id string) admission.Decision {
 				return e.state.Acquire(now, admission.Ask{PermitID: id, MayQueue: true, Request: permit.Request{ID: id, Deadline: now.Add(time.Minute)}})
 			}
 			for i := 0; e.state.Limit() < cfg.WarmLimit; i++ {
 				for j := range e.state.Limit() {
-					require.IsType(t, admission.Granted{}, ask(fmt.Sprint(i, j)))
+					require.IsType(t, admission.Granted{}, acquire(fmt.Sprint(i, j)))
 				}
 				for j := range e.state.Running() {
 					e.state.Release(now, fmt.Sprint(i, j), permit.Outcome{Ending: permit.EndingFinished})
 				}
 			}
 			for j := range cfg.WarmLimit {
-				ask(fmt.Sprint("last", j))
+				acquire(fmt.Sprint("last", j))
 			}
-			require.IsType(t, admission.Queued{}, ask("waits"))
+			require.IsType(t, admission.Queued{}, acquire("waits"))
 			waiter := make(chan admission.Decision, 1)
 			e.waiters["waits"] = waiter
-			e.follow(now, meanwhile, false)
+			e.applyRight(now, meanwhile, false)
 			require.IsType(t, admission.NotHere{}, <-waiter)
-			require.IsType(t, admission.NotHere{}, ask("later"))
-			e.follow(now, owns, true)
+			require.IsType(t, admission.NotHere{}, acquire("later"))
+			e.applyRight(now, owner, true)
 			require.Equal(t, cfg.ColdLimit, e.state.Limit())
 		})
 	}
--- a/internal/owner/ranout_test.go
+++ b/internal/owner/expired_permit_test.go
@@ -17,16 +17,16 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// freshLoads answers each poll at once.
-type freshLoads struct{}
+// immediateLoads answers each poll at once with a new report.
+type immediateLoads struct{}
 
-func (freshLoads) Load(_ context.Context, asked time.Time, _ pollenspindle.ServiceKind, _ string) (admission.Report, error) {
-	return admission.Report{Incarnation: "a", MeasuredAt: asked}, nil
+func (immediateLoads) Load(_ context.Context, sentAt time.Time, _ pollenspindle.ServiceKind, _ string) (admission.Report, error) {
+	return admission.Report{Incarnation: "a", MeasuredAt: sentAt}, nil
 }
 
-// Guards against refusing a caller as if the server were full, where the permit of
-// its earlier ask ran out on the way.
-func TestPermitThatRanOutIsAskedForAgain(t *testing.T) {
+// Guards against refusing a request as if the server were full, when the permit granted
+// to its earlier Acquire call has expired.
+func TestExpiredPermitIsRequestedAgain(t *testing.T) {
 	const permitFor = 40 * time.Millisecond
 	server := pollenspindle.Server{Name: "desk-1", Service: "desk", Zone: "a", State: pollenspindle.ServerInService, ColdLimit: 2, WarmLimit: 8}
 	snap := config.NewSnapshot(1, pollenspindle.Config{
@@ -35,7 +35,7 @@
 		Servers:  []pollenspindle.Server{server},
 	})
 	o, err := New(Options{
-		Rights: fixedRights{}, Config: func() *config.Snapshot { return snap }, Loads: freshLoads{},
+		Rights: alwaysOwner{}, Config: func() *config.Snapshot { return snap }, Loads: immediateLoads{},
 		Policy: admission.Predicted{}, Suspects: NewSuspects(), PermitFor: permitFor, PollEvery: time.Minute,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
@@ -44,12 +44,12 @@
 	now := time.Now()
 	right := permit.Right{Role: permit.RoleOwner}
 	e := o.entry(snap, &server)
-	e.follow(now.Add(-time.Hour), right, true)
+	e.applyRight(now.Add(-time.Hour), right, true)
 	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
-	e.reached, e.polledAt = true, now
+	e.reachable, e.polledAt = true, now
 	past := now.Add(-permitFor - 5*time.Millisecond)
 	require.IsType(t, admission.Granted{}, e.state.Acquire(past, admission.Ask{PermitID: "r", Request: permit.Request{ID: "r", Deadline: now.Add(time.Minute)}}))
 	answer := o.Acquire(t.Context(), &peerv1.AcquireRequest{Server: "desk-1", Id: "r", WaitMillis: 10})
 	require.Nil(t, answer.GetRefused())
-	require.NotNil(t, answer.GetQueued(), "told to ask again")
+	require.NotNil(t, answer.GetQueued(), "must be told to ask again")
 }
--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -7,9 +7,9 @@
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 )
 
-// Measure sets the gauges of the servers that this instance owns, summed over
-// each availability zone: one gauge for each server would be 2,000 series in
-// the fleet, and a stale one wherever an owner changed.
+// Measure updates the gauges of the servers that this instance owns or deputizes
+// for, summed by availability zone: one gauge for each server would be 2,000 series
+// in the fleet, and a stale series whenever an owner changes.
 func (o *Owner) Measure(now time.Time) {
 	snap := o.opts.Config()
 	sums := map[string]Load{}
@@ -29,7 +29,7 @@
 	}
 	for zone, sum := range sums {
 		scope := o.opts.Metrics.Tagged(map[string]string{"zone": zone})
-		// A counter that isn't there yet can't be told from one that is zero.
+		// Creates the counter, since a missing one can't be told from zero.
 		scope.Counter("preemptions").Inc(0)
 		scope.Gauge("running").Update(float64(sum.Running))
 		scope.Gauge("queued").Update(float64(sum.Queued))
@@ -48,7 +48,7 @@
 	return res
 }
 
-// countPreemptions counts those since the report before.
+// countPreemptions counts the preemptions between two reports of one incarnation.
 func (o *Owner) countPreemptions(zone string, before, after admission.Report) {
 	if n := after.Preemptions - before.Preemptions; n > 0 && before.Incarnation == after.Incarnation {
 		o.opts.Metrics.Tagged(map[string]string{"zone": zone}).Counter("preemptions").Inc(int64(n))
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,7 +1,6 @@
-// Package owner gives out permits for the backend servers that this instance
-// owns, or deputises for. It polls their load, keeps one admission state for
-// each, and answers the Acquire and Release calls of peers and of its own
-// router alike.
+// Package owner grants permits for the backend servers that this instance owns or
+// deputizes for. It polls their load, keeps one admission state for each, and serves
+// the Acquire and Release calls of peers and of its own router.
 //
 // # Usage
 //
@@ -31,42 +30,42 @@
 )
 
 const (
-	// tickEvery is how often queued requests are looked at without an event.
-	// Grants follow releases and reports at once; the tick is for deadlines
-	// and for a server that has got its right.
-	tickEvery = 50 * time.Millisecond
-	// pollWorkers bounds the load polls at the same time: an instance owns
-	// some six servers of 2,000, and up to all of them in a small deployment
-	// that has lost its other instances.
+	// tickInterval is how often queued requests are checked without an event.
+	// Releases and reports lead to grants at once; the tick handles deadlines
+	// and servers for which this instance has gained the right to grant.
+	tickInterval = 50 * time.Millisecond
+	// pollWorkers limits concurrent load polls: an instance owns about six of
+	// 2,000 servers, and up to all of them in a small deployment that has lost
+	// its other instances.
 	pollWorkers = 32
-	// pollTimeout is well under the lag that reports have anyway; a server
-	// that answers later is taken for unreachable.
+	// pollTimeout is well below the usual lag of reports; a server that answers
+	// later counts as unreachable.
 	pollTimeout = time.Second
-	// maxSlice bounds how long one Acquire waits; see the protocol.
-	maxSlice = time.Second
-	// keepAsk is how long a queued request keeps its place between two asks.
-	// The next one comes within a round trip; an asker that died must not
-	// hold up the others.
-	keepAsk = 2 * maxSlice
-	// waitingSlice is how long an ask is held while the owner itself waits
-	// for its right.
-	waitingSlice = 200 * time.Millisecond
+	// maxAcquireWait limits how long one Acquire call waits; see the protocol.
+	maxAcquireWait = time.Second
+	// queuePlaceTTL is how long a queued request keeps its place between two Acquire
+	// calls. The next call comes within a round trip; a crashed instance must not
+	// block the others.
+	queuePlaceTTL = 2 * maxAcquireWait
+	// notReadyWait is how long a request is held while the owner waits for its
+	// right to grant, or for a newer load report.
+	notReadyWait = 200 * time.Millisecond
 )
 
 var (
-	// ErrPool means that the workers could not be started.
-	ErrPool = merry.Sentinel("owner's workers not started")
-	// ErrGone means that nothing listens at a backend server's address.
-	ErrGone = merry.Sentinel("backend server's process has ended")
+	// ErrPool means that the worker pool could not be created.
+	ErrPool = merry.Sentinel("load poll workers not started")
+	// ErrNotListening means that nothing listens at a backend server's address.
+	ErrNotListening = merry.Sentinel("backend server refuses connections")
 )
 
-// Rights says what this instance may do for a server.
+// Rights returns what this instance may grant for a server, and the roster.
 type Rights interface {
 	Right(now time.Time, s roster.Server) permit.Right
 	Roster() *roster.Roster
 }
 
-// Options is what an [Owner] needs.
+// Options configures an [Owner].
 type Options struct {
 	Self        string
 	Incarnation string
@@ -75,36 +74,36 @@
 	Loads       Loads
 	Policy      admission.Policy
 	Suspects    *Suspects
-	// PermitFor is how long a permit may be used, PollEvery the time between
+	// PermitFor is how long a permit is valid, PollEvery the usual time between
 	// two load reports of one server.
 	PermitFor time.Duration
 	PollEvery time.Duration
 	Log       zerolog.Logger
 	Metrics   tally.Scope
-	// Costs counts what the owner's work costs; it may be nil.
+	// Costs accounts for the owner's resource use; it may be nil.
 	Costs *control.Costs
 }
 
-// Owner is safe for concurrent use.
+// Owner grants permits for backend servers. It is safe for concurrent use.
 type Owner struct {
 	opts    Options
 	workers *ants.Pool
 	lengths *length.Estimator
 
-	// mu guards entries; each entry has its own lock. length.Estimator is
-	// shared by all, so lengthsMu is held around admission calls.
+	// mu guards entries; each entry has its own lock. All entries share the
+	// length estimator, so lengthsMu is held during admission calls.
 	mu        sync.Mutex
 	entries   map[string]*entry
 	lengthsMu sync.Mutex
 
-	// mine are the servers that concern this instance at epoch and version.
-	// Only the ticking duty uses them.
-	mine    []*pollenspindle.Server
-	epoch   int64
-	version int64
+	// assigned are the servers that this instance owns or deputizes for at epoch
+	// and version. Only tick uses the three.
+	assigned []*pollenspindle.Server
+	epoch    int64
+	version  int64
 }
 
-// New returns an owner whose duties [Owner.Run] starts.
+// New returns an owner, whose background work [Owner.Run] does.
 func New(opts Options) (*Owner, error) {
 	workers, err := ants.NewPool(pollWorkers, ants.WithNonblocking(true))
 	if err != nil {
@@ -118,10 +117,10 @@
 	}, nil
 }
 
-// Run polls and ticks until ctx ends.
+// Run polls load reports and updates rights until ctx ends.
 func (o *Owner) Run(ctx context.Context) {
 	defer o.workers.Release()
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -133,26 +132,26 @@
 	}
 }
 
-// tick looks at each server for which this instance may have a right, and at
-// those for which it had one.
+// tick updates the right to each assigned server, revokes those to servers that are
+// no longer assigned, and polls.
 func (o *Owner) tick(ctx context.Context, now time.Time) {
 	snap := o.opts.Config()
 	r := o.opts.Rights.Roster()
-	moved := r.Epoch != o.epoch
-	if moved || snap.Version != o.version {
-		o.mine = concerned(snap, r, o.opts.Self)
+	epochChanged := r.Epoch != o.epoch
+	if epochChanged || snap.Version != o.version {
+		o.assigned = assignedServers(snap, r, o.opts.Self)
 		o.epoch, o.version = r.Epoch, snap.Version
-		o.dismiss(now, snap)
+		o.revokeUnassigned(now, snap)
 	}
-	for _, server := range o.mine {
+	for _, server := range o.assigned {
 		right := o.right(now, snap, server)
 		e := o.entry(snap, server)
-		o.with(e, func() {
-			if moved {
-				e.takeBack(now, r)
+		o.withLock(e, func() {
+			if epochChanged {
+				e.releaseOrphanedPermits(now, r)
 			}
-			e.declare(o.admissionConfig(snap, server))
-			e.follow(now, right, snap.TakesNewWork(server))
+			e.setConfig(o.admissionConfig(snap, server))
+			e.applyRight(now, right, snap.TakesNewWork(server))
 			e.deliver(e.state.Tick(now))
 		})
 		if right.Role != permit.RoleNone {
@@ -161,35 +160,35 @@
 	}
 }
 
-// concerned returns the servers that instance self owns or deputises for. It
-// is made once for each epoch and configuration: looking at all of 2,000
-// servers in each tick would take a tenth of a core.
-func concerned(snap *config.Snapshot, r *roster.Roster, self string) []*pollenspindle.Server {
-	var mine []*pollenspindle.Server
+// assignedServers returns the servers that instance self owns or deputizes for. It is
+// called once for each epoch and configuration version: checking all of 2,000 servers
+// in each tick would take a tenth of a core.
+func assignedServers(snap *config.Snapshot, r *roster.Roster, self string) []*pollenspindle.Server {
+	var assigned []*pollenspindle.Server
 	for i := range snap.Config.Servers {
 		server := &snap.Config.Servers[i]
-		place := RosterServer(snap, server)
-		owner, _ := r.Owner(place.Name, place.Region)
-		deputy, _ := r.Deputy(place.Name, place.Region)
+		s := RosterServer(snap, server)
+		owner, _ := r.Owner(s.Name, s.Region)
+		deputy, _ := r.Deputy(s.Name, s.Region)
 		if owner.ID == self || deputy.ID == self {
-			mine = append(mine, server)
+			assigned = append(assigned, server)
 		}
 	}
-	return mine
+	return assigned
 }
 
-// dismiss ends the right to the servers that are no longer this instance's
-// concern, and drops those that the configuration no longer has.
-func (o *Owner) dismiss(now time.Time, snap *config.Snapshot) {
+// revokeUnassigned ends the right to servers that are no longer assigned to this
+// instance, and drops servers that the configuration no longer has.
+func (o *Owner) revokeUnassigned(now time.Time, snap *config.Snapshot) {
 	keep := map[string]bool{}
-	for _, server := range o.mine {
+	for _, server := range o.assigned {
 		keep[server.Name] = true
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for name, e := range o.entries {
 		if !keep[name] {
-			o.with(e, func() { e.follow(now, permit.Right{}, false) })
+			o.withLock(e, func() { e.applyRight(now, permit.Right{}, false) })
 		}
 		if _, ok := snap.Servers[name]; !ok {
 			delete(o.entries, name)
@@ -214,15 +213,15 @@
 			cfg:     cfg,
 			state:   admission.New(cfg, o.opts.Policy, o.lengths),
 			waiters: map[string]chan admission.Decision{},
-			given:   map[string]given{},
+			holders: map[string]permitHolder{},
 		}
 		o.entries[server.Name] = e
 	}
 	return e
 }
 
-// with runs f with e and the shared estimator locked.
-func (o *Owner) with(e *entry, f func()) {
+// withLock calls f while holding the locks of e and of the shared estimator.
+func (o *Owner) withLock(e *entry, f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	o.lengthsMu.Lock()
@@ -234,7 +233,7 @@
 	return o.opts.Rights.Right(now, RosterServer(snap, server))
 }
 
-// RosterServer is what the roster needs to know of server.
+// RosterServer returns the properties of server that decide on its owner.
 func RosterServer(snap *config.Snapshot, server *pollenspindle.Server) roster.Server {
 	s := roster.Server{Name: server.Name, ColdLimit: server.ColdLimit}
 	if zone, ok := snap.Zones[server.Zone]; ok {
@@ -249,7 +248,7 @@
 		ColdLimit: server.ColdLimit,
 		WarmLimit: server.WarmLimit,
 		PermitFor: o.opts.PermitFor,
-		AskFor:    keepAsk,
+		AskFor:    queuePlaceTTL,
 	}
 	service, ok := snap.Services[server.Service]
 	if ok && service.Kind == pollenspindle.ServiceGeneration {
@@ -259,7 +258,7 @@
 	return cfg
 }
 
-// Load is how full a server is, for operators.
+// Load describes the load of a server, for operators.
 type Load struct {
 	Server       string
 	Role         permit.Role
@@ -267,22 +266,22 @@
 	Queued       int
 	Limit        int
 	LoadPermille int
-	// State is cold, warm or leaving; empty without a report.
+	// State is "cold", "warm" or "leaving"; empty without a report.
 	State       string
 	UsedTokens  int
 	Preemptions int
-	// ReportAge is how long ago the server measured what it last reported.
+	// ReportAge is the time since the server measured its last report.
 	ReportAge time.Duration
 }
 
-// Load returns the state of a server that this instance owns or deputises for.
+// Load returns the load of a server that this instance owns or deputizes for.
 func (o *Owner) Load(now time.Time, server string) (Load, bool) {
 	e := o.find(server)
 	if e == nil {
 		return Load{}, false
 	}
 	var l Load
-	o.with(e, func() {
+	o.withLock(e, func() {
 		l = Load{
 			Server:       server,
 			Role:         e.right.Role,
@@ -291,13 +290,13 @@
 			Limit:        e.state.Limit(),
 			LoadPermille: e.state.LoadPermille(now),
 		}
-		l.fill(now, e.state)
+		l.addReport(now, e.state)
 	})
 	return l, l.Role != permit.RoleNone
 }
 
-// fill adds what the server last reported.
-func (l *Load) fill(now time.Time, s *admission.Server) {
+// addReport adds the values of the server's last load report.
+func (l *Load) addReport(now time.Time, s *admission.Server) {
 	r, ok := s.LastReport()
 	if !ok {
 		return
@@ -314,5 +313,5 @@
 	}
 }
 
-// NewPermitID returns an id that no other permit has.
+// NewPermitID returns a unique permit ID.
 func NewPermitID() string { return uuid.NewString() }
--- a/internal/owner/poll.go
+++ b/internal/owner/poll.go
@@ -17,10 +17,10 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Loads reads load reports. The moment of measurement is counted from asked,
-// when the call was sent: the report can't be older than it then says.
+// Loads reads load reports. MeasuredAt is computed from sentAt, the time at which the
+// call is sent, so a report can't be older than it says.
 type Loads interface {
-	Load(ctx context.Context, asked time.Time, kind pollenspindle.ServiceKind, address string) (admission.Report, error)
+	Load(ctx context.Context, sentAt time.Time, kind pollenspindle.ServiceKind, address string) (admission.Report, error)
 }
 
 // Clients reads load reports from engines and plain services.
@@ -33,22 +33,22 @@
 	}
 }
 
-// Load implements [Loads]. It fails with [ErrGone] when nothing listens at the
+// Load implements [Loads]. It fails with [ErrNotListening] when nothing listens at the
 // address.
-func (c Clients) Load(ctx context.Context, asked time.Time, kind pollenspindle.ServiceKind, address string) (admission.Report, error) {
-	report, err := c.load(ctx, asked, kind, address)
+func (c Clients) Load(ctx context.Context, sentAt time.Time, kind pollenspindle.ServiceKind, address string) (admission.Report, error) {
+	report, err := c.load(ctx, sentAt, kind, address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return report, merry.Wrap(ErrGone, merry.WithCause(err))
+		return report, merry.Wrap(ErrNotListening, merry.WithCause(err))
 	}
 	return report, err
 }
 
-func (c Clients) load(ctx context.Context, asked time.Time, kind pollenspindle.ServiceKind, address string) (admission.Report, error) {
+func (c Clients) load(ctx context.Context, sentAt time.Time, kind pollenspindle.ServiceKind, address string) (admission.Report, error) {
 	if kind == pollenspindle.ServicePlain {
 		r, err := c.Service.Load(ctx, address)
 		return admission.Report{
 			Incarnation: r.Incarnation,
-			MeasuredAt:  asked.Add(-millis(r.MeasuredMillisAgo)),
+			MeasuredAt:  sentAt.Add(-millis(r.MeasuredMillisAgo)),
 			Cold:        r.State == service.LoadCold,
 			Leaving:     r.State == service.LoadLeaving,
 			Running:     r.Running,
@@ -57,7 +57,7 @@
 	r, err := c.Engine.Load(ctx, address)
 	report := admission.Report{
 		Incarnation:   r.Incarnation,
-		MeasuredAt:    asked.Add(-millis(r.MeasuredMillisAgo)),
+		MeasuredAt:    sentAt.Add(-millis(r.MeasuredMillisAgo)),
 		Cold:          r.State == engine.LoadCold,
 		Leaving:       r.State == engine.LoadLeaving,
 		Running:       len(r.Running) + r.Waiting,
@@ -75,14 +75,14 @@
 
 func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// poll asks server for its load if it is time and no poll of it runs. When all
-// workers are busy the poll is left to the next tick: reports get older, and
-// nothing is granted on a report older than the right asks for.
+// poll starts a load poll of server if one is due and none runs. When all workers are
+// busy the poll is left to the next tick: reports get older, and nothing is granted on
+// a report older than the right requires.
 func (o *Owner) poll(ctx context.Context, now time.Time, snap *config.Snapshot, server pollenspindle.Server, e *entry) {
 	e.mu.Lock()
-	due := !e.polling && now.Sub(e.polledAt) >= e.pollEvery(now, o.opts.PollEvery)
+	due := !e.polling && now.Sub(e.polledAt) >= e.pollInterval(now, o.opts.PollEvery)
 	if due {
-		e.polling, e.polledAt, e.sincePoll = true, now, 0
+		e.polling, e.polledAt, e.grantsSincePoll = true, now, 0
 	}
 	e.mu.Unlock()
 	if !due {
@@ -104,24 +104,24 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	report, err := o.opts.Loads.Load(ctx, time.Now(), kind, server.Address)
-	o.opts.Costs.Of(control.RoleLoadPolls).Run(func() { o.polled(time.Now(), server, e, report, err) })
+	o.opts.Costs.Of(control.RoleLoadPolls).Run(func() { o.handlePoll(time.Now(), server, e, report, err) })
 }
 
-// polled takes in a load report, or that there was none.
-func (o *Owner) polled(now time.Time, server pollenspindle.Server, e *entry, report admission.Report, err error) {
+// handlePoll applies a load report, or the error of a failed poll.
+func (o *Owner) handlePoll(now time.Time, server pollenspindle.Server, e *entry, report admission.Report, err error) {
 	var restart *admission.Restart
-	o.with(e, func() {
-		defer func() { o.crashed(e.lastSeen(now, restart), e, restart) }()
+	o.withLock(e, func() {
+		defer func() { o.recordCrash(e.lastSeen(now, restart), e, restart) }()
 		e.polling = false
 		before, _ := e.state.LastReport()
-		e.reported(now, err, before, report)
-		if reached := err == nil; reached != e.reached {
-			e.reached = reached
-			o.opts.Log.Info().Str("server", server.Name).Bool("reached", reached).Msg("load report")
+		e.recordPoll(now, err, before, report)
+		if reachable := err == nil; reachable != e.reachable {
+			e.reachable = reachable
+			o.opts.Log.Info().Str("server", server.Name).Bool("reached", reachable).Msg("load report")
 		}
 		if err != nil {
 			o.opts.Metrics.Counter("load_polls_failed").Inc(1)
-			if errors.Is(err, ErrGone) {
+			if errors.Is(err, ErrNotListening) {
 				restart = e.state.Gone(now)
 			} else {
 				e.state.Unreachable()
@@ -138,14 +138,14 @@
 	}
 }
 
-// crashed notes what was running when a start of a server ended, at the moment
-// at which it was last seen.
-func (o *Owner) crashed(at time.Time, e *entry, restart *admission.Restart) {
+// recordCrash records which requests ran when a server crashed, at the time when the
+// server was last seen running.
+func (o *Owner) recordCrash(at time.Time, e *entry, restart *admission.Restart) {
 	if restart == nil {
 		return
 	}
 	crash := suspect.CrashName(e.zone, e.cfg.Name, restart.OldIncarnation)
 	for _, r := range restart.Running {
-		o.opts.Suspects.crash(at, crash, r.Fingerprint)
+		o.opts.Suspects.recordCrash(at, crash, r.Fingerprint)
 	}
 }
--- a/internal/owner/pace_test.go
+++ b/internal/owner/poll_interval_test.go
@@ -21,14 +21,14 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// calmEntry is a server that has been well for an hour, with a limit of 4.
-func calmEntry(now time.Time) *entry {
+// stableEntry returns a server that has been stable for an hour, with a limit of 4.
+func stableEntry(now time.Time) *entry {
 	cfg := admission.Config{Name: "desk-1", ColdLimit: 4, WarmLimit: 4, MemoryTokens: 1000, PermitFor: time.Second, AskFor: time.Second}
 	e := &entry{
 		cfg: cfg, state: admission.New(cfg, admission.FixedLimit{}, length.NewEstimator(length.DefaultParams)),
-		waiters: map[string]chan admission.Decision{}, given: map[string]given{}, reached: true,
+		waiters: map[string]chan admission.Decision{}, holders: map[string]permitHolder{}, reachable: true,
 	}
-	e.follow(now.Add(-time.Hour), permit.Right{Role: permit.RoleOwner}, true)
+	e.applyRight(now.Add(-time.Hour), permit.Right{Role: permit.RoleOwner}, true)
 	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 	return e
 }
@@ -40,7 +40,7 @@
 		return func(e *entry) {
 			before, _ := e.state.LastReport()
 			r.MeasuredAt = now
-			e.reported(now.Add(-time.Hour), nil, before, r)
+			e.recordPoll(now.Add(-time.Hour), nil, before, r)
 			e.state.Report(now, r)
 		}
 	}
@@ -56,54 +56,53 @@
 		change func(*entry)
 		want   time.Duration
 	}{
-		"idle":            {func(*entry) {}, calmPolls * usual},
-		"some running":    {running(3), calmPolls * usual},
-		"near its limit":  {running(4), usual},
-		"queued":          {running(5), usual},
-		"near its memory": {report(admission.Report{Incarnation: "a", Used: 800}), usual},
-		"cold":            {report(admission.Report{Incarnation: "a", Cold: true}), usual},
-		"leaving":         {report(admission.Report{Incarnation: "a", Leaving: true}), usual},
+		"idle":                  {func(*entry) {}, stablePollFactor * usual},
+		"few running":           {running(3), stablePollFactor * usual},
+		"near the limit":        {running(4), usual},
+		"queued":                {running(5), usual},
+		"near the memory limit": {report(admission.Report{Incarnation: "a", Used: 800}), usual},
+		"cold":                  {report(admission.Report{Incarnation: "a", Cold: true}), usual},
+		"leaving":               {report(admission.Report{Incarnation: "a", Leaving: true}), usual},
 		"restarted": {func(e *entry) {
-			e.reported(now, nil, admission.Report{Incarnation: "a"}, admission.Report{Incarnation: "b"})
+			e.recordPoll(now, nil, admission.Report{Incarnation: "a"}, admission.Report{Incarnation: "b"})
 		}, usual},
-		"preempted":              {func(e *entry) { e.reported(now, nil, admission.Report{}, admission.Report{Preemptions: 1}) }, usual},
-		"silent":                 {func(e *entry) { e.reported(now, errors.New("lost"), admission.Report{}, admission.Report{}) }, usual},
-		"not reached":            {func(e *entry) { e.reached = false }, usual},
-		"just owned":             {func(e *entry) { e.openedAt = now }, usual},
-		"of another instance":    {func(e *entry) { e.follow(now, permit.Right{}, true) }, usual},
-		"asked for by a request": {func(e *entry) { require.True(t, e.rests(now, usual)) }, 0},
+		"preempted":                 {func(e *entry) { e.recordPoll(now, nil, admission.Report{}, admission.Report{Preemptions: 1}) }, usual},
+		"silent":                    {func(e *entry) { e.recordPoll(now, errors.New("lost"), admission.Report{}, admission.Report{}) }, usual},
+		"not reachable":             {func(e *entry) { e.reachable = false }, usual},
+		"newly owned":               {func(e *entry) { e.grantingSince = now }, usual},
+		"owned by another instance": {func(e *entry) { e.applyRight(now, permit.Right{}, true) }, usual},
+		"report requested":          {func(e *entry) { require.True(t, e.lastReportSuffices(now, usual)) }, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			e := calmEntry(now)
+			e := stableEntry(now)
 			tt.change(e)
-			require.Equal(t, tt.want, e.pollEvery(now, usual))
+			require.Equal(t, tt.want, e.pollInterval(now, usual))
 		})
 	}
 }
 
-// fixedRights makes this instance the owner of all.
-type fixedRights struct{}
+// alwaysOwner makes this instance the owner of all servers.
+type alwaysOwner struct{}
 
-func (fixedRights) Right(time.Time, roster.Server) permit.Right {
+func (alwaysOwner) Right(time.Time, roster.Server) permit.Right {
 	return permit.Right{Role: permit.RoleOwner}
 }
-func (fixedRights) Roster() *roster.Roster { return &roster.Roster{} }
+func (alwaysOwner) Roster() *roster.Roster { return &roster.Roster{} }
 
-// heldLoads answers with a report of a cold restart once released.
-type heldLoads chan struct{}
+// blockedLoads returns the report of a restarted, cold server once it is closed.
+type blockedLoads chan struct{}
 
-func (h heldLoads) Load(_ context.Context, asked time.Time, _ pollenspindle.ServiceKind, _ string) (admission.Report, error) {
+func (h blockedLoads) Load(_ context.Context, sentAt time.Time, _ pollenspindle.ServiceKind, _ string) (admission.Report, error) {
 	<-h
-	return admission.Report{Incarnation: "b", MeasuredAt: asked, Cold: true}, nil
+	return admission.Report{Incarnation: "b", MeasuredAt: sentAt, Cold: true}, nil
 }
 
-// TestBurstAtServerThatRestartedUnseen: callers see some requests wait or go
-// elsewhere, and the engine lives. An idle engine restarts between two load
-// reports, which are far apart as nothing happens; a burst comes before the
-// next. The first ask calls for a report, and until it has come only as many
-// requests are granted as a cold engine can handle.
-func TestBurstAtServerThatRestartedUnseen(t *testing.T) {
+// A stable server restarts between two load reports, which are far apart, and a burst
+// of requests arrives before the next. The first request triggers a report, and until
+// it arrives no more are granted than a cold server can handle. Guards against a crash
+// of the cold server by the burst.
+func TestBurstAfterUnnoticedRestart(t *testing.T) {
 	const cold, burst = 2, 6
 	server := pollenspindle.Server{Name: "desk-1", Service: "desk", Zone: "a", State: pollenspindle.ServerInService, ColdLimit: cold, WarmLimit: 8}
 	snap := config.NewSnapshot(1, pollenspindle.Config{
@@ -111,9 +110,9 @@
 		Services: []pollenspindle.Service{{Name: "desk", Kind: pollenspindle.ServicePlain}},
 		Servers:  []pollenspindle.Server{server},
 	})
-	loads := make(heldLoads)
+	loads := make(blockedLoads)
 	o, err := New(Options{
-		Rights: fixedRights{}, Config: func() *config.Snapshot { return snap }, Loads: loads,
+		Rights: alwaysOwner{}, Config: func() *config.Snapshot { return snap }, Loads: loads,
 		Policy: admission.Predicted{}, Suspects: NewSuspects(), PermitFor: time.Minute, PollEvery: time.Minute,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
@@ -121,9 +120,9 @@
 	defer o.workers.Release()
 	now := time.Now()
 	e := o.entry(snap, &server)
-	e.follow(now.Add(-time.Hour), permit.Right{Role: permit.RoleOwner}, true)
+	e.applyRight(now.Add(-time.Hour), permit.Right{Role: permit.RoleOwner}, true)
 	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now.Add(-2 * time.Minute)})
-	e.reached, e.polledAt = true, now.Add(-2*time.Minute)
+	e.reachable, e.polledAt = true, now.Add(-2*time.Minute)
 	for i := 0; e.state.Limit() < server.WarmLimit; i++ {
 		for j := range e.state.Limit() {
 			id := fmt.Sprint("earlier", i, j)
@@ -140,12 +139,12 @@
 	for i := range cold {
 		require.True(t, granted(i))
 	}
-	var asks sync.WaitGroup
+	var requests sync.WaitGroup
 	more := make([]bool, burst)
 	for i := range more {
-		asks.Go(func() { more[i] = granted(cold + i) })
+		requests.Go(func() { more[i] = granted(cold + i) })
 	}
 	close(loads)
-	asks.Wait()
+	requests.Wait()
 	require.Equal(t, make([]bool, burst), more)
 }
--- a/internal/owner/suspects.go
+++ b/internal/owner/suspects.go
@@ -7,9 +7,8 @@
 	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
-// Suspects is the table of crashing requests, shared between the owner, which
-// sees crashes, and the heartbeats, which spread them. It is safe for
-// concurrent use.
+// Suspects is the table of crash suspects, shared between the owner, which detects
+// crashes, and the heartbeats, which distribute them. It is safe for concurrent use.
 type Suspects struct {
 	mu    sync.Mutex
 	table *suspect.Table
@@ -20,14 +19,14 @@
 	return &Suspects{table: suspect.NewTable(suspect.DefaultParams)}
 }
 
-// Newest returns at most n entries for a heartbeat.
+// Newest returns the newest entries, at most n, for a heartbeat.
 func (s *Suspects) Newest(now time.Time, n int) []suspect.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Newest(now, n)
 }
 
-// Merge takes in the entries of a peer.
+// Merge adds the entries of a peer.
 func (s *Suspects) Merge(now time.Time, entries []suspect.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,13 +45,13 @@
 	return s.table.RetryAfter(now, fingerprint)
 }
 
-func (s *Suspects) finished(now time.Time, fingerprint uint64) {
+func (s *Suspects) recordFinished(now time.Time, fingerprint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Finished(now, fingerprint)
 }
 
-func (s *Suspects) crash(now time.Time, name string, fingerprint uint64) {
+func (s *Suspects) recordCrash(now time.Time, name string, fingerprint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Crash(now, name, fingerprint)
