--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,30 +1,30 @@
-// Package claim makes non-idempotent requests with an idempotency key run at
-// most once, across all entry instances, through lost answers, paused holders
-// and callers that repeat through another instance.
+// Package claim runs non-idempotent requests with an idempotency key at most
+// once, across all entry instances, despite lost responses, paused holders and
+// callers that retry through another instance.
 //
 // A claim is one object in the platform for each workspace and key. It is
-// created before any byte of the request leaves for a backend server, and is
-// never taken over: whoever finds an open claim doesn't run the request. So a
-// holder that was paused past every deadline may still send and store its
-// result; nobody else has sent.
+// created before any byte of the request is sent to a backend server, and is
+// never taken over: an instance that finds an open claim doesn't run the request.
+// So a holder that was paused past every deadline may still send the request and
+// store its result, as no other instance has sent it.
 //
 // # Usage
 //
 //	switch a := store.Begin(ctx, time.Now(), claim.Key{Workspace: "club", Key: key}, fingerprint).(type) {
 //	case claim.Won:
 //		if !a.Claim.MaySend(time.Now()) {
-//			_ = store.Abandon(ctx, a.Claim) // and answer "not run"
+//			_ = store.Abandon(ctx, a.Claim) // and respond that it didn't run
 //		}
 //		// Send the request, then:
 //		err := store.Finish(ctx, a.Claim, result)
 //	case claim.Stored:
-//		// Answer a.Result again.
+//		// Return a.Result again.
 //	case claim.InProgress, claim.Unknown:
-//		// Never run it; the outcome is unknown.
+//		// Don't run the request; its outcome is unknown.
 //	case claim.Mismatch:
 //		// The key belongs to another request: 422.
 //	case claim.Unavailable:
-//		// Not run.
+//		// The request didn't run.
 //	}
 package claim
 
@@ -37,51 +37,51 @@
 )
 
 const (
-	// MaxBodyBytes is the largest body that is stored. A larger one is left
-	// out, and a repeat learns only that the request ran. In base64 it stays
-	// well below the platform's megabyte.
+	// MaxBodyBytes is the largest body that is stored. A larger one is omitted,
+	// and a retry learns only that the request ran. Encoded in base64 it stays
+	// well below the platform's object limit of 1 MB.
 	MaxBodyBytes = 256 << 10
-	// maxHeaderBytes bounds the stored header in the same way.
+	// maxHeaderBytes limits the stored header in the same way.
 	maxHeaderBytes = 16 << 10
-	// sendWithin is how long after its begin a request may be sent. It only
-	// has to be far below the shortest retention: a holder that was paused
-	// until its claim was swept would otherwise send what a repeat, which
-	// claimed the key anew, has sent already.
-	sendWithin = time.Minute
-	// MinRetention is the shortest time that claims are kept.
+	// maxSendDelay is how long after Begin a request may be sent. It must be
+	// far below the shortest retention: a holder that was paused until its
+	// claim was swept would otherwise send a request that a retry, which
+	// claimed the key again, has sent already.
+	maxSendDelay = time.Minute
+	// MinRetention is the shortest time for which claims are kept.
 	MinRetention = time.Hour
-	// kindPrefix and a shard's name make the kind of a claim's object. The
-	// shards let the sweep be shared between instances.
+	// kindPrefix and a shard name form the object kind of a claim. Sharding
+	// distributes the sweep among the instances.
 	kindPrefix = "claim"
-	shards     = "0123456789abcdef"
+	shardNames = "0123456789abcdef"
 )
 
-// The errors of this package.
+// Errors of [Store.Finish] and [Store.Abandon].
 var (
-	// ErrStoreLater means that the platform didn't take a write. It is kept
-	// and tried again while this instance runs.
-	ErrStoreLater = merry.Sentinel("claim is written later")
-	// ErrNotStored means that a write is given up. A repeat gets Unknown.
+	// ErrStoreDeferred means that the platform didn't accept a write. It is
+	// queued and retried while this instance runs.
+	ErrStoreDeferred = merry.Sentinel("claim write is deferred")
+	// ErrNotStored means that a write has failed for good. A retry gets Unknown.
 	ErrNotStored = merry.Sentinel("claim not written")
 )
 
-// Key names a non-idempotent request.
+// Key identifies a non-idempotent request.
 type Key struct {
 	Workspace string
 	// Key is the caller's idempotency key.
 	Key string
 }
 
-// object answers the kind and name of the claim's object. They are hashed, so
-// that any key fits and none can be read from the platform.
-func (k Key) object() (kind, name string) {
+// objectName returns the kind and name of the claim's object. Both come from a hash, so
+// that any key fits and no key can be read from the platform.
+func (k Key) objectName() (kind, name string) {
 	workspace := sha256.Sum256([]byte(k.Workspace))
 	sum := sha256.Sum256(append(workspace[:], k.Key...))
 	name = hex.EncodeToString(sum[:])
 	return kindPrefix + name[:1], name
 }
 
-// Claim is the right to send one request once.
+// Claim is the permission to send one request once.
 type Claim struct {
 	Kind string
 	Name string
@@ -90,32 +90,32 @@
 	Fingerprint string
 	// Version is the version of the claim's object.
 	Version int64
-	// SendBy is the last moment at which the request may be sent. It carries
-	// a monotonic reading.
+	// SendBy is the deadline for sending the request. It carries a monotonic
+	// clock reading.
 	SendBy time.Time
-	// BeganAt and ExpiresAt bound the life of the claim's object.
-	BeganAt   time.Time
+	// CreatedAt and ExpiresAt limit the lifetime of the claim's object.
+	CreatedAt time.Time
 	ExpiresAt time.Time
 }
 
 // MaySend reports whether the request may still be sent. Holders check it
-// immediately before the first byte.
+// immediately before they send the first byte.
 func (c Claim) MaySend(now time.Time) bool {
 	return now.Before(c.SendBy)
 }
 
-// Result is the answer of the backend server.
+// Result is the response of the backend server.
 type Result struct {
 	Status int                 `json:"status"`
 	Header map[string][]string `json:"header,omitempty"`
 	Body   []byte              `json:"body,omitempty"`
-	// Omitted means that header and body were too large to be stored: a
-	// repeat learns that the request ran, and its status.
+	// Omitted means that header or body was too large to be stored: a retry
+	// learns that the request ran, and its status.
 	Omitted bool `json:"omitted,omitempty"`
 }
 
-// bounded leaves out what is too large to be stored.
-func (r Result) bounded() Result {
+// limitSize omits header and body if either is too large to be stored.
+func (r Result) limitSize() Result {
 	size := 0
 	for name, values := range r.Header {
 		size += len(name)
@@ -129,37 +129,36 @@
 	return r
 }
 
-// Answer is what Begin answers: [Won], [Stored], [InProgress], [Unknown],
+// Answer is the result of [Store.Begin]: [Won], [Stored], [InProgress], [Unknown],
 // [Mismatch] or [Unavailable].
-type Answer interface{ answer() }
+type Answer interface{ isAnswer() }
 
-// Won means that the caller, and nobody else, may send the request.
+// Won means that this attempt, and no other, may send the request.
 type Won struct{ Claim Claim }
 
-// Stored means that the request ran before; Result is its answer.
+// Stored means that the request ran before; Result is its response.
 type Stored struct{ Result Result }
 
-// InProgress means that another holder has the claim and may still answer.
+// InProgress means that another holder has the claim and may still finish.
 type InProgress struct {
-	// RetryAfter says when the answer should be there.
+	// RetryAfter is the suggested wait before the next retry.
 	RetryAfter time.Duration
 }
 
 // Unknown means that the holder of the claim didn't store a result in time.
-// The request may have run, so it is never run again. Should the holder store
-// its result later, a repeat gets it.
+// The request may have run, so it is never run again. If the holder stores its
+// result later, a retry gets it.
 type Unknown struct{}
 
-// Mismatch means that the key was used for a request with another
-// fingerprint.
+// Mismatch means that the key was used for a request with another fingerprint.
 type Mismatch struct{}
 
-// Unavailable means that the claim could not be made: nothing was sent.
+// Unavailable means that the claim could not be created, so nothing may be sent.
 type Unavailable struct{ Err error }
 
-func (Won) answer()         {}
-func (Stored) answer()      {}
-func (InProgress) answer()  {}
-func (Unknown) answer()     {}
-func (Mismatch) answer()    {}
-func (Unavailable) answer() {}
+func (Won) isAnswer()         {}
+func (Stored) isAnswer()      {}
+func (InProgress) isAnswer()  {}
+func (Unknown) isAnswer()     {}
+func (Mismatch) isAnswer()    {}
+func (Unavailable) isAnswer() {}
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -16,22 +16,22 @@
 	"pollenspindle.example/pollenspindle/internal/standin/platform"
 )
 
-const testMax = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 var (
 	now = time.Unix(1_000_000, 0)
 	key = claim.Key{Workspace: "club", Key: "booking-1"}
 )
 
-func start(t *testing.T) (*claim.Store, *httptest.Server) {
+func newStore(t *testing.T) (*claim.Store, *httptest.Server) {
 	server := httptest.NewServer(platform.NewHandler(platform.Options{}))
 	t.Cleanup(server.Close)
-	client := objectapi.NewClient(server.URL, objectapi.Options{Timeout: testMax, ReadsPerSecond: 1e6, ReadBurst: 1e6})
+	client := objectapi.NewClient(server.URL, objectapi.Options{Timeout: testTimeout, ReadsPerSecond: 1e6, ReadBurst: 1e6})
 	t.Cleanup(client.Close)
 	return claim.NewStore(claim.StoreOptions{Objects: client, AnswerWithin: time.Minute}), server
 }
 
-func faults(t *testing.T, server *httptest.Server, body string) {
+func setFaults(t *testing.T, server *httptest.Server, body string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPut, server.URL+"/control/faults", strings.NewReader(body))
 	require.NoError(t, err)
@@ -40,14 +40,14 @@
 	require.NoError(t, resp.Body.Close())
 }
 
-func win(t *testing.T, s *claim.Store) claim.Claim {
+func acquire(t *testing.T, s *claim.Store) claim.Claim {
 	t.Helper()
 	a := s.Begin(t.Context(), now, key, "print")
 	require.IsType(t, claim.Won{}, a)
 	return a.(claim.Won).Claim
 }
 
-func TestAnswersToARepeat(t *testing.T) {
+func TestBeginOfRetry(t *testing.T) {
 	result := claim.Result{Status: 201, Header: map[string][]string{"Content-Type": {"application/json"}}, Body: []byte(`{"slot":7}`)}
 	tests := map[string]struct {
 		prepare func(t *testing.T, s *claim.Store, c claim.Claim)
@@ -55,19 +55,19 @@
 		print   string
 		want    claim.Answer
 	}{
-		"holder still runs it": {want: claim.InProgress{RetryAfter: 2 * time.Second}},
-		"holder never answered": {
+		"holder in progress": {want: claim.InProgress{RetryAfter: 2 * time.Second}},
+		"holder timed out": {
 			at:   2 * time.Minute,
 			want: claim.Unknown{},
 		},
-		"another request with the key": {print: "other", want: claim.Mismatch{}},
+		"other request with the key": {print: "other", want: claim.Mismatch{}},
 		"result stored": {
 			prepare: func(t *testing.T, s *claim.Store, c claim.Claim) {
 				require.NoError(t, s.Finish(t.Context(), c, result))
 			},
 			want: claim.Stored{Result: result},
 		},
-		"another request with the key of a stored one": {
+		"other request with the key of a stored result": {
 			prepare: func(t *testing.T, s *claim.Store, c claim.Claim) {
 				require.NoError(t, s.Finish(t.Context(), c, result))
 			},
@@ -81,7 +81,7 @@
 			},
 			want: claim.Stored{Result: claim.Result{Status: 200, Omitted: true}},
 		},
-		"largest result": {
+		"largest result that is stored": {
 			prepare: func(t *testing.T, s *claim.Store, c claim.Claim) {
 				large := claim.Result{Status: 200, Body: bytes.Repeat([]byte("a"), claim.MaxBodyBytes)}
 				require.NoError(t, s.Finish(t.Context(), c, large))
@@ -91,8 +91,8 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			s, _ := start(t)
-			c := win(t, s)
+			s, _ := newStore(t)
+			c := acquire(t, s)
 			if test.prepare != nil {
 				test.prepare(t, s, c)
 			}
@@ -105,26 +105,26 @@
 	}
 }
 
-// The caller is told "not run" at once while the platform is down. It comes
-// back with the same key when the platform does, and its request runs.
-func TestPlatformDownIsNotRun(t *testing.T) {
-	s, server := start(t)
-	faults(t, server, `{"down":true}`)
+// During a platform outage Begin fails at once and nothing is claimed. After the
+// outage a request with the same key runs.
+func TestPlatformOutageIsNotRun(t *testing.T) {
+	s, server := newStore(t)
+	setFaults(t, server, `{"down":true}`)
 	require.IsType(t, claim.Unavailable{}, s.Begin(t.Context(), now, key, "print"))
-	require.Zero(t, s.Pending(), "nothing can have been claimed")
-	faults(t, server, `{}`)
-	win(t, s)
+	require.Zero(t, s.Pending(), "no claim can exist")
+	setFaults(t, server, `{}`)
+	acquire(t, s)
 }
 
-// The request ran, and the platform goes down before its result is stored. A
-// repeat is not run again meanwhile; after the outage the result is there.
-func TestResultIsStoredAfterAnOutage(t *testing.T) {
-	s, server := start(t)
-	c := win(t, s)
-	faults(t, server, `{"down":true}`)
-	require.ErrorIs(t, s.Finish(t.Context(), c, claim.Result{Status: 201}), claim.ErrStoreLater)
+// The platform fails after a request ran and before its result is stored. A retry
+// must not run the request again, and gets the result after the outage.
+func TestResultIsStoredAfterPlatformOutage(t *testing.T) {
+	s, server := newStore(t)
+	c := acquire(t, s)
+	setFaults(t, server, `{"down":true}`)
+	require.ErrorIs(t, s.Finish(t.Context(), c, claim.Result{Status: 201}), claim.ErrStoreDeferred)
 	require.IsType(t, claim.Unavailable{}, s.Begin(t.Context(), now, key, "print"))
-	faults(t, server, `{}`)
+	setFaults(t, server, `{}`)
 	require.IsType(t, claim.InProgress{}, s.Begin(t.Context(), now, key, "print"))
 
 	ctx, cancel := context.WithCancel(t.Context())
@@ -136,18 +136,17 @@
 	require.Eventually(t, func() bool {
 		a, ok := s.Begin(t.Context(), now, key, "print").(claim.Stored)
 		return ok && a.Result.Status == 201
-	}, testMax, 5*time.Millisecond)
+	}, testTimeout, 5*time.Millisecond)
 	cancel()
 	<-done
 }
 
-// A holder is paused between its claim and the first byte, for longer than
-// claims are kept. The sweep deletes its claim and a repeat runs the request.
-// The paused one looks at the clock before it sends, finds its time over and
-// sends nothing; its late result isn't taken for the other's.
+// A holder is paused between its claim and the first byte for longer than the
+// retention. The sweep deletes its claim, and a retry runs the request. The paused
+// holder must not send any more, and its late result must not replace the other's.
 func TestHolderPausedPastRetentionSendsNothing(t *testing.T) {
-	s, _ := start(t)
-	paused := win(t, s)
+	s, _ := newStore(t)
+	paused := acquire(t, s)
 	require.True(t, paused.MaySend(now))
 	all := func(string) bool { return true }
 	sweep := func(at time.Time) int {
@@ -160,20 +159,20 @@
 		return swept
 	}
 	require.Zero(t, sweep(now.Add(24*time.Hour)))
-	later := now.Add(25 * time.Hour)
-	require.Equal(t, 1, sweep(later))
+	resumedAt := now.Add(25 * time.Hour)
+	require.Equal(t, 1, sweep(resumedAt))
 
-	a := s.Begin(t.Context(), later, key, "print")
+	a := s.Begin(t.Context(), resumedAt, key, "print")
 	require.IsType(t, claim.Won{}, a)
-	require.False(t, paused.MaySend(later))
+	require.False(t, paused.MaySend(resumedAt))
 	require.ErrorIs(t, s.Finish(t.Context(), paused, claim.Result{Status: 500}), claim.ErrNotStored)
 	require.NoError(t, s.Finish(t.Context(), a.(claim.Won).Claim, claim.Result{Status: 201}))
-	require.Equal(t, claim.Stored{Result: claim.Result{Status: 201}}, s.Begin(t.Context(), later, key, "print"))
+	require.Equal(t, claim.Stored{Result: claim.Result{Status: 201}}, s.Begin(t.Context(), resumedAt, key, "print"))
 }
 
 func TestWorkspacesDoNotShareKeys(t *testing.T) {
-	s, _ := start(t)
-	win(t, s)
+	s, _ := newStore(t)
+	acquire(t, s)
 	other := claim.Key{Workspace: "other", Key: key.Key}
 	require.IsType(t, claim.Won{}, s.Begin(t.Context(), now, other, "print"))
 }
--- a/internal/claim/decide.go
+++ b/internal/claim/decide.go
@@ -7,7 +7,7 @@
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 )
 
-// phase is how far a claim has come.
+// phase is the stage of a claim's lifecycle.
 type phase string
 
 const (
@@ -22,99 +22,99 @@
 	Attempt     string    `json:"attempt"`
 	Fingerprint string    `json:"fingerprint"`
 	Holder      string    `json:"holder"`
-	BeganAt     time.Time `json:"beganAt"`
-	// AnswerBy is when the holder gives the request up at the latest. It
-	// only tells InProgress from Unknown, so clocks needn't agree.
-	AnswerBy  time.Time `json:"answerBy"`
-	ExpiresAt time.Time `json:"expiresAt"`
-	Result    *Result   `json:"result,omitempty"`
+	CreatedAt   time.Time `json:"beganAt"`
+	// ResponseDeadline is when the holder gives the request up at the latest. It
+	// only separates InProgress from Unknown, so clocks needn't be synchronized.
+	ResponseDeadline time.Time `json:"answerBy"`
+	ExpiresAt        time.Time `json:"expiresAt"`
+	Result           *Result   `json:"result,omitempty"`
 }
 
-// found is the claim's object as it is in the platform. There is none if
-// version is 0.
-type found struct {
+// storedClaim is a claim's object as stored in the platform. Version 0 means that
+// there is none; readable is false if its value can't be decoded.
+type storedClaim struct {
 	version  int64
 	record   record
 	readable bool
 }
 
-func decode(o objectapi.Object) found {
-	f := found{version: o.Version}
+func decode(o objectapi.Object) storedClaim {
+	f := storedClaim{version: o.Version}
 	f.readable = json.Unmarshal(o.Value, &f.record) == nil
 	return f
 }
 
-// step is what Begin does next: write under a condition, or answer.
-type step struct {
-	// at is the version that the write is for; 0 creates.
-	at int64
-	// answer ends Begin; won ends it with the claim at version at.
+// nextStep is what Begin does next: a conditional write, or return an answer.
+type nextStep struct {
+	// version is the object version that the write replaces; 0 creates the object.
+	version int64
+	// answer ends Begin; won ends it with the claim at version.
 	answer Answer
 	won    bool
 }
 
-// afterConflict decides what a holder with the given attempt does when its
-// write failed because of the object that is there.
+// afterConflict decides how Begin continues for the given attempt when its write
+// failed because the object differs from the expected version.
 //
-// Only an own attempt wins, and only a claim under which nothing was sent is
-// written over.
-func afterConflict(now time.Time, f found, attempt, fingerprint string) step {
+// Only the claim's own attempt wins, and only a claim under which nothing was sent
+// is overwritten.
+func afterConflict(now time.Time, f storedClaim, attempt, fingerprint string) nextStep {
 	switch {
 	case f.version == 0:
-		return step{at: 0}
+		return nextStep{version: 0}
 	case !f.readable:
-		// Nothing is known of what was sent under it.
-		return step{answer: Unknown{}}
+		// A request may have been sent under the claim.
+		return nextStep{answer: Unknown{}}
 	case f.record.Attempt == attempt && f.record.Phase == phaseOpen:
-		// An earlier try, whose answer was lost, took effect.
-		return step{at: f.version, won: true}
+		// An earlier write whose response was lost took effect.
+		return nextStep{version: f.version, won: true}
 	case f.record.Phase == phaseAbandoned:
-		return step{at: f.version}
+		return nextStep{version: f.version}
 	}
-	return step{answer: judge(now, f.record, fingerprint)}
+	return nextStep{answer: answerRepeat(now, f.record, fingerprint)}
 }
 
-// judge answers a repeat of a request whose claim somebody else holds.
-func judge(now time.Time, r record, fingerprint string) Answer {
+// answerRepeat returns the answer to a retry whose claim another attempt holds.
+func answerRepeat(now time.Time, r record, fingerprint string) Answer {
 	switch {
 	case r.Fingerprint != fingerprint:
 		return Mismatch{}
 	case r.Phase == phaseDone && r.Result != nil:
 		return Stored{Result: *r.Result}
-	case r.Phase == phaseOpen && now.Before(r.AnswerBy):
-		return InProgress{RetryAfter: min(r.AnswerBy.Sub(now), maxRetryAfter)}
+	case r.Phase == phaseOpen && now.Before(r.ResponseDeadline):
+		return InProgress{RetryAfter: min(r.ResponseDeadline.Sub(now), maxRetryAfter)}
 	}
 	return Unknown{}
 }
 
-// maxRetryAfter keeps a caller from waiting for the holder's whole timeout
-// when the answer is likely to come sooner.
+// maxRetryAfter keeps a caller from waiting for the holder's whole timeout, as the
+// result is likely to be stored sooner.
 const maxRetryAfter = 2 * time.Second
 
 // afterAbandonConflict decides how an attempt under which nothing was sent is
-// given up: at is the version to write the abandoned record over, done means
+// abandoned: version is the one to overwrite with the abandoned record, done means
 // that nothing is left to do.
 //
-// A lost write may still arrive. The abandoned record, also where there was
-// nothing, raises the version that the lost write is conditional on, so that
-// it can't take effect any more and leave the key blocked.
-func afterAbandonConflict(f found, w write) (at int64, done bool) {
+// A lost write may still arrive. Writing the abandoned record, even where no object
+// exists, changes the version that the lost write expects, so that it can't take
+// effect any more and leave the key blocked.
+func afterAbandonConflict(f storedClaim, w write) (version int64, done bool) {
 	switch {
 	case f.version == 0:
-		// Swept, unless a create is under way.
-		return 0, w.at != 0
+		// Swept, unless a lost create may still arrive.
+		return 0, w.version != 0
 	case !f.readable:
 		return 0, true
 	case f.record.Attempt == w.record.Attempt:
 		return f.version, f.record.Phase != phaseOpen
-	case f.record.Phase == phaseAbandoned && f.version == w.lostAt:
+	case f.record.Phase == phaseAbandoned && f.version == w.lostVersion:
 		return f.version, false
 	}
 	return 0, true
 }
 
-// afterFinishConflict decides the same for a result.
-func afterFinishConflict(f found, w write) (at int64, done bool, err error) {
+// afterFinishConflict decides the same for the write of a result.
+func afterFinishConflict(f storedClaim, w write) (version int64, done bool, err error) {
 	switch {
 	case f.version == 0 || !f.readable || f.record.Attempt != w.record.Attempt || f.record.Phase == phaseAbandoned:
 		// Swept after its retention, or abandoned by mistake.
@@ -127,8 +127,8 @@
 
 // expired reports whether a claim may be swept.
 func expired(now time.Time, r record) bool {
-	return now.After(r.ExpiresAt.Add(sweepMargin))
+	return now.After(r.ExpiresAt.Add(clockSkewMargin))
 }
 
-// sweepMargin allows for clocks of instances that differ.
-const sweepMargin = 10 * time.Minute
+// clockSkewMargin allows for clock differences between instances.
+const clockSkewMargin = 10 * time.Minute
--- a/internal/claim/deferred.go
+++ b/internal/claim/deferred.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// laterWrites and maxLaterBytes bound what waits for the platform to come
-	// back: the results of the requests that ran when it went down. No new
-	// ones begin while it is down.
-	laterWrites   = 256
-	maxLaterBytes = 4 << 20
-	// laterFirst and laterMost bound the wait between tries. The jitter spreads
-	// the writes of all instances after an outage.
-	laterFirst = 200 * time.Millisecond
-	laterMost  = 5 * time.Second
+	// maxDeferredWrites and maxDeferredBytes limit the writes that wait for the
+	// end of a platform outage: the results of the requests that ran when it
+	// began. No new ones begin during the outage.
+	maxDeferredWrites = 256
+	maxDeferredBytes  = 4 << 20
+	// minDeferredBackoff and maxDeferredBackoff limit the wait between retries.
+	// Jitter spreads the writes of all instances after an outage.
+	minDeferredBackoff = 200 * time.Millisecond
+	maxDeferredBackoff = 5 * time.Second
 )
 
-// write is the abandoned or final record of a claim on its way.
+// write is a conditional write of a claim's record.
 type write struct {
 	kind, name string
 	record     record
-	// at is the version that the write is for; 0 creates.
-	at int64
-	// lostAt is the version for which a begin was lost that may yet arrive.
-	lostAt int64
+	// version is the object version that the write replaces; 0 creates the object.
+	version int64
+	// lostVersion is the version of a lost write of Begin that may still arrive.
+	lostVersion int64
 }
 
-func (w write) bytes() int64 {
+func (w write) size() int64 {
 	if w.record.Result == nil {
 		return 0
 	}
 	return int64(len(w.record.Result.Body))
 }
 
-// try makes one write. It reports done when there is nothing left to do, and
-// answers why if that is a failure.
-func (s *Store) try(ctx context.Context, w *write) (done bool, err error) {
+// tryWrite makes one attempt at a write. It returns done when nothing is left to do,
+// with an error if the write has failed for good.
+func (s *Store) tryWrite(ctx context.Context, w *write) (done bool, err error) {
 	_, err = s.put(ctx, *w)
 	var conflict *objectapi.ConflictError
 	switch {
@@ -48,10 +48,10 @@
 	case errors.As(err, &conflict):
 		f := decode(conflict.Current)
 		if w.record.Phase == phaseDone {
-			w.at, done, err = afterFinishConflict(f, *w)
+			w.version, done, err = afterFinishConflict(f, *w)
 			return done, err
 		}
-		w.at, done = afterAbandonConflict(f, *w)
+		w.version, done = afterAbandonConflict(f, *w)
 		return done, nil
 	case errors.Is(err, objectapi.ErrRefused):
 		return true, ErrNotStored
@@ -59,48 +59,48 @@
 	return false, err
 }
 
-// keep puts a write aside for [Store.Run] and reports whether there was room.
-func (s *Store) keep(w write) bool {
-	if s.laterBytes.Add(w.bytes()) > maxLaterBytes {
-		s.laterBytes.Add(-w.bytes())
+// deferWrite queues a write for [Store.Run] and reports whether the queue had capacity.
+func (s *Store) deferWrite(w write) bool {
+	if s.deferredBytes.Add(w.size()) > maxDeferredBytes {
+		s.deferredBytes.Add(-w.size())
 		return false
 	}
 	select {
-	case s.later <- w:
+	case s.deferred <- w:
 		return true
 	default:
-		s.laterBytes.Add(-w.bytes())
+		s.deferredBytes.Add(-w.size())
 		return false
 	}
 }
 
-// Pending answers how many writes wait for the platform. A shutdown that has
-// ended its requests waits a while for none.
+// Pending returns the number of deferred writes. A shutdown waits a while for it to
+// reach zero once all requests have ended.
 func (s *Store) Pending() int {
-	return len(s.later)
+	return len(s.deferred)
 }
 
-// Run makes the writes that were put aside, until ctx ends.
+// Run makes the deferred writes until ctx ends.
 func (s *Store) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-s.later:
-			s.settle(ctx, w)
+		case w := <-s.deferred:
+			s.retryUntilDone(ctx, w)
 		}
 	}
 }
 
-// settle tries one write until it is made. Others wait behind it: what stops
-// one is the platform, which stops all.
-func (s *Store) settle(ctx context.Context, w write) {
-	defer s.laterBytes.Add(-w.bytes())
-	backoff := objectapi.Backoff{Min: laterFirst, Max: laterMost}
+// retryUntilDone retries one write until it is done. The others wait behind it, since
+// an outage of the platform that blocks one write blocks all.
+func (s *Store) retryUntilDone(ctx context.Context, w write) {
+	defer s.deferredBytes.Add(-w.size())
+	backoff := objectapi.Backoff{Min: minDeferredBackoff, Max: maxDeferredBackoff}
 	for ctx.Err() == nil {
-		done, err := s.try(ctx, &w)
+		done, err := s.tryWrite(ctx, &w)
 		if done && err != nil {
-			s.opts.Log.Warn().Err(err).Str("claim", w.name).Msg("result of a claim is lost")
+			s.opts.Log.Warn().Err(err).Str("claim", w.name).Msg("claim write failed, its result is lost")
 		}
 		if done {
 			return
--- a/internal/claim/interleave_test.go
+++ b/internal/claim/interleave_test.go
@@ -11,30 +11,28 @@
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 )
 
-// Two callers repeat the same request through two instances in the same
-// moment. Answers of writes are lost before or after their effect, writes
-// arrive late, the platform refuses, one instance dies, and each may be
-// paused between any two of its steps. All orders of these, with at most two
-// faults of which one is a crash, are run. Then a third caller repeats once
-// more. The request must have had at most one effect; who is told a result is
-// told that of the effect; and without a crash a key under which nothing was
-// sent must be free for the third.
+// Two callers send the same request through two instances at the same time. Runs
+// all interleavings with at most two faults, at most one of them a crash: responses
+// lost before or after the write, delayed writes, an unavailable platform, a crashed
+// instance. Then a third caller retries. The request must take effect at most once,
+// every returned result must be that of the effect, and without a crash a key under
+// which nothing was sent must be free for the third caller.
 func TestAtMostOneEffectInAllInterleavings(t *testing.T) {
 	c := &chooser{}
 	runs, effects, results := 0, 0, 0
 	for more := true; more; more = c.next() {
-		w := newWorld(c)
-		w.run(t)
+		s := newSimulation(c)
+		s.run(t)
 		runs++
-		effects += len(w.effects)
-		results += w.told
+		effects += len(s.effects)
+		results += s.storedResults
 	}
-	t.Logf("%d interleavings, %d effects, %d stored results told", runs, effects, results)
+	t.Logf("%d interleavings, %d effects, %d stored results returned", runs, effects, results)
 	require.Greater(t, runs, 10_000)
 	require.Positive(t, results)
 }
 
-// chooser walks through all sequences of choices, depth first.
+// chooser enumerates all sequences of choices, depth first.
 type chooser struct {
 	path, widths []int
 	pos          int
@@ -48,7 +46,7 @@
 	return c.path[c.pos-1]
 }
 
-// next moves on to the next sequence and reports whether there is one.
+// next advances to the next sequence and reports whether there is one.
 func (c *chooser) next() bool {
 	c.pos = 0
 	for i := len(c.path) - 1; i >= 0; i-- {
@@ -60,77 +58,77 @@
 	return false
 }
 
-// fate is what the scheduler lets become of one step of a caller.
-type fate int
+// outcome is what the scheduler makes of one step of a caller.
+type outcome int
 
 const (
-	fateDone fate = iota
-	// fateAbandon makes a holder give its claim up in place of sending.
-	fateAbandon
-	fateCrashBefore
-	fateCrashAfter
-	fateLostBefore
-	fateLostAfter
-	fateLate
-	fateUnavailable
+	outcomeSuccess outcome = iota
+	// outcomeAbandon makes a holder abandon its claim instead of sending.
+	outcomeAbandon
+	outcomeCrashBefore
+	outcomeCrashAfter
+	outcomeLostBefore
+	outcomeLostAfter
+	outcomeDelayed
+	outcomeUnavailable
 )
 
 var (
-	writeFates = []fate{fateDone, fateCrashBefore, fateCrashAfter, fateLostBefore, fateLostAfter, fateLate, fateUnavailable}
-	sendFates  = []fate{fateDone, fateAbandon, fateCrashBefore, fateCrashAfter}
+	writeOutcomes = []outcome{outcomeSuccess, outcomeCrashBefore, outcomeCrashAfter, outcomeLostBefore, outcomeLostAfter, outcomeDelayed, outcomeUnavailable}
+	sendOutcomes  = []outcome{outcomeSuccess, outcomeAbandon, outcomeCrashBefore, outcomeCrashAfter}
 )
 
-// cost answers the faults and crashes that a fate uses up.
-func (f fate) cost() (faults, crashes int) {
-	switch f {
-	case fateDone, fateAbandon:
+// cost returns the numbers of faults and crashes that an outcome uses up.
+func (o outcome) cost() (faults, crashes int) {
+	switch o {
+	case outcomeSuccess, outcomeAbandon:
 		return 0, 0
-	case fateCrashBefore, fateCrashAfter:
+	case outcomeCrashBefore, outcomeCrashAfter:
 		return 1, 1
 	}
 	return 1, 0
 }
 
-// world is the platform's store, the backend server's effects, and the
+// simulation holds the platform's object, the effects on the backend server and the
 // scheduler of the callers' steps.
-type world struct {
+type simulation struct {
 	choices *chooser
 	faults  int
 	crashes int
 	version int64
 	object  *objectapi.Object
-	// late holds writes that haven't arrived yet.
-	late []func()
-	// effects holds the attempt of each request that reached the server.
-	effects []string
-	told    int
-	callers []*testCaller
+	// delayedWrites holds writes that haven't reached the platform yet.
+	delayedWrites []func()
+	// effects holds the attempt of each request that reached the backend server.
+	effects       []string
+	storedResults int
+	callers       []*testCaller
 }
 
-// testCaller is one caller with the instance it asks.
+// testCaller is one caller and the instance that handles its request.
 type testCaller struct {
-	world   *world
-	store   *Store
-	steps   chan []fate
-	fates   chan fate
-	crashed bool
-	// pending holds the fates that its next step may have; nil when it ended.
-	pending []fate
+	sim      *simulation
+	store    *Store
+	steps    chan []outcome
+	outcomes chan outcome
+	crashed  bool
+	// pending holds the possible outcomes of its next step; nil when it has ended.
+	pending []outcome
 	answer  Answer
-	// direct makes steps happen at once, after the scheduled part.
-	direct bool
+	// unscheduled makes steps succeed at once, after the scheduled part.
+	unscheduled bool
 }
 
-func newWorld(c *chooser) *world {
-	w := &world{choices: c, faults: 2, crashes: 1}
+func newSimulation(c *chooser) *simulation {
+	s := &simulation{choices: c, faults: 2, crashes: 1}
 	for range 2 {
-		w.callers = append(w.callers, w.caller())
+		s.callers = append(s.callers, s.newCaller())
 	}
-	return w
+	return s
 }
 
-func (w *world) caller() *testCaller {
-	c := &testCaller{world: w, steps: make(chan []fate), fates: make(chan fate)}
+func (s *simulation) newCaller() *testCaller {
+	c := &testCaller{sim: s, steps: make(chan []outcome), outcomes: make(chan outcome)}
 	c.store = NewStore(StoreOptions{
 		Objects:  c,
 		Attempts: 2,
@@ -141,75 +139,75 @@
 
 var testNow = time.Unix(1_000_000, 0)
 
-// ask is what an instance does for its caller.
-func (c *testCaller) ask(ctx context.Context) {
+// sendRequest handles the caller's request as an instance does.
+func (c *testCaller) sendRequest(ctx context.Context) {
 	defer close(c.steps)
 	c.answer = c.store.Begin(ctx, testNow, Key{Workspace: "club", Key: "k"}, "print")
 	won, ok := c.answer.(Won)
 	if !ok {
 		return
 	}
-	f := c.step(sendFates)
-	if f == fateAbandon {
+	o := c.step(sendOutcomes)
+	if o == outcomeAbandon {
 		c.answer = Unavailable{}
 		_ = c.store.Abandon(ctx, won.Claim)
 		return
 	}
-	if f != fateCrashBefore {
-		c.world.effects = append(c.world.effects, won.Claim.Attempt)
+	if o != outcomeCrashBefore {
+		c.sim.effects = append(c.sim.effects, won.Claim.Attempt)
 	}
-	c.exitIfCrashed(f)
+	c.exitIfCrashed(o)
 	_ = c.store.Finish(ctx, won.Claim, Result{Status: 200, Body: []byte(won.Claim.Attempt)})
 }
 
-func (c *testCaller) step(fates []fate) fate {
-	if c.direct {
-		return fateDone
+func (c *testCaller) step(outcomes []outcome) outcome {
+	if c.unscheduled {
+		return outcomeSuccess
 	}
-	c.steps <- fates
-	return <-c.fates
+	c.steps <- outcomes
+	return <-c.outcomes
 }
 
-func (c *testCaller) exitIfCrashed(f fate) {
-	if f == fateCrashBefore || f == fateCrashAfter {
+func (c *testCaller) exitIfCrashed(o outcome) {
+	if o == outcomeCrashBefore || o == outcomeCrashAfter {
 		c.crashed = true
 		runtime.Goexit()
 	}
 }
 
-// write plays one conditional write with the fate that the scheduler chose.
-func (c *testCaller) write(kind, name string, at int64, value []byte) (objectapi.Object, error) {
-	w := c.world
-	f := c.step(writeFates)
+// write makes one conditional write with the outcome that the scheduler chose.
+func (c *testCaller) write(kind, name string, version int64, value []byte) (objectapi.Object, error) {
+	s := c.sim
+	f := c.step(writeOutcomes)
 	var o objectapi.Object
 	var err error
 	switch f {
-	case fateCrashBefore, fateLostBefore:
-	case fateLate:
-		w.late = append(w.late, func() { _, _ = w.put(kind, name, at, value) })
-	case fateUnavailable:
+	case outcomeCrashBefore, outcomeLostBefore:
+	case outcomeDelayed:
+		s.delayedWrites = append(s.delayedWrites, func() { _, _ = s.put(kind, name, version, value) })
+	case outcomeUnavailable:
 		return o, objectapi.ErrUnavailable
 	default:
-		o, err = w.put(kind, name, at, value)
+		o, err = s.put(kind, name, version, value)
 	}
 	c.exitIfCrashed(f)
-	if f != fateDone {
+	if f != outcomeSuccess {
 		return objectapi.Object{}, objectapi.ErrUnknownOutcome
 	}
 	return o, err
 }
 
-func (w *world) put(kind, name string, at int64, value []byte) (objectapi.Object, error) {
+func (s *simulation) put(kind, name string, version int64, value []byte) (objectapi.Object, error) {
 	var current objectapi.Object
-	if w.object != nil {
-		current = *w.object
+	if s.object != nil {
+		current = *s.object
 	}
-	if current.Version != at {
+	if current.Version != version {
 		return objectapi.Object{}, &objectapi.ConflictError{Current: current}
 	}
-	w.version++
-	w.object = &objectapi.Object{Kind: kind, Name: name, Version: w.version, Value: value}
-	return *w.object, nil
+	s.version++
+	s.object = &objectapi.Object{Kind: kind, Name: name, Version: s.version, Value: value}
+	return *s.object, nil
 }
 
 // Create implements Objects.
@@ -232,99 +230,99 @@
 	panic("claims are listed by the sweep only")
 }
 
-// run plays one interleaving and checks it.
-func (w *world) run(t *testing.T) {
+// run runs one interleaving and checks its result.
+func (s *simulation) run(t *testing.T) {
 	ctx := t.Context()
-	for _, c := range w.callers {
-		go c.ask(ctx)
+	for _, c := range s.callers {
+		go c.sendRequest(ctx)
 		c.pending = <-c.steps
 	}
-	for w.schedule() {
+	for s.schedule() {
 		continue
 	}
-	w.deliverLate()
-	for _, c := range w.callers {
-		c.direct = true
+	s.deliverDelayed()
+	for _, c := range s.callers {
+		c.unscheduled = true
 		for !c.crashed && c.store.Pending() > 0 {
-			c.store.settle(ctx, <-c.store.later)
+			c.store.retryUntilDone(ctx, <-c.store.deferred)
 		}
 	}
-	w.deliverLate()
-	w.check(t)
+	s.deliverDelayed()
+	s.check(t)
 }
 
-// schedule lets one caller make its next step, or a late write arrive, and
-// reports whether there was anything to do.
-func (w *world) schedule() bool {
+// schedule runs the next step of one caller or delivers a delayed write, and reports
+// whether any step was left.
+func (s *simulation) schedule() bool {
 	type option struct {
-		caller *testCaller
-		fate   fate
+		caller  *testCaller
+		outcome outcome
 	}
 	var options []option
-	for _, c := range w.callers {
-		for _, f := range c.pending {
-			faults, crashes := f.cost()
-			if faults <= w.faults && crashes <= w.crashes {
-				options = append(options, option{c, f})
+	for _, c := range s.callers {
+		for _, o := range c.pending {
+			faults, crashes := o.cost()
+			if faults <= s.faults && crashes <= s.crashes {
+				options = append(options, option{c, o})
 			}
 		}
 	}
 	if len(options) == 0 {
 		return false
 	}
-	n := w.choices.choose(len(options) + len(w.late))
+	n := s.choices.choose(len(options) + len(s.delayedWrites))
 	if n >= len(options) {
-		w.arrive(n - len(options))
+		s.deliver(n - len(options))
 		return true
 	}
 	o := options[n]
-	faults, crashes := o.fate.cost()
-	w.faults, w.crashes = w.faults-faults, w.crashes-crashes
-	o.caller.fates <- o.fate
+	faults, crashes := o.outcome.cost()
+	s.faults, s.crashes = s.faults-faults, s.crashes-crashes
+	o.caller.outcomes <- o.outcome
 	o.caller.pending = <-o.caller.steps
 	return true
 }
 
-func (w *world) arrive(i int) {
-	f := w.late[i]
-	w.late = append(w.late[:i:i], w.late[i+1:]...)
+func (s *simulation) deliver(i int) {
+	f := s.delayedWrites[i]
+	s.delayedWrites = append(s.delayedWrites[:i:i], s.delayedWrites[i+1:]...)
 	f()
 }
 
-// deliverLate lets any of the late writes arrive.
-func (w *world) deliverLate() {
-	for i := len(w.late) - 1; i >= 0; i-- {
-		if w.choices.choose(2) == 1 {
-			w.arrive(i)
+// deliverDelayed delivers any subset of the delayed writes.
+func (s *simulation) deliverDelayed() {
+	for i := len(s.delayedWrites) - 1; i >= 0; i-- {
+		if s.choices.choose(2) == 1 {
+			s.deliver(i)
 		}
 	}
 }
 
-func (w *world) check(t *testing.T) {
-	sent, crashed := len(w.effects), false
-	for _, c := range w.callers {
+func (s *simulation) check(t *testing.T) {
+	sent, crashed := len(s.effects), false
+	for _, c := range s.callers {
 		crashed = crashed || c.crashed
-		w.checkTold(t, c.answer)
+		s.checkStoredResult(t, c.answer)
 	}
-	third := w.caller()
-	third.direct = true
-	go third.ask(t.Context())
+	third := s.newCaller()
+	third.unscheduled = true
+	go third.sendRequest(t.Context())
 	<-third.steps
-	w.checkTold(t, third.answer)
-	require.LessOrEqual(t, len(w.effects), 1, "effects")
+	s.checkStoredResult(t, third.answer)
+	require.LessOrEqual(t, len(s.effects), 1, "effects")
 	if !crashed && sent == 0 {
-		require.IsType(t, Won{}, third.answer, "the key must be free again")
+		require.IsType(t, Won{}, third.answer, "key must be free again")
 	}
 	if !crashed && sent == 1 {
-		require.IsType(t, Stored{}, third.answer, "the result must be there")
+		require.IsType(t, Stored{}, third.answer, "result must be stored")
 	}
 }
 
-// checkTold checks that a caller who is told a result is told the one of the
+// checkStoredResult checks that a stored result returned to a caller is that of the
 // only effect.
-func (w *world) checkTold(t *testing.T, a Answer) {
+func (s *simulation) checkStoredResult(t *testing.T, a Answer) {
 	if stored, ok := a.(Stored); ok {
-		w.told++
-		require.Equal(t, w.effects, []string{string(stored.Result.Body)})
+		s.storedResults++
+		require.Equal(t, s.effects, []string{string(stored.Result.Body)})
 	}
 }
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// defaultAttempts bounds the tries of one write whose answer is lost,
-	// while a caller waits. With the waits between them they span about a
-	// second.
+	// defaultAttempts limits the attempts at one write while a caller waits,
+	// when responses are lost. With the backoff between them they span about
+	// a second.
 	defaultAttempts = 4
-	firstWait       = 20 * time.Millisecond
-	maxWait         = 500 * time.Millisecond
-	// defaultAnswerWithin is how long a holder may take for its answer.
-	defaultAnswerWithin = 2 * time.Minute
-	defaultRetention    = 24 * time.Hour
+	minBackoff      = 20 * time.Millisecond
+	maxBackoff      = 500 * time.Millisecond
+	// defaultRequestTimeout is how long the request of a holder may run.
+	defaultRequestTimeout = 2 * time.Minute
+	defaultRetention      = 24 * time.Hour
 )
 
-// Objects is the part of the object API that claims need; it is
-// *objectapi.Client but in tests.
+// Objects is the part of the object API that claims use; *objectapi.Client
+// implements it.
 type Objects interface {
 	Create(ctx context.Context, kind, name string, value []byte) (objectapi.Object, error)
 	Update(ctx context.Context, kind, name string, version int64, value []byte) (objectapi.Object, error)
@@ -35,38 +35,38 @@
 	ListPage(ctx context.Context, kind, cursor string, limit int) (objectapi.Page, error)
 }
 
-// StoreOptions is what a store needs. Zero fields but Objects take defaults.
+// StoreOptions configures a [Store]. Zero fields except Objects take defaults.
 type StoreOptions struct {
 	Objects Objects
 	Log     zerolog.Logger
 	// Holder is the name of this instance, for operators.
 	Holder string
-	// AnswerWithin is the longest that a request may run.
+	// AnswerWithin is how long a request may run.
 	AnswerWithin time.Duration
-	// Retention answers how long a claim that begins now is kept, as the
-	// configuration in force says. Less than MinRetention counts as that.
+	// Retention returns how long a claim that is created now is kept, according
+	// to the current configuration. The minimum is MinRetention.
 	Retention func() time.Duration
-	// Attempts bounds the tries of one write while a caller waits.
+	// Attempts limits the attempts at one write while a caller waits.
 	Attempts int
-	// Pause waits between tries; it is objectapi.Pause but in tests.
+	// Pause waits between attempts; the default is objectapi.Pause.
 	Pause func(ctx context.Context, d time.Duration) error
 }
 
-// Store makes claims. It is safe for concurrent use.
+// Store creates and finishes claims. It is safe for concurrent use.
 type Store struct {
 	opts StoreOptions
-	// later holds the writes that the platform didn't take. When it is full
-	// or holds too many bytes, a write is dropped: its key answers Unknown
-	// until it is swept, which is safe.
-	later      chan write
-	laterBytes atomic.Int64
-	sweeper    sweeper
+	// deferred holds the writes that the platform didn't accept. When it is full
+	// or holds too many bytes, a write is dropped: retries with its key get
+	// Unknown until the claim is swept, which is safe.
+	deferred      chan write
+	deferredBytes atomic.Int64
+	sweeper       sweeper
 }
 
-// NewStore makes a store. [Store.Run] must run beside it.
+// NewStore returns a store. Its deferred writes need a running [Store.Run].
 func NewStore(opts StoreOptions) *Store {
 	if opts.AnswerWithin == 0 {
-		opts.AnswerWithin = defaultAnswerWithin
+		opts.AnswerWithin = defaultRequestTimeout
 	}
 	if opts.Retention == nil {
 		opts.Retention = func() time.Duration { return defaultRetention }
@@ -77,28 +77,28 @@
 	if opts.Pause == nil {
 		opts.Pause = objectapi.Pause
 	}
-	return &Store{opts: opts, later: make(chan write, laterWrites), sweeper: newSweeper()}
+	return &Store{opts: opts, deferred: make(chan write, maxDeferredWrites), sweeper: newSweeper()}
 }
 
-// Begin claims a key before its request is sent. The fingerprint identifies
-// the request, so that a key isn't used for two.
+// Begin claims a key before its request is sent. The fingerprint identifies the
+// request, so that one key isn't used for two requests.
 //
-// Platform down: Unavailable at once, and nothing was sent. An answer lost on
-// the way is cleared up by repeating the same conditional write: it either
-// succeeds or shows the claim that is there, whose attempt tells whose it is.
+// During a platform outage it returns Unavailable at once. After a lost response it
+// repeats the same conditional write, which either succeeds or returns the existing
+// claim, whose attempt identifies its holder.
 func (s *Store) Begin(ctx context.Context, now time.Time, key Key, fingerprint string) Answer {
-	kind, name := key.object()
+	kind, name := key.objectName()
 	c := Claim{
 		Kind:        kind,
 		Name:        name,
 		Attempt:     rand.Text(),
 		Fingerprint: fingerprint,
-		SendBy:      now.Add(sendWithin),
-		BeganAt:     now,
+		SendBy:      now.Add(maxSendDelay),
+		CreatedAt:   now,
 		ExpiresAt:   now.Add(max(s.opts.Retention(), MinRetention)),
 	}
 	w := write{kind: kind, name: name, record: s.record(c, phaseOpen)}
-	backoff := objectapi.Backoff{Min: firstWait, Max: maxWait}
+	backoff := objectapi.Backoff{Min: minBackoff, Max: maxBackoff}
 	uncertain := false
 	var err error
 	for range s.opts.Attempts {
@@ -112,17 +112,17 @@
 		case errors.As(err, &conflict):
 			next := afterConflict(now, decode(conflict.Current), c.Attempt, fingerprint)
 			if next.won {
-				c.Version = next.at
+				c.Version = next.version
 				return Won{Claim: c}
 			}
 			if next.answer != nil {
 				return next.answer
 			}
-			w.at = next.at
+			w.version = next.version
 			continue
 		case errors.Is(err, objectapi.ErrUnknownOutcome):
 			uncertain = true
-			w.lostAt = w.at
+			w.lostVersion = w.version
 		case !uncertain:
 			return Unavailable{Err: merry.Wrap(err)}
 		}
@@ -131,50 +131,49 @@
 		}
 	}
 	if uncertain {
-		// The claim may be there, or may still arrive. Nothing is sent under
-		// this attempt any more, so the key is freed as soon as possible.
+		// The claim may exist or may still arrive. Nothing is sent under this
+		// attempt any more, so the key is freed as soon as possible.
 		w.record.Phase = phaseAbandoned
-		w.at = 0
-		s.keep(w)
+		w.version = 0
+		s.deferWrite(w)
 	}
 	return Unavailable{Err: merry.Wrap(err)}
 }
 
 func (s *Store) record(c Claim, p phase) record {
 	return record{
-		Phase:       p,
-		Attempt:     c.Attempt,
-		Fingerprint: c.Fingerprint,
-		Holder:      s.opts.Holder,
-		BeganAt:     c.BeganAt.UTC(),
-		AnswerBy:    c.BeganAt.Add(s.opts.AnswerWithin).UTC(),
-		ExpiresAt:   c.ExpiresAt.UTC(),
+		Phase:            p,
+		Attempt:          c.Attempt,
+		Fingerprint:      c.Fingerprint,
+		Holder:           s.opts.Holder,
+		CreatedAt:        c.CreatedAt.UTC(),
+		ResponseDeadline: c.CreatedAt.Add(s.opts.AnswerWithin).UTC(),
+		ExpiresAt:        c.ExpiresAt.UTC(),
 	}
 }
 
-// Finish stores the result of a claimed request. It may come at any time: a
+// Finish stores the result of a claimed request. It may be called at any time: a
 // claim is never taken over, so its holder may store its result late.
 //
-// It answers ErrStoreLater when the platform didn't take the result yet, and
-// ErrNotStored when it never will. Both leave the answer to the caller true.
+// It returns ErrStoreDeferred when the platform hasn't accepted the result yet, and
+// ErrNotStored when it never will. The response to the caller is valid in both cases.
 func (s *Store) Finish(ctx context.Context, c Claim, r Result) error {
-	w := write{kind: c.Kind, name: c.Name, at: c.Version, record: s.record(c, phaseDone)}
-	bounded := r.bounded()
+	w := write{kind: c.Kind, name: c.Name, version: c.Version, record: s.record(c, phaseDone)}
+	bounded := r.limitSize()
 	w.record.Result = &bounded
-	return s.finishOrKeep(ctx, w)
+	return s.writeOrDefer(ctx, w)
 }
 
-// Abandon gives up a claim under which nothing was sent, so that the key may
-// be used again. The holder must not send afterwards, whatever Abandon
-// answers.
+// Abandon gives up a claim under which nothing was sent, so that the key may be used
+// again. The holder must not send afterwards, whatever Abandon returns.
 func (s *Store) Abandon(ctx context.Context, c Claim) error {
-	return s.finishOrKeep(ctx, write{kind: c.Kind, name: c.Name, at: c.Version, record: s.record(c, phaseAbandoned)})
+	return s.writeOrDefer(ctx, write{kind: c.Kind, name: c.Name, version: c.Version, record: s.record(c, phaseAbandoned)})
 }
 
-func (s *Store) finishOrKeep(ctx context.Context, w write) error {
-	backoff := objectapi.Backoff{Min: firstWait, Max: maxWait}
+func (s *Store) writeOrDefer(ctx context.Context, w write) error {
+	backoff := objectapi.Backoff{Min: minBackoff, Max: maxBackoff}
 	for range s.opts.Attempts {
-		done, err := s.try(ctx, &w)
+		done, err := s.tryWrite(ctx, &w)
 		if done {
 			return err
 		}
@@ -182,20 +181,20 @@
 			break
 		}
 	}
-	if !s.keep(w) {
+	if !s.deferWrite(w) {
 		return merry.Wrap(ErrNotStored)
 	}
-	return merry.Wrap(ErrStoreLater)
+	return merry.Wrap(ErrStoreDeferred)
 }
 
-// put writes a record under its condition.
+// put makes one conditional write.
 func (s *Store) put(ctx context.Context, w write) (objectapi.Object, error) {
 	value, err := json.Marshal(w.record)
 	if err != nil {
 		return objectapi.Object{}, merry.Wrap(objectapi.ErrRefused, merry.WithCause(err))
 	}
-	if w.at == 0 {
+	if w.version == 0 {
 		return s.opts.Objects.Create(ctx, w.kind, w.name, value)
 	}
-	return s.opts.Objects.Update(ctx, w.kind, w.name, w.at, value)
+	return s.opts.Objects.Update(ctx, w.kind, w.name, w.version, value)
 }
--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -11,31 +11,31 @@
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 )
 
-// sweepPage is how many claims one step of the sweep reads and deletes at the
-// most. With a step a second and each shard swept by its own instance, the
+// sweepPageSize is the maximum number of claims that one step of the sweep reads and
+// deletes. With one step a second and each shard swept by its own instance, the
 // fleet reads 16 pages and deletes up to 256 claims a second, more than the
-// platform lets it create; a page is at most about 6 MB and mostly a few KB.
-const sweepPage = 16
+// platform lets it create. A page is at most about 6 MB and mostly a few KB.
+const sweepPageSize = 16
 
-// sweepEvery is the time between two steps.
-const sweepEvery = time.Second
+// sweepInterval is the time between two steps of the sweep.
+const sweepInterval = time.Second
 
-// RunSweep sweeps until ctx ends. The present time comes from clock.
+// RunSweep sweeps expired claims until ctx ends. It takes the present time from clock.
 func (s *Store) RunSweep(ctx context.Context, clock func() time.Time, owns func(shard string) bool) {
-	backoff := objectapi.Backoff{Min: sweepEvery, Max: time.Minute}
-	wait := sweepEvery
+	backoff := objectapi.Backoff{Min: sweepInterval, Max: time.Minute}
+	wait := sweepInterval
 	for s.opts.Pause(ctx, wait) == nil {
-		wait = sweepEvery
+		wait = sweepInterval
 		if _, err := s.Sweep(ctx, clock(), owns); err != nil {
 			s.opts.Log.Debug().Err(err).Msg("claims not swept")
-			wait = max(sweepEvery, backoff.Fail())
+			wait = max(sweepInterval, backoff.Fail())
 			continue
 		}
 		backoff.Reset()
 	}
 }
 
-// sweeper remembers where the sweep of each shard goes on.
+// sweeper holds the list cursor of each shard and the next shard to sweep.
 type sweeper struct {
 	mu      sync.Mutex
 	next    int
@@ -46,11 +46,11 @@
 	return sweeper{cursors: map[string]string{}}
 }
 
-// turn answers the next shard that this instance owns, after the last one.
-func (w *sweeper) turn(owns func(shard string) bool) (shard string, ok bool) {
-	for range shards {
-		shard = shards[w.next : w.next+1]
-		w.next = (w.next + 1) % len(shards)
+// nextShard returns the next shard, after the last one, that this instance owns.
+func (w *sweeper) nextShard(owns func(shard string) bool) (shard string, ok bool) {
+	for range shardNames {
+		shard = shardNames[w.next : w.next+1]
+		w.next = (w.next + 1) % len(shardNames)
 		if owns(shard) {
 			return shard, true
 		}
@@ -58,21 +58,20 @@
 	return "", false
 }
 
-// Sweep reads one page of claims of a shard that this instance owns, deletes
-// the expired ones and answers how many. Owners follow by rendezvous hash
-// from the roster; when two own a shard for a while, the deletes are
-// conditional, so they do no harm.
+// Sweep reads one page of claims of a shard that this instance owns, deletes the
+// expired ones and returns their number. Owners follow from the roster by rendezvous
+// hashing; two owners of a shard for a while do no harm, as the deletes are conditional.
 //
-// What bounds the claims kept is their rate times the retention.
+// The number of claims kept is at most their rate times the retention.
 func (s *Store) Sweep(ctx context.Context, now time.Time, owns func(shard string) bool) (int, error) {
 	w := &s.sweeper
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	shard, ok := w.turn(owns)
+	shard, ok := w.nextShard(owns)
 	if !ok {
 		return 0, nil
 	}
-	page, err := s.opts.Objects.ListPage(ctx, kindPrefix+shard, w.cursors[shard], sweepPage)
+	page, err := s.opts.Objects.ListPage(ctx, kindPrefix+shard, w.cursors[shard], sweepPageSize)
 	if err != nil {
 		return 0, merry.Wrap(err)
 	}
