--- a/internal/roster/ages.go
+++ b/internal/roster/ages.go
@@ -6,35 +6,34 @@
 )
 
 const (
-	// ageUnit is the unit of the ages that are passed on. An age is rounded up
-	// at each step on its way, by a hundredth of a lease at the most.
+	// ageUnit is the unit of forwarded ages. Each hop rounds an age up, by at most
+	// a hundredth of a lease.
 	ageUnit = 20 * time.Millisecond
-	// ageUnknown marks an instance of which nothing is known, or only from
-	// longer ago than a byte can say.
+	// ageUnknown marks an instance that was never seen, or whose age exceeds the
+	// range of a byte.
 	ageUnknown = 255
 )
 
-// sighting says that an instance of the roster was at the epoch in force at
-// some moment not before at, with a configuration no newer than version.
-type sighting struct {
+// lastSeen says that an instance of the roster was at the current epoch at some
+// time not before at, with a configuration no newer than version.
+type lastSeen struct {
 	at      time.Time
 	version int64
 }
 
-// Ages returns for each instance of the roster how long before now it was last
-// known to be at the epoch in force, with a configuration no newer than
-// version: one byte each in units of 20 ms.
+// Ages returns, for each instance of the roster, how long before now it was last
+// known to be at the current epoch with a configuration no newer than version: one
+// byte each, in units of 20 ms.
 //
-// The load it is for: an outage of the platform at 350 instances, of which each
-// exchanges heartbeats with some ten. The harm it prevents: nobody hears more
-// than half of the roster within a lease, and every instance stops taking new
-// work at the same moment.
+// During a platform outage, each of 350 instances exchanges heartbeats with only about
+// ten others. Without forwarded ages none would hear from more than half of the roster
+// within a lease, and all would stop accepting new work at the same time.
 //
-// An age may be too old but never too young: it is rounded up here, and who
-// takes it in counts it from the moment at which it sent its question.
+// An age may be too high but never too low: it is rounded up here, and the receiver
+// counts it from the time at which it sent its heartbeat.
 func (l *Lease) Ages(now time.Time, version int64) []byte {
-	ages := make([]byte, len(l.sightings))
-	for i, s := range l.sightings {
+	ages := make([]byte, len(l.lastSeen))
+	for i, s := range l.lastSeen {
 		switch {
 		case l.roster.Instances[i].ID == l.self.ID && l.roster.Instances[i].Incarnation == l.self.Incarnation:
 			ages[i] = 0
@@ -48,60 +47,60 @@
 	return ages
 }
 
-// PassedOn notes the ages in the answer of a peer at epoch, whose configuration
-// had version, to a heartbeat sent at sentAt.
+// PassedOn records the ages in the response of a peer, at epoch and with a
+// configuration of version, to a heartbeat sent at sentAt.
 //
-// The ages count from sentAt, not from the receipt: the answer may have been
-// under way for any time, and its sender or this process paused meanwhile. For
-// that reason ages are taken from answers only. Of a heartbeat that comes
-// unasked the receiver can't tell when it was made.
+// The ages count from sentAt, not from the receipt: the response may have been
+// delayed, or its sender or this process paused meanwhile. For the same reason ages
+// are accepted only in responses: the receiver of a heartbeat can't tell when it was
+// made.
 func (l *Lease) PassedOn(sentAt time.Time, epoch, version int64, ages []byte) {
-	if epoch != l.roster.Epoch || len(ages) != len(l.sightings) {
+	if epoch != l.roster.Epoch || len(ages) != len(l.lastSeen) {
 		return
 	}
 	for i, age := range ages {
 		if age != ageUnknown {
-			l.sighted(i, sighting{sentAt.Add(-time.Duration(age) * ageUnit), version})
+			l.updateLastSeen(i, lastSeen{sentAt.Add(-time.Duration(age) * ageUnit), version})
 		}
 	}
 }
 
-func (l *Lease) sighted(i int, s sighting) {
-	if s.at.After(l.sightings[i].at) {
-		l.sightings[i] = s
+func (l *Lease) updateLastSeen(i int, s lastSeen) {
+	if s.at.After(l.lastSeen[i].at) {
+		l.lastSeen[i] = s
 	}
 }
 
-// majority reports whether more than half of the roster was at this epoch
-// within the last lease. With the platform down for everybody it is what keeps
-// the owners at their full limits; the smaller side of a cut has none and stops.
+// recentMajority reports whether more than half of the roster was at this epoch
+// within the last lease. It keeps the owners at their full limits during a platform
+// outage; the smaller side of a network partition has no majority and stops.
 //
-// It makes no difference who saw an instance at this epoch: a new owner waits
-// from the moment when half of the roster has left the epoch, and no sighting
-// of these can be from after that moment.
-func (l *Lease) majority(now time.Time) bool {
+// It doesn't matter which instance saw another at this epoch: a new owner waits
+// from the time when half of the roster has left the epoch, and none of these can
+// have been seen at the epoch after that time.
+func (l *Lease) recentMajority(now time.Time) bool {
 	n := 1
-	for i, s := range l.sightings {
-		if l.roster.Instances[i].ID != l.self.ID && l.fresh(now, s.at) {
+	for i, s := range l.lastSeen {
+		if l.roster.Instances[i].ID != l.self.ID && l.withinLease(now, s.at) {
 			n++
 		}
 	}
-	return 2*n > len(l.sightings)
+	return 2*n > len(l.lastSeen)
 }
 
-// MajoritySince returns the latest moment since which more than half of the
-// roster was at this epoch with a configuration no newer than version; false if
-// there is none. It includes this instance, at now.
+// MajoritySince returns the latest time since which more than half of the roster
+// was seen at this epoch with a configuration no newer than version; false if there
+// is none. It counts this instance as seen now.
 func (l *Lease) MajoritySince(now time.Time, version int64) (time.Time, bool) {
 	if !l.roster.Has(l.self.ID, l.self.Incarnation) {
 		return time.Time{}, false
 	}
-	needed := len(l.sightings) / 2
+	needed := len(l.lastSeen) / 2
 	if needed == 0 {
 		return now, true
 	}
 	var seen []time.Time
-	for i, s := range l.sightings {
+	for i, s := range l.lastSeen {
 		if l.roster.Instances[i].ID != l.self.ID && !s.at.IsZero() && s.version <= version {
 			seen = append(seen, s.at)
 		}
--- a/internal/roster/ages_exhaustive_test.go
+++ b/internal/roster/ages_exhaustive_test.go
@@ -7,176 +7,178 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The caller sees no server with two owners while the platform is down. Half of
-// four instances leave an epoch for the next; from then on a new owner counts
-// one lease. The others ask each other and pass on what they heard, with answers
-// late or lost. In every order of these, one lease after half have left nobody is
-// confirmed in the old epoch, because no age that is passed on is too young.
+// Guards against two owners of one server during a platform outage. Half of four
+// instances adopt the next epoch, from when a new owner waits one lease, while the
+// others exchange heartbeats and forward ages, with delayed or lost responses. In
+// every order, one lease later no instance may be confirmed in the old epoch, as it
+// would be by a forwarded age that is too low.
 
-const agesInstances = 4
+const ageModelInstances = 4
 
-// ageWorld is one state: a lease is a tick, so an age is either of this tick or
-// too old. The last two instances leave: any two might, but all are alike.
-type ageWorld struct {
+// ageState is one state of the model. A lease is one tick, so an age is either of
+// this tick or too old. The last two instances adopt the next epoch; by symmetry,
+// any two others would do the same.
+type ageState struct {
 	ticks  int
 	leases []*Lease
-	// askers is how many ask, from the first on, and late the answer under way
-	// to the first, if there may be one.
-	askers    int
-	mayBeLate bool
-	late      *lateAnswer
-	// halfLeft is the tick in which half had left the first epoch, or -1.
-	halfLeft int
+	// senders is the number of instances, from the first on, that send heartbeats.
+	// delayed is the delayed response to the first, if allowDelay permits one.
+	senders    int
+	allowDelay bool
+	delayed    *delayedAnswer
+	// halfLeftTick is the tick in which half had left the first epoch, or -1.
+	halfLeftTick int
 }
 
-func newAgeWorld(askers int, mayBeLate bool) *ageWorld {
+func newAgeState(askers int, mayBeLate bool) *ageState {
 	var first Object
-	for i := range agesInstances {
+	for i := range ageModelInstances {
 		first.Instances = append(first.Instances, modelInstance(i))
 	}
-	w := &ageWorld{askers: askers, mayBeLate: mayBeLate, halfLeft: -1}
-	for i := range agesInstances {
+	m := &ageState{senders: askers, allowDelay: mayBeLate, halfLeftTick: -1}
+	for i := range ageModelInstances {
 		l := NewLease(modelInstance(i), shortTiming)
 		l.Adopt(at(0), New(1, first))
-		w.leases = append(w.leases, l)
+		m.leases = append(m.leases, l)
 	}
-	return w
+	return m
 }
 
-func (w *ageWorld) clone() *ageWorld {
-	c := *w
-	c.leases = slices.Clone(w.leases)
+func (m *ageState) clone() *ageState {
+	c := *m
+	c.leases = slices.Clone(m.leases)
 	return &c
 }
 
-// own makes the lease of i one that only this state has.
-func (w *ageWorld) own(i int) *Lease {
-	l := *w.leases[i]
-	l.sightings = slices.Clone(l.sightings)
+// mutableLease replaces the lease of i by a copy that no other state shares.
+func (m *ageState) mutableLease(i int) *Lease {
+	l := *m.leases[i]
+	l.lastSeen = slices.Clone(l.lastSeen)
 	l.acks = map[string]ack{}
-	w.leases[i] = &l
+	m.leases[i] = &l
 	return &l
 }
 
-func (w *ageWorld) key() string {
-	now := at(w.ticks)
-	k := []byte{byte(min(w.ticks-w.halfLeft, 2))}
-	if w.halfLeft < 0 {
+func (m *ageState) key() string {
+	now := at(m.ticks)
+	k := []byte{byte(min(m.ticks-m.halfLeftTick, 2))}
+	if m.halfLeftTick < 0 {
 		k[0] = ageUnknown
 	}
-	for _, l := range w.leases {
+	for _, l := range m.leases {
 		k = append(k, byte(l.roster.Epoch))
-		for _, s := range l.sightings {
+		for _, s := range l.lastSeen {
 			k = append(k, byte(min(now.Sub(s.at)/tick, 1)))
 		}
 	}
-	if w.late != nil {
-		k = append(k, byte(w.late.i), byte(w.late.j), byte(min(w.ticks-w.late.sent, 1)))
-		k = append(k, w.late.ages...)
+	if m.delayed != nil {
+		k = append(k, byte(m.delayed.i), byte(m.delayed.j), byte(min(m.ticks-m.delayed.sent, 1)))
+		k = append(k, m.delayed.ages...)
 	}
 	return string(k)
 }
 
-// ask is a question of i that j answers now; late, the answer is under way.
-func (w *ageWorld) ask(i, j int, late bool) {
-	to := w.leases[j]
-	if w.leases[i].roster.Epoch != 1 || to.roster.Epoch != 1 {
+// heartbeat sends a heartbeat from i to j, whose response arrives now or, if delayed
+// is true, with a later event.
+func (m *ageState) heartbeat(i, j int, delayed bool) {
+	to := m.leases[j]
+	if m.leases[i].roster.Epoch != 1 || to.roster.Epoch != 1 {
 		return
 	}
-	a := &lateAnswer{i: i, j: j, sent: w.ticks, ages: to.Ages(at(w.ticks), 0)}
-	if late {
-		w.late = a
+	a := &delayedAnswer{i: i, j: j, sent: m.ticks, ages: to.Ages(at(m.ticks), 0)}
+	if delayed {
+		m.delayed = a
 		return
 	}
-	w.take(a)
+	m.apply(a)
 }
 
-func (w *ageWorld) take(a *lateAnswer) {
-	l := w.own(a.i)
-	l.Acked(at(w.ticks), at(a.sent), modelIDs[a.j], 1, 0)
+func (m *ageState) apply(a *delayedAnswer) {
+	l := m.mutableLease(a.i)
+	l.Acked(at(m.ticks), at(a.sent), modelIDs[a.j], 1, 0)
 	l.PassedOn(at(a.sent), 1, 0, a.ages)
 }
 
-func (w *ageWorld) leave(i int) {
-	next := w.leases[i].roster.Object()
+func (m *ageState) adoptNext(i int) {
+	next := m.leases[i].roster.Object()
 	next.Number++
-	w.own(i).Adopt(at(w.ticks), New(2, next))
+	m.mutableLease(i).Adopt(at(m.ticks), New(2, next))
 	left := 0
-	for _, l := range w.leases {
+	for _, l := range m.leases {
 		left += int(l.roster.Epoch) - 1
 	}
-	if left >= (agesInstances+1)/2 && w.halfLeft < 0 {
-		w.halfLeft = w.ticks
+	if left >= (ageModelInstances+1)/2 && m.halfLeftTick < 0 {
+		m.halfLeftTick = m.ticks
 	}
 }
 
-// next returns the states that may follow.
-func (w *ageWorld) next() []*ageWorld {
-	var out []*ageWorld
-	do := func(change func(*ageWorld)) {
-		c := w.clone()
+// next returns the possible successor states.
+func (m *ageState) next() []*ageState {
+	var out []*ageState
+	do := func(change func(*ageState)) {
+		c := m.clone()
 		change(c)
 		out = append(out, c)
 	}
-	for i, l := range w.leases {
+	for i, l := range m.leases {
 		if l.roster.Epoch != 1 {
 			continue
 		}
-		if i >= agesInstances/2 {
-			do(func(c *ageWorld) { c.leave(i) })
+		if i >= ageModelInstances/2 {
+			do(func(c *ageState) { c.adoptNext(i) })
 		}
-		for j := range w.leases {
-			if i != j && i < w.askers {
-				do(func(c *ageWorld) { c.ask(i, j, false) })
+		for j := range m.leases {
+			if i != j && i < m.senders {
+				do(func(c *ageState) { c.heartbeat(i, j, false) })
 			}
-			if i != j && i == 0 && w.mayBeLate {
-				do(func(c *ageWorld) { c.ask(i, j, true) })
+			if i != j && i == 0 && m.allowDelay {
+				do(func(c *ageState) { c.heartbeat(i, j, true) })
 			}
 		}
 	}
-	if w.late != nil {
-		do(func(c *ageWorld) { c.late = nil; c.take(w.late) })
+	if m.delayed != nil {
+		do(func(c *ageState) { c.delayed = nil; c.apply(m.delayed) })
 	}
-	do(func(c *ageWorld) { c.ticks++ })
+	do(func(c *ageState) { c.ticks++ })
 	return out
 }
 
-func TestPassedOnAgesOutliveNoEpoch(t *testing.T) {
-	tests := map[string]*ageWorld{
-		"all ask": newAgeWorld(agesInstances, false),
-		// With three that ask it is 3,907,794 states and some minutes.
-		"late answers to one": newAgeWorld(agesInstances/2, true),
+func TestForwardedAgesConfirmNoOldEpoch(t *testing.T) {
+	tests := map[string]*ageState{
+		"all send heartbeats": newAgeState(ageModelInstances, false),
+		// Three senders give 3,907,794 states and take some minutes.
+		"delayed responses to one": newAgeState(ageModelInstances/2, true),
 	}
 	for name, start := range tests {
 		t.Run(name, func(t *testing.T) {
 			seen := map[string]bool{start.key(): true}
-			queue := []*ageWorld{start}
-			confirmed, over := 0, 0
+			queue := []*ageState{start}
+			confirmed, expired := 0, 0
 			for len(queue) > 0 {
-				w := queue[0]
+				m := queue[0]
 				queue = queue[1:]
-				late := w.halfLeft >= 0 && at(w.ticks).Sub(at(w.halfLeft)) >= shortTiming.Lease
-				for _, l := range w.leases {
-					// Nobody asks in the next epoch, so nothing confirms it.
-					require.False(t, l.roster.Epoch > 1 && l.Confirmed(at(w.ticks)), "confirmed by what was seen in the epoch before")
-					if l.roster.Epoch == 1 && l.Confirmed(at(w.ticks)) {
+				leaseExpired := m.halfLeftTick >= 0 && at(m.ticks).Sub(at(m.halfLeftTick)) >= shortTiming.Lease
+				for _, l := range m.leases {
+					// No heartbeats are sent in the next epoch, so nothing confirms it.
+					require.False(t, l.roster.Epoch > 1 && l.Confirmed(at(m.ticks)), "confirmed by ages of the previous epoch")
+					if l.roster.Epoch == 1 && l.Confirmed(at(m.ticks)) {
 						confirmed++
-						require.False(t, late, "confirmed in an epoch that half have left a lease ago")
+						require.False(t, leaseExpired, "confirmed in an epoch that half left a lease ago")
 					}
 				}
-				if late {
-					over++
+				if leaseExpired {
+					expired++
 				}
-				for _, c := range w.next() {
+				for _, c := range m.next() {
 					if k := c.key(); !seen[k] {
 						seen[k] = true
 						queue = append(queue, c)
 					}
 				}
 			}
-			t.Logf("%d states, %d confirmations, %d states a lease after half have left", len(seen), confirmed, over)
-			require.Positive(t, confirmed, "nobody was ever confirmed: it proves nothing")
-			require.Positive(t, over)
+			t.Logf("%d states, %d confirmations, %d states a lease after half have left", len(seen), confirmed, expired)
+			require.Positive(t, confirmed, "no instance was ever confirmed, so nothing is tested")
+			require.Positive(t, expired)
 		})
 	}
 }
--- a/internal/roster/guard.go
+++ b/internal/roster/guard.go
@@ -2,60 +2,64 @@
 
 import "time"
 
-// Guard stops an instance that was paused from sending.
+// Guard stops an instance that was paused from sending new work.
 //
-// A process that was frozen, or starved, for longer than it takes others to
-// replace it would act on what was true before.
-// A duty calls [Guard.Beat] every [BeatEvery]; a gap longer than [MaxGap] can
-// only mean a pause. From then on nothing new is sent until configuration and
-// roster were confirmed by calls made after the gap. It is enough because the
-// gap itself is also checked: a sender that runs before the duty does sees an
-// old beat.
+// A process that was frozen, or starved of CPU, for longer than the others take to
+// replace it would act on outdated state. A background task calls [Guard.Beat]
+// every [BeatEvery]; a gap longer than [MaxGap] means a pause. From then on no new
+// work is sent until calls made after the gap have confirmed configuration and
+// roster. [Guard.Allowed] checks the gap itself too, so a sender that runs before
+// the background task does is also stopped.
 type Guard struct {
-	beat      time.Time
-	resumed   time.Time
-	config    time.Time
-	roster    time.Time
-	suspended bool
+	lastTick          time.Time
+	resumedAt         time.Time
+	configConfirmedAt time.Time
+	rosterConfirmedAt time.Time
+	suspended         bool
 }
 
 const (
-	// BeatEvery is the period of the watch on the monotonic clock.
+	// BeatEvery is the period of the pause check on the monotonic clock.
 	BeatEvery = 100 * time.Millisecond
-	// MaxGap is the longest gap that is not taken for a pause. It is above
-	// what a busy machine makes of the period, and below a permit's life.
+	// MaxGap is the longest gap that doesn't count as a pause. It is longer than
+	// the delays of a busy machine and shorter than the validity of a permit.
 	MaxGap = time.Second
 )
 
-// Beat notes that the process runs. It reports whether it was paused before.
+// Beat records that the process runs at now. It reports whether it was paused before.
 func (g *Guard) Beat(now time.Time) bool {
-	paused := !g.beat.IsZero() && now.Sub(g.beat) > MaxGap
+	paused := !g.lastTick.IsZero() && now.Sub(g.lastTick) > MaxGap
 	if paused {
-		g.suspended, g.resumed = true, now
+		g.suspended, g.resumedAt = true, now
 	}
-	g.beat = now
+	g.lastTick = now
 	return paused
 }
 
-// ConfigConfirmed and RosterConfirmed note that a call made at askedAt showed
-// what is in force here to be current.
-func (g *Guard) ConfigConfirmed(askedAt time.Time) { g.config = later(g.config, askedAt); g.resume() }
+// ConfigConfirmed records that a call sent at sentAt confirmed the configuration.
+func (g *Guard) ConfigConfirmed(sentAt time.Time) {
+	g.configConfirmedAt = latest(g.configConfirmedAt, sentAt)
+	g.resume()
+}
 
-// RosterConfirmed is the same for the roster.
-func (g *Guard) RosterConfirmed(askedAt time.Time) { g.roster = later(g.roster, askedAt); g.resume() }
+// RosterConfirmed records that a call sent at sentAt confirmed the roster.
+func (g *Guard) RosterConfirmed(sentAt time.Time) {
+	g.rosterConfirmedAt = latest(g.rosterConfirmedAt, sentAt)
+	g.resume()
+}
 
 func (g *Guard) resume() {
-	if g.suspended && g.config.After(g.resumed) && g.roster.After(g.resumed) {
+	if g.suspended && g.configConfirmedAt.After(g.resumedAt) && g.rosterConfirmedAt.After(g.resumedAt) {
 		g.suspended = false
 	}
 }
 
 // Allowed reports whether new work may be sent at now.
 func (g *Guard) Allowed(now time.Time) bool {
-	return !g.suspended && !g.beat.IsZero() && now.Sub(g.beat) <= MaxGap
+	return !g.suspended && !g.lastTick.IsZero() && now.Sub(g.lastTick) <= MaxGap
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
--- a/internal/roster/lease_exhaustive_test.go
+++ b/internal/roster/lease_exhaustive_test.go
@@ -14,16 +14,16 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// The caller sees a cold server that can handle C requests. Its owner is cut off
-// from its deputy, from the platform or from both, is frozen, or is removed
-// from the roster while it runs on; answers are late or lost; permits are used
-// at their last moment. Whatever the order of these events, at most C requests
-// run, because each holder's right ends before the next one's starts.
+// Guards against a crash of a cold server, with cold limit C, by more than C requests.
+// Its owner is cut off from the deputy, the platform or both, is frozen, or is removed
+// from the roster while it runs; responses are delayed or lost; permits are used at
+// the last moment. In any order of these events at most C requests run, because the
+// right of each instance ends before that of the next begins.
 //
-// Time goes in ticks. Two instances and one removal are visited in every order,
-// with a lease of one tick and load reports at the start of each
-// tick; three instances and several rosters in random orders, with a lease of
-// two and reports of any age.
+// Time advances in ticks. Two instances and one removal are explored exhaustively,
+// with a lease of one tick and load reports at the start of each tick; more instances
+// and several rosters in random orders, with a lease of two ticks and reports of any
+// age.
 
 const tick = time.Second
 
@@ -32,47 +32,47 @@
 	longTiming  = Timing{Lease: 2 * tick, Permit: permitTicks * tick}
 )
 
-// permitTicks is a permit's life: it may be used in the tick in which it is
-// given and in the next.
+// permitTicks is the validity of a permit: it may be used in the tick in which it is
+// granted and in the next.
 const permitTicks = 2
 
-// oldest is the age in ticks above which the age of an event changes nothing:
-// it is more than a takeover.
-const oldest = 4
+// maxAgeTicks is the age in ticks from which on the exact age of an event doesn't
+// matter, as it is longer than a takeover.
+const maxAgeTicks = 4
 
-// world is one state of the model.
-type world struct {
+// modelState is one state of the model.
+type modelState struct {
 	ticks  int
 	server Server
 	leases []*Lease
-	// seen is the last load report of each instance.
-	seen []report
-	// running counts the requests of each giver on the server; unsent holds
-	// the ticks in which its permits not yet used were given.
-	running  []int
-	unsent   [][]int
-	platform *Roster
-	// late holds answers under way.
-	late []lateAnswer
-	// reports says that each tick starts with load reports to all.
-	reports bool
+	// loadReports is the last load report of each instance.
+	loadReports []loadReport
+	// running counts the requests of each instance on the server; unusedPermits
+	// holds the ticks in which its unused permits were granted.
+	running       []int
+	unusedPermits [][]int
+	platform      *Roster
+	// delayed holds the delayed responses.
+	delayed []delayedAnswer
+	// pollEachTick says whether each tick starts with load polls by both instances.
+	pollEachTick bool
 }
 
-// report tells how many requests of others were running, and when.
-type report struct {
-	tick    int
-	foreign int
-	valid   bool
+// loadReport says how many requests of other instances were running, and in which tick.
+type loadReport struct {
+	tick   int
+	others int
+	valid  bool
 }
 
-// lateAnswer is the answer of instance j to a heartbeat of i, as it was made.
-type lateAnswer struct {
+// delayedAnswer is the response of instance j to a heartbeat of i sent in tick sent.
+type delayedAnswer struct {
 	i, j, sent int
 	epoch      int64
 	ages       []byte
 }
 
-// event is one thing that may happen within a tick.
+// event is one event within a tick; i and j are the instances concerned.
 type event struct {
 	kind kind
 	i, j int
@@ -81,23 +81,24 @@
 type kind int
 
 const (
-	// grant gives a permit as admission does.
+	// grant grants a permit as admission does.
 	grant kind = iota
-	// beat is a heartbeat from i to j with its answer; of lostBeat the answer
-	// is lost, and of lateBeat it is under way until an event arrive.
-	beat
-	lostBeat
-	lateBeat
+	// heartbeat is a heartbeat from i to j with its response. The response is lost
+	// with heartbeatAnswerLost, and delayed until an arrive event with
+	// heartbeatAnswerDelayed.
+	heartbeat
+	heartbeatAnswerLost
+	heartbeatAnswerDelayed
 	arrive
 	// confirm reads the platform's roster.
 	confirm
-	// poll takes a load report, end lets a request of i finish.
+	// poll reads a load report; end finishes a request of i.
 	poll
 	end
-	// write stores the next roster: without i, or with it again.
+	// write stores the next roster, with i removed or added again.
 	write
-	// pass moves time on by a tick.
-	pass
+	// advance advances time by a tick.
+	advance
 )
 
 func at(ticks int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ticks) * tick) }
@@ -108,114 +109,114 @@
 	return Instance{ID: modelIDs[i], Incarnation: "a"}
 }
 
-// newWorld starts with n instances in the first roster; instance 0 owns the
-// server and 1 is its deputy.
-func newWorld(t require.TestingT, n, cold int, timing Timing) *world {
+// newModelState returns the state of n instances with the first roster, in which
+// instance 0 owns the server and instance 1 is its deputy.
+func newModelState(t require.TestingT, n, cold int, timing Timing) *modelState {
 	first := Object{Number: 1}
 	for i := range n {
 		first.Instances = append(first.Instances, modelInstance(i))
 	}
-	w := &world{
-		platform: New(1, first),
-		seen:     make([]report, n),
-		running:  make([]int, n),
-		unsent:   make([][]int, n),
+	m := &modelState{
+		platform:      New(1, first),
+		loadReports:   make([]loadReport, n),
+		running:       make([]int, n),
+		unusedPermits: make([][]int, n),
 	}
 	for i := range 1000 {
-		w.server = Server{Name: fmt.Sprintf("engine-%d", i), ColdLimit: cold}
-		owner, _ := w.platform.Owner(w.server.Name, "")
-		deputy, _ := w.platform.Deputy(w.server.Name, "")
+		m.server = Server{Name: fmt.Sprintf("engine-%d", i), ColdLimit: cold}
+		owner, _ := m.platform.Owner(m.server.Name, "")
+		deputy, _ := m.platform.Deputy(m.server.Name, "")
 		if owner.ID == "i0" && deputy.ID == "i1" {
 			break
 		}
-		require.Less(t, i, 999, "no server found")
+		require.Less(t, i, 999, "no server name with this owner and deputy")
 	}
 	for i := range n {
 		l := NewLease(modelInstance(i), timing)
-		l.Adopt(at(0), w.platform)
-		l.Confirm(at(0), w.platform.Epoch)
-		w.leases = append(w.leases, l)
+		l.Adopt(at(0), m.platform)
+		l.Confirm(at(0), m.platform.Epoch)
+		m.leases = append(m.leases, l)
 	}
-	return w
+	return m
 }
 
-func (w *world) clone() *world {
-	c := *w
-	c.seen, c.running = slices.Clone(w.seen), slices.Clone(w.running)
-	c.leases, c.unsent, c.late = slices.Clone(w.leases), slices.Clone(w.unsent), slices.Clone(w.late)
-	for i, l := range w.leases {
+func (m *modelState) clone() *modelState {
+	c := *m
+	c.loadReports, c.running = slices.Clone(m.loadReports), slices.Clone(m.running)
+	c.leases, c.unusedPermits, c.delayed = slices.Clone(m.leases), slices.Clone(m.unusedPermits), slices.Clone(m.delayed)
+	for i, l := range m.leases {
 		d := *l
 		d.acks, d.promises = maps.Clone(l.acks), maps.Clone(l.promises)
-		d.stopped, d.held = maps.Clone(l.stopped), maps.Clone(l.held)
-		d.heldBefore = maps.Clone(l.heldBefore)
-		d.sightings = slices.Clone(l.sightings)
+		d.stopped, d.ownedSince = maps.Clone(l.stopped), maps.Clone(l.ownedSince)
+		d.ownedBefore = maps.Clone(l.ownedBefore)
+		d.lastSeen = slices.Clone(l.lastSeen)
 		c.leases[i] = &d
-		c.unsent[i] = slices.Clone(w.unsent[i])
+		c.unusedPermits[i] = slices.Clone(m.unusedPermits[i])
 	}
 	return &c
 }
 
-// key identifies a state by the ages of its events, so that each is visited
-// once however late it is reached.
-func (w *world) key() string {
+// key identifies a state by the ages of its events instead of their times, so that
+// equal states reached in different ticks are visited once.
+func (m *modelState) key() string {
 	k := make([]byte, 0, 64)
 	age := func(t time.Time) {
-		k = append(k, byte(min(oldest, int(at(w.ticks).Sub(t)/tick))+oldest))
+		k = append(k, byte(min(maxAgeTicks, int(at(m.ticks).Sub(t)/tick))+maxAgeTicks))
 	}
-	capped := func(t time.Time, most int) {
-		k = append(k, byte(min(most, int(at(w.ticks).Sub(t)/tick))+oldest))
+	cappedAge := func(t time.Time, limit int) {
+		k = append(k, byte(min(limit, int(at(m.ticks).Sub(t)/tick))+maxAgeTicks))
 	}
 	number := func(n int) { k = append(k, byte(n)) }
-	number(int(w.platform.Epoch))
-	for i, l := range w.leases {
-		number(w.running[i])
-		number(len(w.unsent[i]))
-		for _, given := range w.unsent[i] {
-			age(at(given))
+	number(int(m.platform.Epoch))
+	for i, l := range m.leases {
+		number(m.running[i])
+		number(len(m.unusedPermits[i]))
+		for _, granted := range m.unusedPermits[i] {
+			age(at(granted))
 		}
-		number(w.seen[i].foreign)
-		if w.mayGrant(i) {
+		number(m.loadReports[i].others)
+		if m.mayGrant(i) {
 			number(1)
 		}
-		age(at(w.seen[i].tick))
+		age(at(m.loadReports[i].tick))
 		number(int(l.roster.Epoch))
 		age(l.adoptedAt)
-		capped(l.confirmedAt, 1)
-		age(l.held[w.server.Name])
-		age(l.heldBefore[w.server.Name])
-		for p := range w.leases {
+		cappedAge(l.confirmedAt, 1)
+		age(l.ownedSince[m.server.Name])
+		age(l.ownedBefore[m.server.Name])
+		for p := range m.leases {
 			id := modelIDs[p]
-			capped(l.acks[id].since, 3)
-			capped(l.acks[id].sent, 1)
-			if p < len(l.sightings) {
-				capped(l.sightings[p].at, 1)
+			cappedAge(l.acks[id].since, 3)
+			cappedAge(l.acks[id].sent, 1)
+			if p < len(l.lastSeen) {
+				cappedAge(l.lastSeen[p].at, 1)
 			}
-			capped(l.promises[id], 3)
-			capped(l.stopped[id], 4)
+			cappedAge(l.promises[id], 3)
+			cappedAge(l.stopped[id], 4)
 		}
 	}
 	return string(k)
 }
 
-// apply returns the state after e, or nil when e can't happen.
-func (w *world) apply(e event) *world {
-	c := w.clone()
+// apply returns the state after e, or nil if e isn't possible.
+func (m *modelState) apply(e event) *modelState {
+	c := m.clone()
 	now := at(c.ticks)
 	switch e.kind {
 	case grant:
 		if !c.mayGrant(e.i) {
 			return nil
 		}
-		c.unsent[e.i] = append(c.unsent[e.i], c.ticks)
-	case beat, lostBeat, lateBeat:
-		c.beat(e.i, e.j, e.kind)
+		c.unusedPermits[e.i] = append(c.unusedPermits[e.i], c.ticks)
+	case heartbeat, heartbeatAnswerLost, heartbeatAnswerDelayed:
+		c.heartbeat(e.i, e.j, e.kind)
 	case arrive:
-		if len(c.late) == 0 {
+		if len(c.delayed) == 0 {
 			return nil
 		}
-		a := c.late[0]
-		c.late = c.late[1:]
-		c.answered(a)
+		a := c.delayed[0]
+		c.delayed = c.delayed[1:]
+		c.receiveAnswer(a)
 	case confirm:
 		c.leases[e.i].Adopt(now, c.platform)
 		c.leases[e.i].Confirm(now, c.platform.Epoch)
@@ -230,9 +231,9 @@
 		if !c.write(e.i) {
 			return nil
 		}
-	case pass:
-		c.pass()
-		if c.reports {
+	case advance:
+		c.advance()
+		if c.pollEachTick {
 			c.poll(0)
 			c.poll(1)
 		}
@@ -240,56 +241,56 @@
 	return c
 }
 
-func (w *world) poll(i int) {
-	w.seen[i] = report{tick: w.ticks, valid: true}
-	for j, n := range w.running {
+func (m *modelState) poll(i int) {
+	m.loadReports[i] = loadReport{tick: m.ticks, valid: true}
+	for j, n := range m.running {
 		if j != i {
-			w.seen[i].foreign += n
+			m.loadReports[i].others += n
 		}
 	}
 }
 
-// mayGrant decides as admission does: within the right, on a report that is
-// new enough, counting what others had running.
-func (w *world) mayGrant(i int) bool {
-	right := w.leases[i].Right(at(w.ticks), w.server)
-	own := w.running[i] + len(w.unsent[i])
-	seen := w.seen[i]
-	if !seen.valid || at(seen.tick).Before(right.ReportAfter) {
+// mayGrant decides as admission does: within the right, on a recent enough load
+// report, counting the running requests of others.
+func (m *modelState) mayGrant(i int) bool {
+	right := m.leases[i].Right(at(m.ticks), m.server)
+	own := m.running[i] + len(m.unusedPermits[i])
+	report := m.loadReports[i]
+	if !report.valid || at(report.tick).Before(right.ReportAfter) {
 		return false
 	}
 	switch right.Role {
 	case permit.RoleOwner:
-		return own+seen.foreign < w.server.ColdLimit-right.Reserve
+		return own+report.others < m.server.ColdLimit-right.Reserve
 	case permit.RoleDeputy:
-		return own < right.Share && own+seen.foreign < w.server.ColdLimit
+		return own < right.Share && own+report.others < m.server.ColdLimit
 	default:
 		return false
 	}
 }
 
-func (w *world) beat(i, j int, k kind) {
-	from, to, now := w.leases[i], w.leases[j], at(w.ticks)
+func (m *modelState) heartbeat(i, j int, k kind) {
+	from, to, now := m.leases[i], m.leases[j], at(m.ticks)
 	to.Promise(now, from.self.ID, from.roster.Epoch)
 	to.Stopped(now, from.self.ID, from.roster.Epoch)
-	if k == lostBeat {
+	if k == heartbeatAnswerLost {
 		return
 	}
-	a := lateAnswer{i: i, j: j, sent: w.ticks, epoch: to.roster.Epoch}
+	a := delayedAnswer{i: i, j: j, sent: m.ticks, epoch: to.roster.Epoch}
 	if from.roster.Epoch == to.roster.Epoch {
 		a.ages = to.Ages(now, 0)
 	}
-	if k == lateBeat {
-		w.late = append(w.late, a)
+	if k == heartbeatAnswerDelayed {
+		m.delayed = append(m.delayed, a)
 		return
 	}
-	w.answered(a)
+	m.receiveAnswer(a)
 }
 
-// answered takes in an answer; one without ages was to a heartbeat of another
+// receiveAnswer applies a response; one without ages was to a heartbeat of another
 // epoch.
-func (w *world) answered(a lateAnswer) {
-	from, now := w.leases[a.i], at(w.ticks)
+func (m *modelState) receiveAnswer(a delayedAnswer) {
+	from, now := m.leases[a.i], at(m.ticks)
 	if a.ages != nil {
 		from.Acked(now, at(a.sent), modelIDs[a.j], a.epoch, 0)
 		from.PassedOn(at(a.sent), a.epoch, 0, a.ages)
@@ -297,92 +298,92 @@
 	from.Stopped(now, modelIDs[a.j], a.epoch)
 }
 
-// write stores a roster without i, or with it again, as [Propose] would: only
-// when most of the roster has adopted the last one, and never an empty one.
-func (w *world) write(i int) bool {
+// write stores a roster with i removed or added again, as [Propose] would: only when
+// more than half of the roster has adopted the last one, and never an empty one.
+func (m *modelState) write(i int) bool {
 	adopted, in := 0, false
-	for j, l := range w.leases {
-		if _, ok := w.platform.Find(modelInstance(j).ID); ok {
+	for j, l := range m.leases {
+		if _, ok := m.platform.Find(modelInstance(j).ID); ok {
 			in = in || j == i
-			if l.roster.Epoch == w.platform.Epoch {
+			if l.roster.Epoch == m.platform.Epoch {
 				adopted++
 			}
 		}
 	}
-	n := len(w.platform.Instances)
+	n := len(m.platform.Instances)
 	if 2*adopted <= n || in && n == 1 {
 		return false
 	}
-	instances := w.platform.Object().Instances
+	instances := m.platform.Object().Instances
 	if in {
 		instances = slices.DeleteFunc(instances, func(in Instance) bool { return in.ID == modelInstance(i).ID })
 	} else {
 		instances = append(instances, modelInstance(i))
 	}
-	w.platform = New(w.platform.Epoch+1, w.platform.Object().Next(instances))
+	m.platform = New(m.platform.Epoch+1, m.platform.Object().Next(instances))
 	return true
 }
 
-// pass ends a tick. Permits are used at their last moment, after the load
-// report of that tick, which is the worst.
-func (w *world) pass() {
-	for i := range w.unsent {
-		w.unsent[i] = slices.DeleteFunc(w.unsent[i], func(given int) bool {
-			if w.ticks-given < permitTicks-1 {
+// advance ends a tick. Permits are used as late as possible, after the load report of
+// that tick, which is the worst case.
+func (m *modelState) advance() {
+	for i := range m.unusedPermits {
+		m.unusedPermits[i] = slices.DeleteFunc(m.unusedPermits[i], func(granted int) bool {
+			if m.ticks-granted < permitTicks-1 {
 				return false
 			}
-			w.running[i]++
+			m.running[i]++
 			return true
 		})
 	}
-	w.ticks++
+	m.ticks++
 }
 
-func (w *world) total() int {
+func (m *modelState) total() int {
 	n := 0
-	for i := range w.running {
-		n += w.running[i]
+	for i := range m.running {
+		n += m.running[i]
 	}
 	return n
 }
 
-func TestColdServerBearsEveryOrderOfFailures(t *testing.T) {
+func TestColdLimitHoldsInEveryOrderOfFailures(t *testing.T) {
 	tests := map[string]struct {
-		cold, most int
+		cold, maxStates int
 	}{
-		"limit one, every state": {cold: 1, most: math.MaxInt},
-		// All 543,177 take the better part of a minute without the race detector; the first
-		// ones visited hold every kind of event.
-		"limit two, the first states": {cold: 2, most: 200_000},
+		"limit one, every state": {cold: 1, maxStates: math.MaxInt},
+		// All 543,177 states take the better part of a minute without the race detector;
+		// the first 200,000 contain every kind of event.
+		"limit two, first states": {cold: 2, maxStates: 200_000},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			visited, full := explore(t, newWorld(t, 2, tt.cold, shortTiming), tt.most)
+			visited, full := explore(t, newModelState(t, 2, tt.cold, shortTiming), tt.maxStates)
 			t.Logf("%d states, %d of them full", visited, full)
-			require.Positive(t, full, "the model never fills the server: it proves nothing")
+			require.Positive(t, full, "the model never fills the server, so nothing is tested")
 		})
 	}
 }
 
-// explore visits the states that are reachable with one removal of instance 0,
-// at most the given number.
-func explore(t *testing.T, start *world, most int) (visited, full int) {
-	events := []event{{kind: pass}, {kind: end}, {kind: write}}
+// explore visits the states reachable with one removal of instance 0, at most about
+// maxStates of them.
+func explore(t *testing.T, start *modelState, maxStates int) (visited, full int) {
+	events := []event{{kind: advance}, {kind: end}, {kind: write}}
 	for i := range 2 {
-		events = append(events, event{grant, i, 0}, event{beat, i, 1 - i}, event{lostBeat, i, 1 - i},
+		events = append(events, event{grant, i, 0}, event{heartbeat, i, 1 - i}, event{heartbeatAnswerLost, i, 1 - i},
 			event{confirm, i, 0})
 	}
-	start.reports = true
+	start.pollEachTick = true
 	seen := map[string]bool{start.key(): true}
-	stack := []*world{start}
-	for len(stack) > 0 && len(seen) < most {
-		w := stack[len(stack)-1]
+	stack := []*modelState{start}
+	for len(stack) > 0 && len(seen) < maxStates {
+		m := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		for _, e := range events {
-			if e.kind == write && w.platform.Epoch > 1 {
+			if e.kind == write && m.platform.Epoch > 1 {
 				continue
 			}
-			next := w.apply(e)
+			next := m.apply(e)
 			if next == nil {
 				continue
 			}
@@ -392,7 +393,7 @@
 			}
 			seen[k] = true
 			if next.total() > next.server.ColdLimit {
-				require.Failf(t, "too many", "%d run after event %v", next.total(), e)
+				require.Failf(t, "too many requests", "%d run after event %v", next.total(), e)
 			}
 			if next.total() == next.server.ColdLimit {
 				full++
@@ -403,18 +404,18 @@
 	return len(seen), full
 }
 
-func TestColdServerBearsRandomFailures(t *testing.T) {
-	// Weights of the kinds, so that leases are mostly kept and break now and
-	// then. Of three each asks both others. Of five each asks only the next one,
-	// and the platform rarely answers: they are confirmed by what is passed on.
+func TestColdLimitHoldsUnderRandomFailures(t *testing.T) {
+	// The weights of the kinds keep most leases and break some. Of three instances,
+	// each sends heartbeats to both others. Of five, each sends them only to the next,
+	// and the platform rarely answers, so that forwarded ages confirm them.
 	tests := map[string]struct {
 		instances, peers int
-		// seeds is how many orders are run; each is the same on every run.
+		// seeds is the number of random orders; seed n always gives the same order.
 		seeds   uint64
 		weights map[kind]int
 	}{
-		"three": {3, 2, 600, map[kind]int{grant: 6, beat: 14, lostBeat: 1, lateBeat: 1, arrive: 2, confirm: 5, poll: 5, end: 2, write: 1, pass: 1}},
-		"five":  {5, 1, 200, map[kind]int{grant: 6, beat: 30, lostBeat: 1, lateBeat: 6, arrive: 6, confirm: 2, poll: 5, end: 2, write: 1, pass: 1}},
+		"three": {3, 2, 600, map[kind]int{grant: 6, heartbeat: 14, heartbeatAnswerLost: 1, heartbeatAnswerDelayed: 1, arrive: 2, confirm: 5, poll: 5, end: 2, write: 1, advance: 1}},
+		"five":  {5, 1, 200, map[kind]int{grant: 6, heartbeat: 30, heartbeatAnswerLost: 1, heartbeatAnswerDelayed: 6, arrive: 6, confirm: 2, poll: 5, end: 2, write: 1, advance: 1}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -425,51 +426,51 @@
 				}
 			}
 			slices.Sort(kinds)
-			full, changed, passedOn := 0, 0, 0
+			full, changed, byForwardedAges := 0, 0, 0
 			for seed := range tt.seeds {
 				rng := rand.New(rand.NewPCG(seed, 0))
-				w := newWorld(t, tt.instances, 1+rng.IntN(3), longTiming)
-				quiet := rng.IntN(tt.instances + 1)
+				m := newModelState(t, tt.instances, 1+rng.IntN(3), longTiming)
+				isolated := rng.IntN(tt.instances + 1)
 				for range 300 + rng.IntN(1200) {
 					e := event{kind: kinds[rng.IntN(len(kinds))], i: rng.IntN(tt.instances)}
 					e.j = (e.i + 1 + rng.IntN(tt.peers)) % tt.instances
-					cut := e.i == quiet && e.kind != grant && w.ticks/8%2 == 1
+					cut := e.i == isolated && e.kind != grant && m.ticks/8%2 == 1
 					if cut || e.kind == write && rng.IntN(6) > 0 {
-						// One instance is cut off for some ticks, in most runs.
+						// In most orders one instance is cut off for some ticks.
 						continue
 					}
-					if next := w.apply(e); next != nil {
-						w = next
+					if next := m.apply(e); next != nil {
+						m = next
 					}
-					require.LessOrEqual(t, w.total(), w.server.ColdLimit, "seed %d", seed)
-					if w.total() == w.server.ColdLimit {
+					require.LessOrEqual(t, m.total(), m.server.ColdLimit, "seed %d", seed)
+					if m.total() == m.server.ColdLimit {
 						full++
 					}
-					if e.kind == grant && w.confirmedByOthers(e.i) {
-						passedOn++
+					if e.kind == grant && m.confirmedByForwardedAges(e.i) {
+						byForwardedAges++
 					}
 				}
-				changed += int(w.platform.Number) - 1
+				changed += int(m.platform.Number) - 1
 			}
-			t.Logf("%d steps with a full server, %d changes of the roster, %d grants looked for when only passed-on ages confirmed", full, changed, passedOn)
-			require.Positive(t, full, "the model never fills the server: it proves nothing")
-			require.Greater(t, changed, int(tt.seeds), "too few rosters")
+			t.Logf("%d steps with a full server, %d changes of the roster, %d grants tried when only forwarded ages confirmed", full, changed, byForwardedAges)
+			require.Positive(t, full, "the model never fills the server, so nothing is tested")
+			require.Greater(t, changed, int(tt.seeds), "too few changes of the roster")
 			if tt.peers < tt.instances/2 {
-				require.Positive(t, passedOn, "no passed-on age mattered")
+				require.Positive(t, byForwardedAges, "no forwarded age mattered")
 			}
 		})
 	}
 }
 
-// confirmedByOthers reports whether i is confirmed, but neither by the platform
-// nor by answers to itself alone.
-func (w *world) confirmedByOthers(i int) bool {
-	l, now := w.leases[i], at(w.ticks)
+// confirmedByForwardedAges reports whether i is confirmed, but neither by the platform
+// nor by responses to its own heartbeats alone.
+func (m *modelState) confirmedByForwardedAges(i int) bool {
+	l, now := m.leases[i], at(m.ticks)
 	direct := 1
 	for _, a := range l.acks {
-		if l.fresh(now, a.sent) {
+		if l.withinLease(now, a.sent) {
 			direct++
 		}
 	}
-	return l.Confirmed(now) && !l.fresh(now, l.confirmedAt) && 2*direct <= len(l.roster.Instances)
+	return l.Confirmed(now) && !l.withinLease(now, l.confirmedAt) && 2*direct <= len(l.roster.Instances)
 }
--- a/internal/roster/propose.go
+++ b/internal/roster/propose.go
@@ -9,67 +9,68 @@
 )
 
 const (
-	// silentObservers is how many instances must miss the answers of another
-	// before it is removed. One alone may have lost its own link, and would
-	// remove everybody else.
-	silentObservers = 2
-	// silentFor is how long a missed answer counts against an instance. Ages
-	// add up on the way through the heartbeats of others.
-	silentFor = 5 * time.Second
-	// maxRank bounds the wait of those that let others propose first.
+	// minObservers is how many instances must miss the responses of another
+	// before it is removed. A single observer may have lost its own link, and
+	// would remove all others.
+	minObservers = 2
+	// missedAnswerTTL is how long a missed response counts against an instance. It
+	// allows for the ages that add up as the heartbeats of others forward them.
+	missedAnswerTTL = 5 * time.Second
+	// maxRank limits the wait of instances that let others propose first.
 	maxRank = 8
 )
 
-// Listed is what the platform's lagging list says of an instance.
+// Listed is an instance in the platform's list, which lags.
 type Listed struct {
 	ID          string
 	PeerAddress string
 	Leaving     bool
 }
 
-// Observation is what is known of the instances from heartbeats.
+// Observation is what heartbeats show about the instances.
 type Observation struct {
-	// Answered are the instances that answered a heartbeat here lately, as
-	// they describe themselves.
+	// Answered holds the instances that recently responded to a heartbeat of this
+	// instance, as they describe themselves.
 	Answered map[string]Instance
-	// Silent says, for each instance, who missed its answers and when last.
+	// Silent says for each instance which observers missed its responses, and when
+	// last.
 	Silent map[string]map[string]time.Time
-	// Settled reports whether most of the roster is known to have adopted it.
+	// Settled says whether more than half of the roster is known to have adopted it.
 	Settled bool
 }
 
-// Propose returns the roster that should follow current, or false if it should
+// Propose returns the roster that should follow current, or false if current should
 // stay.
 //
-// The load it is for: 45 failures and 150 replacements a day at 350 instances,
-// and all instances new at once. The harm it prevents: a live instance removed
-// because one observer's link is cut, which would move its servers for
-// nothing; a dead one kept, whose servers would stay at the deputy's share.
+// It handles 45 failures and 150 replacements a day at 350 instances, and the
+// replacement of all instances at once. It must not remove a live instance because
+// the link of one observer is cut, which would move its servers needlessly, nor keep a
+// dead one, whose servers would stay at the deputy's share.
 //
-//   - In: who is in the list and answers here. The list alone is not enough,
-//     since it may name an instance that has died.
-//   - Out: who is not in the list as live, and whose answers are missed by two
-//     observers (one, in a roster of two). Neither alone is enough: the list
-//     lags, so a new instance is missing in it, and links fail.
-//   - Leaving: who says so itself, or is said to be by the list.
-//   - Nothing while the last roster isn't known to most of its members, unless
-//     too few of them are left for that: two changes in a row that most have
-//     not seen would let old owners confirm each other; see [Lease].
+//   - Added: an instance that is listed and responds to this instance. The list
+//     alone is not enough, since it may name an instance that has died.
+//   - Removed: an instance that is not listed and whose responses two observers
+//     miss (one, in a roster of two). Neither alone is enough: a new instance is
+//     missing in the lagging list, and links fail.
+//   - Leaving: an instance that reports this itself, or that is listed as leaving.
+//   - No change while the current roster isn't known to most of its members, unless
+//     too few of them are alive: two successive changes unknown to most members would
+//     let old owners confirm each other; see [Lease].
 func Propose(now time.Time, current *Roster, list []Listed, seen Observation) (Object, bool) {
 	live := map[string]Listed{}
 	for _, l := range list {
 		live[l.ID] = l
 	}
-	if !seen.Settled && current.Number > 0 && mostAlive(now, current, live, seen) {
+	if !seen.Settled && current.Number > 0 && majorityAlive(now, current, live, seen) {
 		return Object{}, false
 	}
 	next := make([]Instance, 0, len(list))
 	for _, in := range current.Instances {
-		if fresh, ok := seen.Answered[in.ID]; ok {
-			in = fresh
+		if answered, ok := seen.Answered[in.ID]; ok {
+			in = answered
 		}
 		l, listed := live[in.ID]
-		if !listed && gone(now, current, in, seen) {
+		if !listed && isDown(now, current, in, seen) {
 			continue
 		}
 		in.Leaving = in.Leaving || listed && l.Leaving
@@ -89,50 +90,49 @@
 	return current.Object().Next(next), true
 }
 
-// gone reports whether enough observers miss the answers of in.
-func gone(now time.Time, current *Roster, in Instance, seen Observation) bool {
+// isDown reports whether enough observers miss the responses of in.
+func isDown(now time.Time, current *Roster, in Instance, seen Observation) bool {
 	n := 0
 	for _, at := range seen.Silent[in.ID] {
-		if now.Sub(at) <= silentFor {
+		if now.Sub(at) <= missedAnswerTTL {
 			n++
 		}
 	}
-	return n >= min(silentObservers, max(1, len(current.Instances)-1))
+	return n >= min(minObservers, max(1, len(current.Instances)-1))
 }
 
-// mostAlive reports whether more than half of the roster is not gone: enough
-// to wait for.
-func mostAlive(now time.Time, current *Roster, live map[string]Listed, seen Observation) bool {
+// majorityAlive reports whether more than half of the roster is neither down nor
+// replaced, so that waiting until they adopt it can succeed.
+func majorityAlive(now time.Time, current *Roster, live map[string]Listed, seen Observation) bool {
 	n := 0
 	for _, in := range current.Instances {
-		fresh, answered := seen.Answered[in.ID]
-		replaced := answered && fresh.Incarnation != in.Incarnation
+		latest, answered := seen.Answered[in.ID]
+		replaced := answered && latest.Incarnation != in.Incarnation
 		_, listed := live[in.ID]
-		if !replaced && (listed || !gone(now, current, in, seen)) {
+		if !replaced && (listed || !isDown(now, current, in, seen)) {
 			n++
 		}
 	}
 	return 2*n > len(current.Instances)
 }
 
-// ProposeDelay returns how long self waits before it proposes a change that it
-// sees, so that not all write at once: the first in the order of the epoch
-// goes at once, the next a step later, when it sees whether the first has
-// done it. Who isn't in the roster goes last, spread over some steps: those
-// may be all that is left, or all new at once. Before the first roster there is
-// nobody to go first; of 350 new instances some 40 write in each step then, and
-// one of them wins.
+// ProposeDelay returns how long self waits before it proposes a change, so that not
+// all instances write at once. The first by a hash of the epoch and the ID doesn't
+// wait; the next waits one step, by when it sees whether the first has written.
+// Instances outside the roster come last, spread over some steps: they may be the
+// only ones left, or all new at once. Before the first roster there are no members to
+// come first; of 350 new instances about 40 write in each step, and one succeeds.
 func ProposeDelay(r *Roster, self string, step time.Duration) time.Duration {
-	mine := rankHash(r.Epoch, self)
+	own := rankHash(r.Epoch, self)
 	rank := 0
 	for _, in := range r.Instances {
-		if in.ID != self && rankHash(r.Epoch, in.ID) < mine {
+		if in.ID != self && rankHash(r.Epoch, in.ID) < own {
 			rank++
 		}
 	}
 	rank = min(rank, maxRank)
 	if _, member := r.Find(self); !member {
-		rank = int(mine % maxRank)
+		rank = int(own % maxRank)
 		if len(r.Instances) > 0 {
 			rank += maxRank
 		}
@@ -144,12 +144,12 @@
 	return mix(xxhash.Sum64String(id) ^ mix(uint64(epoch)))
 }
 
-// ringSuccessors is how many instances each watches. Three are lost together
-// only when a rack or zone is, which the list and the rest of the ring show.
+// ringSuccessors is how many instances each instance monitors. Three are lost together
+// only with a rack or zone, which the list and the rest of the ring show.
 const ringSuccessors = 3
 
-// Successors returns the instances that self sends heartbeats to so that each
-// is watched by a few: the next ones in an order by hash, which mixes zones.
+// Successors returns the instances to which self sends heartbeats, so that a few
+// monitor each instance: the next ones in hash order, which mixes zones.
 func (r *Roster) Successors(self string) []Instance {
 	order := make([]int, len(r.Instances))
 	for i := range order {
--- a/internal/roster/right.go
+++ b/internal/roster/right.go
@@ -7,7 +7,7 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// Right returns what this instance may do for s at now.
+// Right returns this instance's right to grant permits for s at now.
 func (l *Lease) Right(now time.Time, s Server) permit.Right {
 	right := permit.Right{Epoch: l.roster.Epoch}
 	owner, ok := l.roster.Owner(s.Name, s.Region)
@@ -35,42 +35,42 @@
 		return right
 	}
 	right.Role, right.ReportAfter = permit.RoleOwner, end
-	l.held[s.Name] = end
-	back, ok := l.shareBack(now, s)
-	if !ok || now.Before(back) {
-		right.Reserve = Share(s.ColdLimit)
+	l.ownedSince[s.Name] = end
+	shareFree, ok := l.deputyPermitsEnd(now, s)
+	if !ok || now.Before(shareFree) {
+		right.Reserve = DeputyShare(s.ColdLimit)
 		return right
 	}
-	if back.After(right.ReportAfter) {
-		right.ReportAfter = back
+	if shareFree.After(right.ReportAfter) {
+		right.ReportAfter = shareFree
 	}
 	return right
 }
 
-// shareBack returns from when the deputies, of this epoch and of the one
-// before, have no permits left; false while that isn't known.
-func (l *Lease) shareBack(now time.Time, s Server) (time.Time, bool) {
-	back, known := l.oldDeputyEnd(s)
+// deputyPermitsEnd returns when the last permit of the deputies of this epoch and the
+// previous one has expired; false while that isn't known.
+func (l *Lease) deputyPermitsEnd(now time.Time, s Server) (time.Time, bool) {
+	end, known := l.previousDeputyEnd(s)
 	if !known {
-		return back, false
+		return end, false
 	}
 	deputy, ok := l.roster.Deputy(s.Name, s.Region)
 	if !ok {
-		return back, true
+		return end, true
 	}
 	a, ok := l.acks[deputy.ID]
-	if !ok || !l.fresh(now, a.sent) {
-		return back, false
+	if !ok || !l.withinLease(now, a.sent) {
+		return end, false
 	}
-	if at := a.since.Add(l.timing.Permit); at.After(back) {
-		back = at
+	if at := a.since.Add(l.timing.Permit); at.After(end) {
+		end = at
 	}
-	return back, true
+	return end, true
 }
 
-// oldDeputyEnd returns when the last permit of the previous epoch's deputy has
-// ended, if it isn't the deputy of this epoch as well.
-func (l *Lease) oldDeputyEnd(s Server) (time.Time, bool) {
+// previousDeputyEnd returns when the last permit of the previous epoch's deputy has
+// expired, if it isn't the deputy of this epoch as well.
+func (l *Lease) previousDeputyEnd(s Server) (time.Time, bool) {
 	old, ok := l.roster.previous.Deputy(s.Name, s.Region)
 	if !ok {
 		return l.adoptedAt, true
@@ -79,30 +79,30 @@
 	if ok && old.ID == deputy.ID && old.Incarnation == deputy.Incarnation {
 		return l.adoptedAt, true
 	}
-	if at, ok := l.stoppedAt(old); ok {
+	if at, ok := l.permitsStoppedAt(old); ok {
 		return at.Add(l.timing.Permit), true
 	}
-	return l.olderEnd()
+	return l.olderEpochsEnd()
 }
 
-// takeoverEnd returns the end of the wait of rule 6; false while it isn't
+// takeoverEnd returns the end of the wait of rule 6 of [Lease]; false while it isn't
 // known.
 func (l *Lease) takeoverEnd(s Server) (time.Time, bool) {
 	if l.roster.Number <= 1 {
 		return l.adoptedAt, true
 	}
-	if since, ok := l.heldBefore[s.Name]; ok {
+	if since, ok := l.ownedBefore[s.Name]; ok {
 		return since, true
 	}
 	old, hadOwner := l.roster.previous.Owner(s.Name, s.Region)
-	stop, known := l.stoppedAt(old)
+	stop, known := l.permitsStoppedAt(old)
 	if !hadOwner || !known {
-		return l.olderEnd()
+		return l.olderEpochsEnd()
 	}
 	if deputy, ok := l.roster.previous.Deputy(s.Name, s.Region); ok {
-		at, known := l.stoppedAt(deputy)
+		at, known := l.permitsStoppedAt(deputy)
 		if !known {
-			return l.olderEnd()
+			return l.olderEpochsEnd()
 		}
 		if at.After(stop) {
 			stop = at
@@ -111,8 +111,9 @@
 	return stop.Add(l.timing.Permit), true
 }
 
-// olderEnd returns when nobody can have a right of an older epoch any more.
-func (l *Lease) olderEnd() (time.Time, bool) {
+// olderEpochsEnd returns when no instance can have a right of an older epoch any more;
+// false while that isn't known.
+func (l *Lease) olderEpochsEnd() (time.Time, bool) {
 	if l.roster.Number <= 1 {
 		return l.adoptedAt, true
 	}
@@ -122,7 +123,7 @@
 		if l.roster.Has(in.ID, in.Incarnation) {
 			survivors++
 		}
-		if at, ok := l.stoppedAt(in); ok {
+		if at, ok := l.permitsStoppedAt(in); ok {
 			stops = append(stops, at)
 		}
 	}
@@ -141,9 +142,9 @@
 	return end.Add(l.timing.Takeover()), true
 }
 
-// stoppedAt says since when an instance of the previous roster is known to
-// give no permits under it.
-func (l *Lease) stoppedAt(in Instance) (time.Time, bool) {
+// permitsStoppedAt returns since when an instance of the previous roster is known to
+// grant no permits under it.
+func (l *Lease) permitsStoppedAt(in Instance) (time.Time, bool) {
 	if in.ID == l.self.ID && in.Incarnation == l.self.Incarnation {
 		return l.adoptedAt, true
 	}
@@ -152,28 +153,28 @@
 }
 
 func (l *Lease) deputyRight(now time.Time, s Server, owner string, right permit.Right) permit.Right {
-	free, known := l.olderEnd()
+	free, known := l.olderEpochsEnd()
 	if !known {
 		return right
 	}
 	if l.roster.Number <= 1 {
 		free = l.adoptedAt.Add(l.timing.Takeover())
 	}
-	if lapse, ok := l.promises[owner]; ok && lapse.Add(l.timing.Permit).After(free) {
-		free = lapse.Add(l.timing.Permit)
+	if promiseEnd, ok := l.promises[owner]; ok && promiseEnd.Add(l.timing.Permit).After(free) {
+		free = promiseEnd.Add(l.timing.Permit)
 	}
 	if now.Before(free) {
 		return right
 	}
 	right.Role = permit.RoleDeputy
-	right.Share = Share(s.ColdLimit)
+	right.Share = DeputyShare(s.ColdLimit)
 	right.ReportAfter = free
 	return right
 }
 
-// Share is what the deputy holds of a server's cold limit: half, so that
-// either of owner and deputy goes on when they cannot reach each other; all of
-// it when the limit is one.
-func Share(coldLimit int) int {
+// DeputyShare returns the deputy's share of a server's cold limit: half, so that both
+// owner and deputy can continue when they can't reach each other; all of it when the
+// limit is one.
+func DeputyShare(coldLimit int) int {
 	return max(1, coldLimit/2)
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,9 +1,9 @@
 // Package roster decides which entry instance owns which backend server.
 //
-// The roster is one object in the platform: the instances in force. The
-// object's version is the epoch. Owners follow from it by rendezvous hashing,
-// so no table of owners is stored or sent. Everything here is pure: no
-// goroutine, no socket, the present time is an argument.
+// The roster is one object in the platform, which lists the current instances. The
+// object's version is the epoch. Owners follow from the roster by rendezvous hashing,
+// so no table of owners is stored or sent. The package starts no goroutines and does
+// no I/O; the present time is an argument.
 //
 // # Usage
 //
@@ -21,7 +21,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Instance is one entry instance as the others know it.
+// Instance describes one entry instance to the others.
 type Instance struct {
 	ID string `json:"id"`
 	// Incarnation differs after each start of the process.
@@ -30,7 +30,7 @@
 	CallerAddress string `json:"callerAddress,omitempty"`
 	Zone          string `json:"zone"`
 	Region        string `json:"region"`
-	// Leaving instances are reachable but own nothing.
+	// Leaving instances are reachable but own no servers.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -39,8 +39,8 @@
 	// Number counts rosters from 1. Only the first has no previous owners.
 	Number    int64      `json:"number"`
 	Instances []Instance `json:"instances"`
-	// Previous are the instances of the roster before, without addresses: who
-	// may still give permits that this roster takes from them.
+	// Previous are the instances of the previous roster, without addresses, which may
+	// still grant permits for servers that this roster assigns to others.
 	Previous []Instance `json:"previous,omitempty"`
 }
 
@@ -54,19 +54,19 @@
 	return next
 }
 
-// Roster is one version of the roster, indexed. It is never changed.
+// Roster is one version of the roster, indexed. It is immutable.
 type Roster struct {
-	// Epoch is the version of the platform's object; 0 means none.
+	// Epoch is the version of the platform's object; 0 means that there is none.
 	Epoch  int64
 	Number int64
-	// Instances are in order of their id.
+	// Instances are sorted by ID.
 	Instances []Instance
 	previous  *Roster
 	hashes    []uint64
 	index     map[string]int
 }
 
-// New indexes o, which the platform holds at version epoch.
+// New returns the indexed roster of o, which the platform stores at version epoch.
 func New(epoch int64, o Object) *Roster {
 	r := index(epoch, o)
 	r.previous = index(0, Object{Instances: o.Previous})
@@ -94,7 +94,7 @@
 	return Object{Number: r.Number, Instances: slices.Clone(r.Instances), Previous: slices.Clone(r.previous.Instances)}
 }
 
-// Find returns the instance called id.
+// Find returns the instance with the given ID.
 func (r *Roster) Find(id string) (Instance, bool) {
 	i, ok := r.index[id]
 	if !ok {
@@ -103,37 +103,37 @@
 	return r.Instances[i], true
 }
 
-// Has reports whether exactly this start of an instance is in the roster.
+// Has reports whether this incarnation of an instance is in the roster.
 func (r *Roster) Has(id, incarnation string) bool {
 	in, ok := r.Find(id)
 	return ok && in.Incarnation == incarnation
 }
 
-// Owner returns the instance that owns server. One in the server's region is
-// preferred, so that permits don't cross regions; if the region has none, any
-// instance owns it.
+// Owner returns the instance that owns server. Instances in the server's region are
+// preferred, so that permit requests don't cross regions; if the region has none, any
+// instance may be the owner.
 func (r *Roster) Owner(server, region string) (Instance, bool) {
-	first, _ := r.firstTwo(server, region)
+	first, _ := r.topTwo(server, region)
 	if first < 0 {
 		return Instance{}, false
 	}
 	return r.Instances[first], true
 }
 
-// Deputy returns the instance that holds a share of server's limit while the
-// owner cannot be reached. It is also the one to which the server falls when
-// the owner is removed and nothing else changes.
+// Deputy returns the instance that may use a share of server's limit while it can't
+// reach the owner. It becomes the owner if the owner is removed and nothing else
+// changes.
 func (r *Roster) Deputy(server, region string) (Instance, bool) {
-	_, second := r.firstTwo(server, region)
+	_, second := r.topTwo(server, region)
 	if second < 0 {
 		return Instance{}, false
 	}
 	return r.Instances[second], true
 }
 
-// firstTwo returns the indices of the two highest scores, or -1. It allocates
-// nothing: it runs for each request at 350 instances.
-func (r *Roster) firstTwo(server, region string) (first, second int) {
+// topTwo returns the indices of the two instances with the highest scores, or -1. It
+// must not allocate, as it runs for each request over up to 350 instances.
+func (r *Roster) topTwo(server, region string) (first, second int) {
 	key := xxhash.Sum64String(server)
 	first, second = -1, -1
 	var best, next score
@@ -141,7 +141,7 @@
 		if r.Instances[i].Leaving {
 			continue
 		}
-		s := score{near: r.Instances[i].Region == region, hash: mix(key ^ r.hashes[i])}
+		s := score{sameRegion: r.Instances[i].Region == region, hash: mix(key ^ r.hashes[i])}
 		switch {
 		case first < 0 || best.less(s):
 			second, next = first, best
@@ -153,20 +153,20 @@
 	return first, second
 }
 
-// score orders the instances for one server.
+// score ranks an instance for one server.
 type score struct {
-	near bool
-	hash uint64
+	sameRegion bool
+	hash       uint64
 }
 
 func (s score) less(o score) bool {
-	if s.near != o.near {
-		return o.near
+	if s.sameRegion != o.sameRegion {
+		return o.sameRegion
 	}
 	return s.hash < o.hash
 }
 
-// mix spreads x over all bits (the finalizer of SplitMix64).
+// mix is the finalizer of SplitMix64, which spreads x over all bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -12,34 +12,34 @@
 
 var now = time.Unix(5000, 0)
 
-func member(id string) roster.Instance {
+func testInstance(id string) roster.Instance {
 	return roster.Instance{ID: id, Incarnation: "1", PeerAddress: id, Region: "r"}
 }
 
-func members(ids ...string) []roster.Instance {
+func testInstances(ids ...string) []roster.Instance {
 	var out []roster.Instance
 	for _, id := range ids {
-		out = append(out, member(id))
+		out = append(out, testInstance(id))
 	}
 	return out
 }
 
-// view is what one instance knows: who is listed, who answers it, and whose
-// answers are missed by whom.
-type view struct {
-	listed   string
-	answered string
-	silent   map[string]string
-	unsettle bool
+// observerView is what one instance knows. Each letter is an instance; silent maps an
+// instance to the observers that miss its responses.
+type observerView struct {
+	listed     string
+	responding string
+	silent     map[string]string
+	notAdopted bool
 }
 
-func (v view) of(t *testing.T) ([]roster.Listed, roster.Observation) {
+func (v observerView) observation(t *testing.T) ([]roster.Listed, roster.Observation) {
 	t.Helper()
 	seen := roster.Observation{
-		Answered: map[string]roster.Instance{}, Silent: map[string]map[string]time.Time{}, Settled: !v.unsettle,
+		Answered: map[string]roster.Instance{}, Silent: map[string]map[string]time.Time{}, Settled: !v.notAdopted,
 	}
-	for _, id := range v.answered {
-		seen.Answered[string(id)] = member(string(id))
+	for _, id := range v.responding {
+		seen.Answered[string(id)] = testInstance(string(id))
 	}
 	for id, observers := range v.silent {
 		seen.Silent[id] = map[string]time.Time{}
@@ -57,22 +57,22 @@
 func TestPropose(t *testing.T) {
 	tests := map[string]struct {
 		current string
-		view    view
-		// want is the next roster; empty if it stays.
+		view    observerView
+		// want is the next roster; empty if current stays.
 		want string
 	}{
-		"first boot takes who is listed and answers": {view: view{listed: "abc", answered: "ab"}, want: "ab"},
-		"a new one comes in":                         {current: "ab", view: view{listed: "abc", answered: "abc"}, want: "abc"},
-		"a new one the lagging list lacks waits":     {current: "ab", view: view{listed: "ab", answered: "abc"}},
-		"listed but silent stays out":                {current: "ab", view: view{listed: "abc", answered: "ab"}},
-		"dead by list and two observers goes":        {current: "abc", view: view{listed: "ab", answered: "ab", silent: map[string]string{"c": "ab"}}, want: "ab"},
-		"one observer's cut link removes nobody":     {current: "abcd", view: view{answered: "a", silent: map[string]string{"b": "a", "c": "a", "d": "a"}}},
-		"silent but listed stays":                    {current: "abc", view: view{listed: "abc", answered: "ab", silent: map[string]string{"c": "ab"}}},
-		"not listed but answering stays":             {current: "abc", view: view{listed: "ab", answered: "abc"}},
-		"no second change before the first is known": {current: "abc", view: view{listed: "abcd", answered: "abcd", unsettle: true}},
-		"most are dead, so nothing to wait for": {
+		"first boot adds listed and responding instances":      {view: observerView{listed: "abc", responding: "ab"}, want: "ab"},
+		"new instance is added":                                {current: "ab", view: observerView{listed: "abc", responding: "abc"}, want: "abc"},
+		"new instance not yet listed waits":                    {current: "ab", view: observerView{listed: "ab", responding: "abc"}},
+		"listed but silent instance is not added":              {current: "ab", view: observerView{listed: "abc", responding: "ab"}},
+		"unlisted instance missed by two observers is removed": {current: "abc", view: observerView{listed: "ab", responding: "ab", silent: map[string]string{"c": "ab"}}, want: "ab"},
+		"cut link of one observer removes none":                {current: "abcd", view: observerView{responding: "a", silent: map[string]string{"b": "a", "c": "a", "d": "a"}}},
+		"silent but listed instance stays":                     {current: "abc", view: observerView{listed: "abc", responding: "ab", silent: map[string]string{"c": "ab"}}},
+		"unlisted but responding instance stays":               {current: "abc", view: observerView{listed: "ab", responding: "abc"}},
+		"no second change before the first is adopted":         {current: "abc", view: observerView{listed: "abcd", responding: "abcd", notAdopted: true}},
+		"majority is dead, so change at once": {
 			current: "abc", want: "cx",
-			view: view{listed: "cx", answered: "cx", unsettle: true, silent: map[string]string{"a": "cx", "b": "cx"}},
+			view: observerView{listed: "cx", responding: "cx", notAdopted: true, silent: map[string]string{"a": "cx", "b": "cx"}},
 		},
 	}
 	for name, tt := range tests {
@@ -82,8 +82,8 @@
 				ids = append(ids, string(id))
 			}
 			number := int64(min(1, len(ids)))
-			list, seen := tt.view.of(t)
-			next, ok := roster.Propose(now, roster.New(number, roster.Object{Number: number, Instances: members(ids...)}), list, seen)
+			list, seen := tt.view.observation(t)
+			next, ok := roster.Propose(now, roster.New(number, roster.Object{Number: number, Instances: testInstances(ids...)}), list, seen)
 			got := ""
 			for _, in := range next.Instances {
 				got += in.ID
@@ -98,29 +98,29 @@
 	}
 }
 
-func TestReplacedInstanceIsTakenInAnew(t *testing.T) {
-	current := roster.New(1, roster.Object{Number: 1, Instances: members("a", "b")})
-	restarted := member("b")
+func TestRestartedInstanceIsReplaced(t *testing.T) {
+	current := roster.New(1, roster.Object{Number: 1, Instances: testInstances("a", "b")})
+	restarted := testInstance("b")
 	restarted.Incarnation = "2"
 	next, ok := roster.Propose(now, current, []roster.Listed{{ID: "a"}, {ID: "b"}}, roster.Observation{
-		Answered: map[string]roster.Instance{"a": member("a"), "b": restarted}, Settled: true,
+		Answered: map[string]roster.Instance{"a": testInstance("a"), "b": restarted}, Settled: true,
 	})
 	require.True(t, ok)
-	require.Equal(t, []roster.Instance{member("a"), restarted}, next.Instances)
+	require.Equal(t, []roster.Instance{testInstance("a"), restarted}, next.Instances)
 }
 
-func large(n int) *roster.Roster {
+func largeRoster(n int) *roster.Roster {
 	var instances []roster.Instance
 	for i := range n {
-		in := member(fmt.Sprintf("i%d", i))
+		in := testInstance(fmt.Sprintf("i%d", i))
 		in.Region = fmt.Sprintf("r%d", i%4)
 		instances = append(instances, in)
 	}
 	return roster.New(1, roster.Object{Number: 1, Instances: instances})
 }
 
-func TestOwnersAreNearEvenAndStable(t *testing.T) {
-	before, after := large(350), large(349)
+func TestOwnersAreRegionalBalancedAndStable(t *testing.T) {
+	before, after := largeRoster(350), largeRoster(349)
 	owned := map[string]int{}
 	for i := range 2000 {
 		server, region := fmt.Sprintf("s%d", i), fmt.Sprintf("r%d", i%4)
@@ -132,10 +132,10 @@
 		require.True(t, ok)
 		next, _ := after.Owner(server, region)
 		if owner.ID == "i349" {
-			// The server falls to its deputy, which knows it already.
+			// The deputy, to which the server is assigned already, becomes the owner.
 			require.Equal(t, deputy.ID, next.ID)
 		} else {
-			require.Equal(t, owner.ID, next.ID, "a server moved without need")
+			require.Equal(t, owner.ID, next.ID, "server moved needlessly")
 		}
 	}
 	for id, n := range owned {
@@ -144,27 +144,26 @@
 	require.Zero(t, testing.AllocsPerRun(10, func() { _, _ = before.Owner("s1", "r1") }))
 }
 
-func TestGuardHoldsAfterAPause(t *testing.T) {
-	// A process is frozen for two seconds and thaws. The caller gets no new
-	// work sent until calls made after the thaw show configuration and roster
-	// to be current; an answer that was under way during the freeze shows
-	// nothing, since it may be older than what happened in it.
+func TestGuardSuspendsAfterPause(t *testing.T) {
+	// A process is frozen for two seconds and resumes. It may send no new work until
+	// calls made after the pause confirm configuration and roster; a response that
+	// was under way during the pause may be outdated.
 	var g roster.Guard
 	g.Beat(now)
 	require.True(t, g.Allowed(now.Add(roster.MaxGap)))
-	thaw := now.Add(2 * time.Second)
-	require.False(t, g.Allowed(thaw), "before the watch has run")
-	require.True(t, g.Beat(thaw))
+	resumed := now.Add(2 * time.Second)
+	require.False(t, g.Allowed(resumed), "before the first tick after the pause")
+	require.True(t, g.Beat(resumed))
 	g.ConfigConfirmed(now.Add(time.Second))
-	g.RosterConfirmed(thaw.Add(time.Millisecond))
-	require.False(t, g.Allowed(thaw), "the configuration was asked for before the thaw")
-	g.ConfigConfirmed(thaw.Add(time.Millisecond))
-	require.True(t, g.Allowed(thaw))
+	g.RosterConfirmed(resumed.Add(time.Millisecond))
+	require.False(t, g.Allowed(resumed), "configuration was requested before the end of the pause")
+	g.ConfigConfirmed(resumed.Add(time.Millisecond))
+	require.True(t, g.Allowed(resumed))
 }
 
 func BenchmarkOwner(b *testing.B) {
 	for _, n := range []int{7, 35, 350} {
-		r := large(n)
+		r := largeRoster(n)
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
