--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -7,10 +7,10 @@
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 )
 
-// Measure updates the gauges of the servers that this instance owns or deputizes
+// UpdateGauges updates the gauges of the servers that this instance owns or deputizes
 // for, summed by availability zone: one gauge for each server would be 2,000 series
 // in the fleet, and a stale series whenever an owner changes.
-func (o *Owner) Measure(now time.Time) {
+func (o *Owner) UpdateGauges(now time.Time) {
 	snap := o.opts.Config()
 	sums := map[string]Load{}
 	for name := range snap.Zones {
--- a/internal/serve/gauges.go
+++ b/internal/serve/gauges.go
@@ -71,6 +71,6 @@
 	for name := range snap.Services {
 		scope.Tagged(map[string]string{"service": name}).Gauge("retry_budget").Update(p.retries.Left(now, name))
 	}
-	p.owner.Measure(now)
+	p.owner.UpdateGauges(now)
 	p.costs.Measure()
 }
