--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -74,12 +74,12 @@
 	Loads       Loads
 	Policy      admission.Policy
 	Suspects    *Suspects
-	// PermitFor is how long a permit is valid, PollEvery the usual time between
+	// PermitValidity is how long a permit is valid, PollEvery the usual time between
 	// two load reports of one server.
-	PermitFor time.Duration
-	PollEvery time.Duration
-	Log       zerolog.Logger
-	Metrics   tally.Scope
+	PermitValidity time.Duration
+	PollEvery      time.Duration
+	Log            zerolog.Logger
+	Metrics        tally.Scope
 	// Costs accounts for the owner's resource use; it may be nil.
 	Costs *control.Costs
 }
@@ -247,7 +247,7 @@
 		Name:      server.Name,
 		ColdLimit: server.ColdLimit,
 		WarmLimit: server.WarmLimit,
-		PermitFor: o.opts.PermitFor,
+		PermitFor: o.opts.PermitValidity,
 		AskFor:    queuePlaceTTL,
 	}
 	service, ok := snap.Services[server.Service]
--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -102,18 +102,18 @@
 	}
 	placing, admitting := router.Policies(s.Policy)
 	p.owner, err = owner.New(owner.Options{
-		Self:        s.Instance,
-		Incarnation: p.self.Incarnation,
-		Rights:      p.members,
-		Config:      p.store.Snapshot,
-		Loads:       owner.Clients{Engine: p.engines, Service: p.services},
-		Policy:      admitting,
-		Suspects:    suspects,
-		PermitFor:   millis(s.Timing.PermitMillis),
-		PollEvery:   millis(s.Timing.LoadPollMillis),
-		Log:         telemetry.Part(p.tel.Log, "owner"),
-		Metrics:     p.tel.Metrics.SubScope("owner"),
-		Costs:       p.costs,
+		Self:           s.Instance,
+		Incarnation:    p.self.Incarnation,
+		Rights:         p.members,
+		Config:         p.store.Snapshot,
+		Loads:          owner.Clients{Engine: p.engines, Service: p.services},
+		Policy:         admitting,
+		Suspects:       suspects,
+		PermitValidity: millis(s.Timing.PermitMillis),
+		PollEvery:      millis(s.Timing.LoadPollMillis),
+		Log:            telemetry.Part(p.tel.Log, "owner"),
+		Metrics:        p.tel.Metrics.SubScope("owner"),
+		Costs:          p.costs,
 	})
 	if err != nil {
 		return err
