--- a/internal/owner/decide.go
+++ b/internal/owner/decide.go
@@ -58,7 +58,7 @@
 		// under a right that a newer roster has revoked.
 		e.applyRight(now, o.right(now, snap, server), snap.TakesNewWork(server))
 		out.grantingSince = e.grantingSince
-		sufficient := e.lastReportSuffices(now, o.opts.PollEvery)
+		sufficient := e.lastReportSuffices(now, o.opts.PollInterval)
 		out.reportReady = e.reportReady
 		if !sufficient {
 			return
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -77,7 +77,7 @@
 	// PermitValidity is how long a permit is valid, PollEvery the usual time between
 	// two load reports of one server.
 	PermitValidity time.Duration
-	PollEvery      time.Duration
+	PollInterval   time.Duration
 	Log            zerolog.Logger
 	Metrics        tally.Scope
 	// Costs accounts for the owner's resource use; it may be nil.
--- a/internal/owner/poll.go
+++ b/internal/owner/poll.go
@@ -80,7 +80,7 @@
 // a report older than the right requires.
 func (o *Owner) poll(ctx context.Context, now time.Time, snap *config.Snapshot, server pollenspindle.Server, e *entry) {
 	e.mu.Lock()
-	due := !e.polling && now.Sub(e.polledAt) >= e.pollInterval(now, o.opts.PollEvery)
+	due := !e.polling && now.Sub(e.polledAt) >= e.pollInterval(now, o.opts.PollInterval)
 	if due {
 		e.polling, e.polledAt, e.grantsSincePoll = true, now, 0
 	}
--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -110,7 +110,7 @@
 		Policy:         admitting,
 		Suspects:       suspects,
 		PermitValidity: millis(s.Timing.PermitMillis),
-		PollEvery:      millis(s.Timing.LoadPollMillis),
+		PollInterval:   millis(s.Timing.LoadPollMillis),
 		Log:            telemetry.Part(p.tel.Log, "owner"),
 		Metrics:        p.tel.Metrics.SubScope("owner"),
 		Costs:          p.costs,
--- a/internal/slopes/duties.go
+++ b/internal/slopes/duties.go
@@ -97,7 +97,7 @@
 	o, err := owner.New(owner.Options{
 		Self: self.ID, Incarnation: self.Incarnation, Rights: r, Config: func() *config.Snapshot { return snap },
 		Loads: reports{}, Policy: admission.Predicted{}, Suspects: owner.NewSuspects(),
-		PermitValidity: 2 * time.Second, PollEvery: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
+		PermitValidity: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	if err != nil {
 		return 0, merry.Wrap(ErrMeasure, merry.WithCause(err))
