--- a/internal/caller/services_test.go
+++ b/internal/caller/services_test.go
@@ -40,7 +40,7 @@
 // storedClaims has run every key before.
 type storedClaims struct{}
 
-func (storedClaims) Begin(context.Context, time.Time, claim.Key, string) claim.Answer {
+func (storedClaims) Begin(context.Context, time.Time, claim.Key, string) claim.BeginResult {
 	return claim.Stored{Result: claim.Result{Status: 201, Header: map[string][]string{"Location": {"/bookings/1"}}, Body: []byte("booked")}}
 }
 func (storedClaims) Finish(context.Context, claim.Claim, claim.Result) error { return nil }
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -129,9 +129,9 @@
 	return r
 }
 
-// Answer is the result of [Store.Begin]: [Won], [Stored], [InProgress], [Unknown],
+// BeginResult is the result of [Store.Begin]: [Won], [Stored], [InProgress], [Unknown],
 // [Mismatch] or [Unavailable].
-type Answer interface{ isAnswer() }
+type BeginResult interface{ isAnswer() }
 
 // Won means that this attempt, and no other, may send the request.
 type Won struct{ Claim Claim }
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -53,7 +53,7 @@
 		prepare func(t *testing.T, s *claim.Store, c claim.Claim)
 		at      time.Duration
 		print   string
-		want    claim.Answer
+		want    claim.BeginResult
 	}{
 		"holder in progress": {want: claim.InProgress{RetryAfter: 2 * time.Second}},
 		"holder timed out": {
--- a/internal/claim/decide.go
+++ b/internal/claim/decide.go
@@ -49,7 +49,7 @@
 	// version is the object version that the write replaces; 0 creates the object.
 	version int64
 	// answer ends Begin; won ends it with the claim at version.
-	answer Answer
+	answer BeginResult
 	won    bool
 }
 
@@ -75,7 +75,7 @@
 }
 
 // answerRepeat returns the answer to a retry whose claim another attempt holds.
-func answerRepeat(now time.Time, r record, fingerprint string) Answer {
+func answerRepeat(now time.Time, r record, fingerprint string) BeginResult {
 	switch {
 	case r.Fingerprint != fingerprint:
 		return Mismatch{}
--- a/internal/claim/interleave_test.go
+++ b/internal/claim/interleave_test.go
@@ -114,7 +114,7 @@
 	crashed  bool
 	// pending holds the possible outcomes of its next step; nil when it has ended.
 	pending []outcome
-	answer  Answer
+	answer  BeginResult
 	// unscheduled makes steps succeed at once, after the scheduled part.
 	unscheduled bool
 }
@@ -320,7 +320,7 @@
 
 // checkStoredResult checks that a stored result returned to a caller is that of the
 // only effect.
-func (s *simulation) checkStoredResult(t *testing.T, a Answer) {
+func (s *simulation) checkStoredResult(t *testing.T, a BeginResult) {
 	if stored, ok := a.(Stored); ok {
 		s.storedResults++
 		require.Equal(t, s.effects, []string{string(stored.Result.Body)})
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -86,7 +86,7 @@
 // During a platform outage it returns Unavailable at once. After a lost response it
 // repeats the same conditional write, which either succeeds or returns the existing
 // claim, whose attempt identifies its holder.
-func (s *Store) Begin(ctx context.Context, now time.Time, key Key, fingerprint string) Answer {
+func (s *Store) Begin(ctx context.Context, now time.Time, key Key, fingerprint string) BeginResult {
 	kind, name := key.objectName()
 	c := Claim{
 		Kind:        kind,
--- a/internal/forward/claim.go
+++ b/internal/forward/claim.go
@@ -29,7 +29,7 @@
 
 // Claims makes sure that one key runs once; *claim.Store does.
 type Claims interface {
-	Begin(ctx context.Context, now time.Time, key claim.Key, fingerprint string) claim.Answer
+	Begin(ctx context.Context, now time.Time, key claim.Key, fingerprint string) claim.BeginResult
 	Finish(ctx context.Context, c claim.Claim, r claim.Result) error
 	Abandon(ctx context.Context, c claim.Claim) error
 }
