--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -129,12 +129,12 @@
 	return r
 }
 
-// BeginResult is the result of [Store.Begin]: [Won], [Stored], [InProgress], [Unknown],
+// BeginResult is the result of [Store.Begin]: [Acquired], [Stored], [InProgress], [Unknown],
 // [Mismatch] or [Unavailable].
 type BeginResult interface{ isAnswer() }
 
-// Won means that this attempt, and no other, may send the request.
-type Won struct{ Claim Claim }
+// Acquired means that this attempt, and no other, may send the request.
+type Acquired struct{ Claim Claim }
 
 // Stored means that the request ran before; Result is its response.
 type Stored struct{ Result Result }
@@ -156,7 +156,7 @@
 // Unavailable means that the claim could not be created, so nothing may be sent.
 type Unavailable struct{ Err error }
 
-func (Won) isAnswer()         {}
+func (Acquired) isAnswer()    {}
 func (Stored) isAnswer()      {}
 func (InProgress) isAnswer()  {}
 func (Unknown) isAnswer()     {}
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -43,8 +43,8 @@
 func acquire(t *testing.T, s *claim.Store) claim.Claim {
 	t.Helper()
 	a := s.Begin(t.Context(), now, key, "print")
-	require.IsType(t, claim.Won{}, a)
-	return a.(claim.Won).Claim
+	require.IsType(t, claim.Acquired{}, a)
+	return a.(claim.Acquired).Claim
 }
 
 func TestBeginOfRetry(t *testing.T) {
@@ -163,10 +163,10 @@
 	require.Equal(t, 1, sweep(resumedAt))
 
 	a := s.Begin(t.Context(), resumedAt, key, "print")
-	require.IsType(t, claim.Won{}, a)
+	require.IsType(t, claim.Acquired{}, a)
 	require.False(t, paused.MaySend(resumedAt))
 	require.ErrorIs(t, s.Finish(t.Context(), paused, claim.Result{Status: 500}), claim.ErrNotStored)
-	require.NoError(t, s.Finish(t.Context(), a.(claim.Won).Claim, claim.Result{Status: 201}))
+	require.NoError(t, s.Finish(t.Context(), a.(claim.Acquired).Claim, claim.Result{Status: 201}))
 	require.Equal(t, claim.Stored{Result: claim.Result{Status: 201}}, s.Begin(t.Context(), resumedAt, key, "print"))
 }
 
@@ -174,5 +174,5 @@
 	s, _ := newStore(t)
 	acquire(t, s)
 	other := claim.Key{Workspace: "other", Key: key.Key}
-	require.IsType(t, claim.Won{}, s.Begin(t.Context(), now, other, "print"))
+	require.IsType(t, claim.Acquired{}, s.Begin(t.Context(), now, other, "print"))
 }
--- a/internal/claim/interleave_test.go
+++ b/internal/claim/interleave_test.go
@@ -143,7 +143,7 @@
 func (c *testCaller) sendRequest(ctx context.Context) {
 	defer close(c.steps)
 	c.answer = c.store.Begin(ctx, testNow, Key{Workspace: "club", Key: "k"}, "print")
-	won, ok := c.answer.(Won)
+	won, ok := c.answer.(Acquired)
 	if !ok {
 		return
 	}
@@ -311,7 +311,7 @@
 	s.checkStoredResult(t, third.answer)
 	require.LessOrEqual(t, len(s.effects), 1, "effects")
 	if !crashed && sent == 0 {
-		require.IsType(t, Won{}, third.answer, "key must be free again")
+		require.IsType(t, Acquired{}, third.answer, "key must be free again")
 	}
 	if !crashed && sent == 1 {
 		require.IsType(t, Stored{}, third.answer, "result must be stored")
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -108,12 +108,12 @@
 		switch {
 		case err == nil:
 			c.Version = o.Version
-			return Won{Claim: c}
+			return Acquired{Claim: c}
 		case errors.As(err, &conflict):
 			next := afterConflict(now, decode(conflict.Current), c.Attempt, fingerprint)
 			if next.won {
 				c.Version = next.version
-				return Won{Claim: c}
+				return Acquired{Claim: c}
 			}
 			if next.answer != nil {
 				return next.answer
--- a/internal/forward/claim.go
+++ b/internal/forward/claim.go
@@ -46,7 +46,7 @@
 	defer cancel()
 	key := claim.Key{Workspace: call.Workspace, Key: call.Key}
 	switch a := f.opts.Claims.Begin(ctx, time.Now(), key, claimFingerprint(call)).(type) {
-	case claim.Won:
+	case claim.Acquired:
 		return f.runWon(caller, call, a.Claim)
 	case claim.Stored:
 		return replay(a.Result)
--- a/internal/slopes/messages.go
+++ b/internal/slopes/messages.go
@@ -174,7 +174,7 @@
 		calls.Store(0)
 		for i := range n {
 			key := claim.Key{Workspace: "workspace-001", Key: fmt.Sprintf("%d-%d", n, i)}
-			won, ok := store.Begin(ctx, time.Now(), key, "fingerprint").(claim.Won)
+			won, ok := store.Begin(ctx, time.Now(), key, "fingerprint").(claim.Acquired)
 			if !ok {
 				return out, merry.Wrap(ErrMeasure, merry.AppendMessage("claim not won"))
 			}
