--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -28,7 +28,7 @@
 	t.Cleanup(server.Close)
 	client := objectapi.NewClient(server.URL, objectapi.Options{Timeout: testTimeout, ReadsPerSecond: 1e6, ReadBurst: 1e6})
 	t.Cleanup(client.Close)
-	return claim.NewStore(claim.StoreOptions{Objects: client, AnswerWithin: time.Minute}), server
+	return claim.NewStore(claim.StoreOptions{Objects: client, RequestTimeout: time.Minute}), server
 }
 
 func setFaults(t *testing.T, server *httptest.Server, body string) {
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -41,8 +41,8 @@
 	Log     zerolog.Logger
 	// Holder is the name of this instance, for operators.
 	Holder string
-	// AnswerWithin is how long a request may run.
-	AnswerWithin time.Duration
+	// RequestTimeout is how long a request may run.
+	RequestTimeout time.Duration
 	// Retention returns how long a claim that is created now is kept, according
 	// to the current configuration. The minimum is MinRetention.
 	Retention func() time.Duration
@@ -65,8 +65,8 @@
 
 // NewStore returns a store. Its deferred writes need a running [Store.Run].
 func NewStore(opts StoreOptions) *Store {
-	if opts.AnswerWithin == 0 {
-		opts.AnswerWithin = defaultRequestTimeout
+	if opts.RequestTimeout == 0 {
+		opts.RequestTimeout = defaultRequestTimeout
 	}
 	if opts.Retention == nil {
 		opts.Retention = func() time.Duration { return defaultRetention }
@@ -147,7 +147,7 @@
 		Fingerprint:      c.Fingerprint,
 		Holder:           s.opts.Holder,
 		CreatedAt:        c.CreatedAt.UTC(),
-		ResponseDeadline: c.CreatedAt.Add(s.opts.AnswerWithin).UTC(),
+		ResponseDeadline: c.CreatedAt.Add(s.opts.RequestTimeout).UTC(),
 		ExpiresAt:        c.ExpiresAt.UTC(),
 	}
 }
--- a/internal/serve/views.go
+++ b/internal/serve/views.go
@@ -135,11 +135,11 @@
 
 func (p *parts) claimOptions() claim.StoreOptions {
 	return claim.StoreOptions{
-		Objects:      p.objects,
-		Log:          telemetry.Part(p.tel.Log, "claim"),
-		Holder:       p.settings.Instance,
-		AnswerWithin: answerWithin,
-		Attempts:     claimAttempts,
+		Objects:        p.objects,
+		Log:            telemetry.Part(p.tel.Log, "claim"),
+		Holder:         p.settings.Instance,
+		RequestTimeout: answerWithin,
+		Attempts:       claimAttempts,
 		Retention: func() time.Duration {
 			return time.Duration(p.store.Snapshot().Config.Limits.ClaimRetentionSeconds) * time.Second
 		},
