--- a/internal/claim/interleave_test.go
+++ b/internal/claim/interleave_test.go
@@ -130,9 +130,9 @@
 func (s *simulation) newCaller() *testCaller {
 	c := &testCaller{sim: s, steps: make(chan []outcome), outcomes: make(chan outcome)}
 	c.store = NewStore(StoreOptions{
-		Objects:  c,
-		Attempts: 2,
-		Pause:    func(ctx context.Context, _ time.Duration) error { return ctx.Err() },
+		Objects:     c,
+		MaxAttempts: 2,
+		Pause:       func(ctx context.Context, _ time.Duration) error { return ctx.Err() },
 	})
 	return c
 }
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -46,8 +46,8 @@
 	// Retention returns how long a claim that is created now is kept, according
 	// to the current configuration. The minimum is MinRetention.
 	Retention func() time.Duration
-	// Attempts limits the attempts at one write while a caller waits.
-	Attempts int
+	// MaxAttempts limits the attempts at one write while a caller waits.
+	MaxAttempts int
 	// Pause waits between attempts; the default is objectapi.Pause.
 	Pause func(ctx context.Context, d time.Duration) error
 }
@@ -71,8 +71,8 @@
 	if opts.Retention == nil {
 		opts.Retention = func() time.Duration { return defaultRetention }
 	}
-	if opts.Attempts == 0 {
-		opts.Attempts = defaultAttempts
+	if opts.MaxAttempts == 0 {
+		opts.MaxAttempts = defaultAttempts
 	}
 	if opts.Pause == nil {
 		opts.Pause = objectapi.Pause
@@ -101,7 +101,7 @@
 	backoff := objectapi.Backoff{Min: minBackoff, Max: maxBackoff}
 	uncertain := false
 	var err error
-	for range s.opts.Attempts {
+	for range s.opts.MaxAttempts {
 		var o objectapi.Object
 		o, err = s.put(ctx, w)
 		var conflict *objectapi.ConflictError
@@ -172,7 +172,7 @@
 
 func (s *Store) writeOrDefer(ctx context.Context, w write) error {
 	backoff := objectapi.Backoff{Min: minBackoff, Max: maxBackoff}
-	for range s.opts.Attempts {
+	for range s.opts.MaxAttempts {
 		done, err := s.tryWrite(ctx, &w)
 		if done {
 			return err
--- a/internal/serve/views.go
+++ b/internal/serve/views.go
@@ -139,7 +139,7 @@
 		Log:            telemetry.Part(p.tel.Log, "claim"),
 		Holder:         p.settings.Instance,
 		RequestTimeout: answerWithin,
-		Attempts:       claimAttempts,
+		MaxAttempts:    claimAttempts,
 		Retention: func() time.Duration {
 			return time.Duration(p.store.Snapshot().Config.Limits.ClaimRetentionSeconds) * time.Second
 		},
