--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -90,9 +90,9 @@
 	Fingerprint string
 	// Version is the version of the claim's object.
 	Version int64
-	// SendBy is the deadline for sending the request. It carries a monotonic
+	// SendDeadline is the deadline for sending the request. It carries a monotonic
 	// clock reading.
-	SendBy time.Time
+	SendDeadline time.Time
 	// CreatedAt and ExpiresAt limit the lifetime of the claim's object.
 	CreatedAt time.Time
 	ExpiresAt time.Time
@@ -101,7 +101,7 @@
 // MaySend reports whether the request may still be sent. Holders check it
 // immediately before they send the first byte.
 func (c Claim) MaySend(now time.Time) bool {
-	return now.Before(c.SendBy)
+	return now.Before(c.SendDeadline)
 }
 
 // Result is the response of the backend server.
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -89,13 +89,13 @@
 func (s *Store) Begin(ctx context.Context, now time.Time, key Key, fingerprint string) BeginResult {
 	kind, name := key.objectName()
 	c := Claim{
-		Kind:        kind,
-		Name:        name,
-		Attempt:     rand.Text(),
-		Fingerprint: fingerprint,
-		SendBy:      now.Add(maxSendDelay),
-		CreatedAt:   now,
-		ExpiresAt:   now.Add(max(s.opts.Retention(), MinRetention)),
+		Kind:         kind,
+		Name:         name,
+		Attempt:      rand.Text(),
+		Fingerprint:  fingerprint,
+		SendDeadline: now.Add(maxSendDelay),
+		CreatedAt:    now,
+		ExpiresAt:    now.Add(max(s.opts.Retention(), MinRetention)),
 	}
 	w := write{kind: kind, name: name, record: s.record(c, phaseOpen)}
 	backoff := objectapi.Backoff{Min: minBackoff, Max: maxBackoff}
--- a/internal/forward/claim.go
+++ b/internal/forward/claim.go
@@ -72,8 +72,8 @@
 // runWon runs the call that won its claim. Only a call that surely wasn't run
 // gives its claim up; otherwise a repeat finds the key taken.
 func (f *Forwarder) runWon(caller context.Context, call Call, c claim.Claim) (Answer, error) {
-	if c.SendBy.Before(call.Deadline) {
-		call.Deadline = c.SendBy
+	if c.SendDeadline.Before(call.Deadline) {
+		call.Deadline = c.SendDeadline
 	}
 	response, err := f.run(caller, call, c.MaySend)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(caller), storeTimeout)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -283,7 +283,7 @@
 func TestLapsedClaimSendsNothing(t *testing.T) {
 	s := &fakeService{}
 	f := newTestForwarder(t, s, &fakePermits{}, nil)
-	lapsed := claim.Claim{SendBy: time.Now().Add(-time.Second)}
+	lapsed := claim.Claim{SendDeadline: time.Now().Add(-time.Second)}
 	_, err := f.run(t.Context(), testCall(false, "k", ""), lapsed.MaySend)
 	require.Equal(t, answer.OutcomeNotRun, answer.Of(err).Outcome)
 	require.Empty(t, s.called)
