--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -261,7 +261,7 @@
 		now := time.Now()
 		m.mu.Lock()
 		paused := m.guard.Beat(now)
-		if m.opts.Config.Confirmed(now, m.opts.Timing.Lease) {
+		if m.opts.Config.Confirmed(now, m.opts.Timing.LeaseDuration) {
 			m.guard.ConfigConfirmed(m.configAskedAt(now))
 		}
 		m.mu.Unlock()
--- a/internal/member/outage.go
+++ b/internal/member/outage.go
@@ -32,7 +32,7 @@
 // call that failed, or three quarters of a lease after the last confirmation.
 // A watch that waits makes a confirmation two thirds of a lease old.
 func (m *Member) unconfirmed(now time.Time) bool {
-	within := m.opts.Timing.Lease * 3 / 4
+	within := m.opts.Timing.LeaseDuration * 3 / 4
 	return m.platformFailed || !m.lease.ConfirmedByPlatform(now, within) || !m.opts.Config.Confirmed(now, within)
 }
 
@@ -66,8 +66,8 @@
 		m.unconfirmedSince = now
 	}
 	since, ok := m.lease.MajoritySince(now, m.opts.Config.Version())
-	known := ok && now.Sub(since) < m.opts.Timing.Lease/2
-	if known || now.Sub(m.unconfirmedSince) > m.opts.Timing.Lease {
+	known := ok && now.Sub(since) < m.opts.Timing.LeaseDuration/2
+	if known || now.Sub(m.unconfirmedSince) > m.opts.Timing.LeaseDuration {
 		return m.opts.Heartbeat
 	}
 	return m.opts.Heartbeat / hurry
@@ -88,7 +88,7 @@
 		}
 	}
 	since, ok := m.lease.MajoritySince(now, version)
-	if !ok || now.Sub(since) >= m.opts.Timing.Lease {
+	if !ok || now.Sub(since) >= m.opts.Timing.LeaseDuration {
 		return
 	}
 	m.opts.Config.Confirm(since)
--- a/internal/roster/ages_exhaustive_test.go
+++ b/internal/roster/ages_exhaustive_test.go
@@ -157,7 +157,7 @@
 			for len(queue) > 0 {
 				m := queue[0]
 				queue = queue[1:]
-				leaseExpired := m.halfLeftTick >= 0 && at(m.ticks).Sub(at(m.halfLeftTick)) >= shortTiming.Lease
+				leaseExpired := m.halfLeftTick >= 0 && at(m.ticks).Sub(at(m.halfLeftTick)) >= shortTiming.LeaseDuration
 				for _, l := range m.leases {
 					// No heartbeats are sent in the next epoch, so nothing confirms it.
 					require.False(t, l.roster.Epoch > 1 && l.Confirmed(at(m.ticks)), "confirmed by ages of the previous epoch")
--- a/internal/roster/lease.go
+++ b/internal/roster/lease.go
@@ -4,8 +4,8 @@
 
 // Timing holds the durations of leases and permits.
 type Timing struct {
-	// Lease is how long a confirmation or a deputy's promise is valid.
-	Lease time.Duration
+	// LeaseDuration is how long a confirmation or a deputy's promise is valid.
+	LeaseDuration time.Duration
 	// Permit is how long a permit may be used, counted from its request.
 	Permit time.Duration
 }
@@ -13,7 +13,7 @@
 // Takeover returns how long a new owner waits: until the lease of the old owner,
 // which may not know of the change, has expired, and then until its last permit has.
 func (t Timing) Takeover() time.Duration {
-	return t.Lease + t.Permit
+	return t.LeaseDuration + t.Permit
 }
 
 // Server holds the properties of a backend server that decide on rights to it.
@@ -167,7 +167,7 @@
 // a promise only if both have the same epoch.
 func (l *Lease) Promise(now time.Time, peer string, epoch int64) {
 	if epoch == l.roster.Epoch {
-		l.promises[peer] = now.Add(l.timing.Lease)
+		l.promises[peer] = now.Add(l.timing.LeaseDuration)
 	}
 }
 
@@ -211,5 +211,5 @@
 }
 
 func (l *Lease) withinLease(now, at time.Time) bool {
-	return !at.IsZero() && now.Sub(at) < l.timing.Lease
+	return !at.IsZero() && now.Sub(at) < l.timing.LeaseDuration
 }
--- a/internal/router/cluster_test.go
+++ b/internal/router/cluster_test.go
@@ -149,7 +149,7 @@
 	in := &instance{self: roster.Instance{
 		ID: id, Incarnation: incarnation, PeerAddress: listener.Addr().String(), CallerAddress: "127.0.0.1:1", Zone: "a", Region: "r",
 	}}
-	timing := roster.Timing{Lease: 1500 * time.Millisecond, Permit: 500 * time.Millisecond}
+	timing := roster.Timing{LeaseDuration: 1500 * time.Millisecond, Permit: 500 * time.Millisecond}
 	in.member, err = member.New(member.Options{
 		Self: in.self, Timing: timing, Objects: objects, List: list, Config: store, Suspects: suspects, Peers: pool,
 		Heartbeat: time.Second / beatsPerSecond, Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
