--- a/internal/roster/lease.go
+++ b/internal/roster/lease.go
@@ -6,14 +6,14 @@
 type Timing struct {
 	// LeaseDuration is how long a confirmation or a deputy's promise is valid.
 	LeaseDuration time.Duration
-	// Permit is how long a permit may be used, counted from its request.
-	Permit time.Duration
+	// PermitValidity is how long a permit may be used, counted from its request.
+	PermitValidity time.Duration
 }
 
 // Takeover returns how long a new owner waits: until the lease of the old owner,
 // which may not know of the change, has expired, and then until its last permit has.
 func (t Timing) Takeover() time.Duration {
-	return t.LeaseDuration + t.Permit
+	return t.LeaseDuration + t.PermitValidity
 }
 
 // Server holds the properties of a backend server that decide on rights to it.
--- a/internal/serve/views.go
+++ b/internal/serve/views.go
@@ -128,8 +128,8 @@
 
 func (p *parts) rosterTiming() roster.Timing {
 	return roster.Timing{
-		LeaseDuration: millis(p.settings.Timing.ConfirmMillis),
-		Permit:        millis(p.settings.Timing.PermitMillis),
+		LeaseDuration:  millis(p.settings.Timing.ConfirmMillis),
+		PermitValidity: millis(p.settings.Timing.PermitMillis),
 	}
 }
 
--- a/internal/slopes/duties.go
+++ b/internal/slopes/duties.go
@@ -91,7 +91,7 @@
 func ownerCost(ctx context.Context, members, servers int) (float64, error) {
 	list := instances(members)
 	self := typical(list, servers)
-	r := &rights{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, Permit: 2 * time.Second})}
+	r := &rights{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})}
 	r.lease.Adopt(time.Now(), roster.New(epoch, firstRoster(list)))
 	snap := config.NewSnapshot(1, fleet(servers, fullWorkspaces))
 	o, err := owner.New(owner.Options{
@@ -211,7 +211,7 @@
 	pool := peer.NewPool(self.ID, key, tally.NoopScope)
 	defer pool.Close()
 	m, err := member.New(member.Options{
-		Self: self, Timing: roster.Timing{LeaseDuration: 3 * time.Second, Permit: 2 * time.Second},
+		Self: self, Timing: roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second},
 		Objects: world, List: world, Config: world, Suspects: noSuspects{}, Peers: pool,
 		Heartbeat: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
--- a/internal/slopes/polls.go
+++ b/internal/slopes/polls.go
@@ -65,7 +65,7 @@
 		cfg.Servers = append(cfg.Servers, s)
 	}
 	self := instances(1)[0]
-	r := &rights{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, Permit: 2 * time.Second})}
+	r := &rights{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})}
 	r.lease.Adopt(time.Now(), roster.New(epoch, firstRoster([]roster.Instance{self})))
 	snap, loads := config.NewSnapshot(1, cfg), &countedLoads{polls: map[string]int{}}
 	o, err := owner.New(owner.Options{
