--- a/internal/roster/lease.go
+++ b/internal/roster/lease.go
@@ -10,9 +10,9 @@
 	PermitValidity time.Duration
 }
 
-// Takeover returns how long a new owner waits: until the lease of the old owner,
+// TakeoverDelay returns how long a new owner waits: until the lease of the old owner,
 // which may not know of the change, has expired, and then until its last permit has.
-func (t Timing) Takeover() time.Duration {
+func (t Timing) TakeoverDelay() time.Duration {
 	return t.LeaseDuration + t.PermitValidity
 }
 
--- a/internal/roster/right.go
+++ b/internal/roster/right.go
@@ -139,7 +139,7 @@
 	if end.Before(l.adoptedAt) {
 		end = l.adoptedAt
 	}
-	return end.Add(l.timing.Takeover()), true
+	return end.Add(l.timing.TakeoverDelay()), true
 }
 
 // permitsStoppedAt returns since when an instance of the previous roster is known to
@@ -158,7 +158,7 @@
 		return right
 	}
 	if l.roster.Number <= 1 {
-		free = l.adoptedAt.Add(l.timing.Takeover())
+		free = l.adoptedAt.Add(l.timing.TakeoverDelay())
 	}
 	if promiseEnd, ok := l.promises[owner]; ok && promiseEnd.Add(l.timing.PermitValidity).After(free) {
 		free = promiseEnd.Add(l.timing.PermitValidity)
