--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -113,7 +113,7 @@
 	}
 	if req.GetEpoch() == res.GetEpoch() {
 		m.lease.Acked(now, sent, p.instance.ID, res.GetEpoch(), res.GetConfigVersion())
-		m.lease.PassedOn(sent, res.GetEpoch(), res.GetConfigVersion(), res.GetAges())
+		m.lease.ApplyAges(sent, res.GetEpoch(), res.GetConfigVersion(), res.GetAges())
 	}
 	m.lease.Stopped(now, p.instance.ID, res.GetEpoch())
 }
--- a/internal/roster/ages.go
+++ b/internal/roster/ages.go
@@ -47,14 +47,14 @@
 	return ages
 }
 
-// PassedOn records the ages in the response of a peer, at epoch and with a
+// ApplyAges records the ages in the response of a peer, at epoch and with a
 // configuration of version, to a heartbeat sent at sentAt.
 //
 // The ages count from sentAt, not from the receipt: the response may have been
 // delayed, or its sender or this process paused meanwhile. For the same reason ages
 // are accepted only in responses: the receiver of a heartbeat can't tell when it was
 // made.
-func (l *Lease) PassedOn(sentAt time.Time, epoch, version int64, ages []byte) {
+func (l *Lease) ApplyAges(sentAt time.Time, epoch, version int64, ages []byte) {
 	if epoch != l.roster.Epoch || len(ages) != len(l.lastSeen) {
 		return
 	}
--- a/internal/roster/lease.go
+++ b/internal/roster/lease.go
@@ -34,7 +34,7 @@
 //
 //  1. O grants permits only while confirmed: within the last Lease it read its
 //     epoch from the platform, or more than half of the roster was at that epoch,
-//     according to responses to O or to others; see [Lease.PassedOn]. An instance
+//     according to responses to O or to others; see [Lease.ApplyAges]. An instance
 //     that reaches neither grants none.
 //  2. By responding to O's heartbeat at the same epoch, D promises to grant no
 //     permits for O's servers for one Lease. O counts the promise from the sending
