--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -112,7 +112,7 @@
 		return
 	}
 	if req.GetEpoch() == res.GetEpoch() {
-		m.lease.Acked(now, sent, p.instance.ID, res.GetEpoch(), res.GetConfigVersion())
+		m.lease.RecordAck(now, sent, p.instance.ID, res.GetEpoch(), res.GetConfigVersion())
 		m.lease.ApplyAges(sent, res.GetEpoch(), res.GetConfigVersion(), res.GetAges())
 	}
 	m.lease.Stopped(now, p.instance.ID, res.GetEpoch())
--- a/internal/roster/ages_exhaustive_test.go
+++ b/internal/roster/ages_exhaustive_test.go
@@ -95,7 +95,7 @@
 
 func (m *ageState) apply(a *delayedAnswer) {
 	l := m.mutableLease(a.i)
-	l.Acked(at(m.ticks), at(a.sent), modelIDs[a.j], 1, 0)
+	l.RecordAck(at(m.ticks), at(a.sent), modelIDs[a.j], 1, 0)
 	l.ApplyAges(at(a.sent), 1, 0, a.ages)
 }
 
--- a/internal/roster/lease.go
+++ b/internal/roster/lease.go
@@ -145,9 +145,9 @@
 	return !l.confirmedAt.IsZero() && now.Sub(l.confirmedAt) < maxAge
 }
 
-// Acked records that peer, at epoch and with a configuration of version, responded
+// RecordAck records that peer, at epoch and with a configuration of version, responded
 // now to a heartbeat sent at sentAt under the same epoch.
-func (l *Lease) Acked(now, sentAt time.Time, peer string, epoch, version int64) {
+func (l *Lease) RecordAck(now, sentAt time.Time, peer string, epoch, version int64) {
 	i, member := l.roster.index[peer]
 	if !member || epoch != l.roster.Epoch {
 		return
--- a/internal/roster/lease_exhaustive_test.go
+++ b/internal/roster/lease_exhaustive_test.go
@@ -292,7 +292,7 @@
 func (m *modelState) receiveAnswer(a delayedAnswer) {
 	from, now := m.leases[a.i], at(m.ticks)
 	if a.ages != nil {
-		from.Acked(now, at(a.sent), modelIDs[a.j], a.epoch, 0)
+		from.RecordAck(now, at(a.sent), modelIDs[a.j], a.epoch, 0)
 		from.ApplyAges(at(a.sent), a.epoch, 0, a.ages)
 	}
 	from.Stopped(now, modelIDs[a.j], a.epoch)
