--- a/internal/member/handler.go
+++ b/internal/member/handler.go
@@ -46,7 +46,7 @@
 	suspects := m.newest(now)
 	m.mu.Lock()
 	if m.lease.Roster().Has(req.GetInstance(), req.GetIncarnation()) {
-		m.lease.Promise(now, req.GetInstance(), req.GetEpoch())
+		m.lease.RecordPromise(now, req.GetInstance(), req.GetEpoch())
 		m.lease.Stopped(now, req.GetInstance(), req.GetEpoch())
 	}
 	if p, ok := m.known[req.GetInstance()]; ok {
--- a/internal/roster/lease.go
+++ b/internal/roster/lease.go
@@ -163,9 +163,9 @@
 	l.acks[peer] = a
 }
 
-// Promise records a heartbeat from peer at epoch, received now. The response to it is
+// RecordPromise records a heartbeat from peer at epoch, received now. The response to it is
 // a promise only if both have the same epoch.
-func (l *Lease) Promise(now time.Time, peer string, epoch int64) {
+func (l *Lease) RecordPromise(now time.Time, peer string, epoch int64) {
 	if epoch == l.roster.Epoch {
 		l.promises[peer] = now.Add(l.timing.LeaseDuration)
 	}
--- a/internal/roster/lease_exhaustive_test.go
+++ b/internal/roster/lease_exhaustive_test.go
@@ -271,7 +271,7 @@
 
 func (m *modelState) heartbeat(i, j int, k kind) {
 	from, to, now := m.leases[i], m.leases[j], at(m.ticks)
-	to.Promise(now, from.self.ID, from.roster.Epoch)
+	to.RecordPromise(now, from.self.ID, from.roster.Epoch)
 	to.Stopped(now, from.self.ID, from.roster.Epoch)
 	if k == heartbeatAnswerLost {
 		return
