--- a/internal/member/handler.go
+++ b/internal/member/handler.go
@@ -47,7 +47,7 @@
 	m.mu.Lock()
 	if m.lease.Roster().Has(req.GetInstance(), req.GetIncarnation()) {
 		m.lease.RecordPromise(now, req.GetInstance(), req.GetEpoch())
-		m.lease.Stopped(now, req.GetInstance(), req.GetEpoch())
+		m.lease.RecordStopped(now, req.GetInstance(), req.GetEpoch())
 	}
 	if p, ok := m.known[req.GetInstance()]; ok {
 		p.configVersion, p.epoch = req.GetConfigVersion(), req.GetEpoch()
--- a/internal/member/handover.go
+++ b/internal/member/handover.go
@@ -54,6 +54,6 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.lease.Roster().Has(req.GetInstance(), req.GetIncarnation()) {
-		m.lease.Stopped(now, req.GetInstance(), req.GetEpoch())
+		m.lease.RecordStopped(now, req.GetInstance(), req.GetEpoch())
 	}
 }
--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -115,7 +115,7 @@
 		m.lease.RecordAck(now, sent, p.instance.ID, res.GetEpoch(), res.GetConfigVersion())
 		m.lease.ApplyAges(sent, res.GetEpoch(), res.GetConfigVersion(), res.GetAges())
 	}
-	m.lease.Stopped(now, p.instance.ID, res.GetEpoch())
+	m.lease.RecordStopped(now, p.instance.ID, res.GetEpoch())
 }
 
 // adopters takes in who is known to have adopted the epoch: bit i is instance
@@ -129,7 +129,7 @@
 	}
 	for i, in := range r.Instances {
 		if i/8 < len(bits) && bits[i/8]&(1<<(i%8)) != 0 && in.ID != m.opts.Self.ID {
-			m.lease.Stopped(now, in.ID, epoch)
+			m.lease.RecordStopped(now, in.ID, epoch)
 		}
 	}
 }
--- a/internal/roster/lease.go
+++ b/internal/roster/lease.go
@@ -171,9 +171,9 @@
 	}
 }
 
-// Stopped records that peer reported at now that it grants no permits under epochs
+// RecordStopped records that peer reported at now that it grants no permits under epochs
 // older than the current one: it has adopted this epoch, or handed off its servers.
-func (l *Lease) Stopped(now time.Time, peer string, epoch int64) {
+func (l *Lease) RecordStopped(now time.Time, peer string, epoch int64) {
 	if epoch < l.roster.Epoch {
 		return
 	}
--- a/internal/roster/lease_exhaustive_test.go
+++ b/internal/roster/lease_exhaustive_test.go
@@ -272,7 +272,7 @@
 func (m *modelState) heartbeat(i, j int, k kind) {
 	from, to, now := m.leases[i], m.leases[j], at(m.ticks)
 	to.RecordPromise(now, from.self.ID, from.roster.Epoch)
-	to.Stopped(now, from.self.ID, from.roster.Epoch)
+	to.RecordStopped(now, from.self.ID, from.roster.Epoch)
 	if k == heartbeatAnswerLost {
 		return
 	}
@@ -295,7 +295,7 @@
 		from.RecordAck(now, at(a.sent), modelIDs[a.j], a.epoch, 0)
 		from.ApplyAges(at(a.sent), a.epoch, 0, a.ages)
 	}
-	from.Stopped(now, modelIDs[a.j], a.epoch)
+	from.RecordStopped(now, modelIDs[a.j], a.epoch)
 }
 
 // write stores a roster with i removed or added again, as [Propose] would: only when
