--- a/internal/member/propose.go
+++ b/internal/member/propose.go
@@ -106,7 +106,7 @@
 	seen := roster.Observation{
 		Answered: map[string]roster.Instance{},
 		Silent:   map[string]map[string]time.Time{},
-		Settled:  m.lease.Settled(),
+		Settled:  m.lease.MajorityAdopted(),
 	}
 	for id, p := range m.known {
 		if now.Sub(p.answeredAt) < answeredFor && p.instance.PeerAddress != "" {
--- a/internal/roster/lease.go
+++ b/internal/roster/lease.go
@@ -190,8 +190,8 @@
 	return l.withinLease(now, l.confirmedAt) || l.recentMajority(now)
 }
 
-// Settled reports whether more than half of the roster is known to have adopted it.
-func (l *Lease) Settled() bool {
+// MajorityAdopted reports whether more than half of the roster is known to have adopted it.
+func (l *Lease) MajorityAdopted() bool {
 	n := 0
 	for _, in := range l.roster.Instances {
 		if l.Adopted(in.ID) {
