--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -138,7 +138,7 @@
 	r := m.lease.Roster()
 	bits := make([]byte, (len(r.Instances)+7)/8)
 	for i, in := range r.Instances {
-		if m.lease.Adopted(in.ID) {
+		if m.lease.HasAdopted(in.ID) {
 			bits[i/8] |= 1 << (i % 8)
 		}
 	}
--- a/internal/roster/lease.go
+++ b/internal/roster/lease.go
@@ -194,15 +194,15 @@
 func (l *Lease) MajorityAdopted() bool {
 	n := 0
 	for _, in := range l.roster.Instances {
-		if l.Adopted(in.ID) {
+		if l.HasAdopted(in.ID) {
 			n++
 		}
 	}
 	return 2*n > len(l.roster.Instances)
 }
 
-// Adopted reports whether an instance is known to have adopted the current epoch.
-func (l *Lease) Adopted(id string) bool {
+// HasAdopted reports whether an instance is known to have adopted the current epoch.
+func (l *Lease) HasAdopted(id string) bool {
 	if id == l.self.ID {
 		return l.roster.Has(id, l.self.Incarnation)
 	}
