--- a/internal/member/propose.go
+++ b/internal/member/propose.go
@@ -104,9 +104,9 @@
 
 func (m *Member) observation(now time.Time) roster.Observation {
 	seen := roster.Observation{
-		Answered: map[string]roster.Instance{},
-		Silent:   map[string]map[string]time.Time{},
-		Settled:  m.lease.MajorityAdopted(),
+		Answered:        map[string]roster.Instance{},
+		Silent:          map[string]map[string]time.Time{},
+		MajorityAdopted: m.lease.MajorityAdopted(),
 	}
 	for id, p := range m.known {
 		if now.Sub(p.answeredAt) < answeredFor && p.instance.PeerAddress != "" {
--- a/internal/roster/propose.go
+++ b/internal/roster/propose.go
@@ -35,8 +35,8 @@
 	// Silent says for each instance which observers missed its responses, and when
 	// last.
 	Silent map[string]map[string]time.Time
-	// Settled says whether more than half of the roster is known to have adopted it.
-	Settled bool
+	// MajorityAdopted says whether more than half of the roster is known to have adopted it.
+	MajorityAdopted bool
 }
 
 // Propose returns the roster that should follow current, or false if current should
@@ -61,7 +61,7 @@
 	for _, l := range list {
 		live[l.ID] = l
 	}
-	if !seen.Settled && current.Number > 0 && majorityAlive(now, current, live, seen) {
+	if !seen.MajorityAdopted && current.Number > 0 && majorityAlive(now, current, live, seen) {
 		return Object{}, false
 	}
 	next := make([]Instance, 0, len(list))
