--- a/internal/member/propose.go
+++ b/internal/member/propose.go
@@ -104,19 +104,19 @@
 
 func (m *Member) observation(now time.Time) roster.Observation {
 	seen := roster.Observation{
-		Answered:        map[string]roster.Instance{},
+		Responding:      map[string]roster.Instance{},
 		Silent:          map[string]map[string]time.Time{},
 		MajorityAdopted: m.lease.MajorityAdopted(),
 	}
 	for id, p := range m.known {
 		if now.Sub(p.answeredAt) < answeredFor && p.instance.PeerAddress != "" {
-			seen.Answered[id] = p.instance
+			seen.Responding[id] = p.instance
 		}
 		if now.Sub(p.answeredAt) >= missedAfter {
 			seen.Silent[id] = p.silent
 		}
 	}
-	seen.Answered[m.opts.Self.ID] = m.self()
+	seen.Responding[m.opts.Self.ID] = m.self()
 	return seen
 }
 
--- a/internal/roster/propose.go
+++ b/internal/roster/propose.go
@@ -29,9 +29,9 @@
 
 // Observation is what heartbeats show about the instances.
 type Observation struct {
-	// Answered holds the instances that recently responded to a heartbeat of this
+	// Responding holds the instances that recently responded to a heartbeat of this
 	// instance, as they describe themselves.
-	Answered map[string]Instance
+	Responding map[string]Instance
 	// Silent says for each instance which observers missed its responses, and when
 	// last.
 	Silent map[string]map[string]time.Time
@@ -66,7 +66,7 @@
 	}
 	next := make([]Instance, 0, len(list))
 	for _, in := range current.Instances {
-		if answered, ok := seen.Answered[in.ID]; ok {
+		if answered, ok := seen.Responding[in.ID]; ok {
 			in = answered
 		}
 		l, listed := live[in.ID]
@@ -76,7 +76,7 @@
 		in.Leaving = in.Leaving || listed && l.Leaving
 		next = append(next, in)
 	}
-	for id, in := range seen.Answered {
+	for id, in := range seen.Responding {
 		_, member := current.Find(id)
 		if l, listed := live[id]; listed && !member {
 			in.Leaving = in.Leaving || l.Leaving
@@ -106,7 +106,7 @@
 func majorityAlive(now time.Time, current *Roster, live map[string]Listed, seen Observation) bool {
 	n := 0
 	for _, in := range current.Instances {
-		latest, answered := seen.Answered[in.ID]
+		latest, answered := seen.Responding[in.ID]
 		replaced := answered && latest.Incarnation != in.Incarnation
 		_, listed := live[in.ID]
 		if !replaced && (listed || !isDown(now, current, in, seen)) {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -36,10 +36,10 @@
 func (v observerView) observation(t *testing.T) ([]roster.Listed, roster.Observation) {
 	t.Helper()
 	seen := roster.Observation{
-		Answered: map[string]roster.Instance{}, Silent: map[string]map[string]time.Time{}, MajorityAdopted: !v.notAdopted,
+		Responding: map[string]roster.Instance{}, Silent: map[string]map[string]time.Time{}, MajorityAdopted: !v.notAdopted,
 	}
 	for _, id := range v.responding {
-		seen.Answered[string(id)] = testInstance(string(id))
+		seen.Responding[string(id)] = testInstance(string(id))
 	}
 	for id, observers := range v.silent {
 		seen.Silent[id] = map[string]time.Time{}
@@ -103,7 +103,7 @@
 	restarted := testInstance("b")
 	restarted.Incarnation = "2"
 	next, ok := roster.Propose(now, current, []roster.Listed{{ID: "a"}, {ID: "b"}}, roster.Observation{
-		Answered: map[string]roster.Instance{"a": testInstance("a"), "b": restarted}, MajorityAdopted: true,
+		Responding: map[string]roster.Instance{"a": testInstance("a"), "b": restarted}, MajorityAdopted: true,
 	})
 	require.True(t, ok)
 	require.Equal(t, []roster.Instance{testInstance("a"), restarted}, next.Instances)
