--- a/internal/member/propose.go
+++ b/internal/member/propose.go
@@ -105,7 +105,7 @@
 func (m *Member) observation(now time.Time) roster.Observation {
 	seen := roster.Observation{
 		Responding:      map[string]roster.Instance{},
-		Silent:          map[string]map[string]time.Time{},
+		MissedBy:        map[string]map[string]time.Time{},
 		MajorityAdopted: m.lease.MajorityAdopted(),
 	}
 	for id, p := range m.known {
@@ -113,7 +113,7 @@
 			seen.Responding[id] = p.instance
 		}
 		if now.Sub(p.answeredAt) >= missedAfter {
-			seen.Silent[id] = p.silent
+			seen.MissedBy[id] = p.silent
 		}
 	}
 	seen.Responding[m.opts.Self.ID] = m.self()
--- a/internal/roster/propose.go
+++ b/internal/roster/propose.go
@@ -32,9 +32,9 @@
 	// Responding holds the instances that recently responded to a heartbeat of this
 	// instance, as they describe themselves.
 	Responding map[string]Instance
-	// Silent says for each instance which observers missed its responses, and when
+	// MissedBy says for each instance which observers missed its responses, and when
 	// last.
-	Silent map[string]map[string]time.Time
+	MissedBy map[string]map[string]time.Time
 	// MajorityAdopted says whether more than half of the roster is known to have adopted it.
 	MajorityAdopted bool
 }
@@ -93,7 +93,7 @@
 // isDown reports whether enough observers miss the responses of in.
 func isDown(now time.Time, current *Roster, in Instance, seen Observation) bool {
 	n := 0
-	for _, at := range seen.Silent[in.ID] {
+	for _, at := range seen.MissedBy[in.ID] {
 		if now.Sub(at) <= missedAnswerTTL {
 			n++
 		}
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -36,15 +36,15 @@
 func (v observerView) observation(t *testing.T) ([]roster.Listed, roster.Observation) {
 	t.Helper()
 	seen := roster.Observation{
-		Responding: map[string]roster.Instance{}, Silent: map[string]map[string]time.Time{}, MajorityAdopted: !v.notAdopted,
+		Responding: map[string]roster.Instance{}, MissedBy: map[string]map[string]time.Time{}, MajorityAdopted: !v.notAdopted,
 	}
 	for _, id := range v.responding {
 		seen.Responding[string(id)] = testInstance(string(id))
 	}
 	for id, observers := range v.silent {
-		seen.Silent[id] = map[string]time.Time{}
+		seen.MissedBy[id] = map[string]time.Time{}
 		for _, o := range observers {
-			seen.Silent[id][string(o)] = now
+			seen.MissedBy[id][string(o)] = now
 		}
 	}
 	var list []roster.Listed
