--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -93,7 +93,7 @@
 	guard   roster.Guard
 	known   map[string]*peerState
 	leaving bool
-	listed  []roster.Listed
+	listed  []roster.ListedInstance
 	rng     *rand.Rand
 	// peers are those that need heartbeats at peersEpoch and peersVersion.
 	peers        []roster.Instance
--- a/internal/member/propose.go
+++ b/internal/member/propose.go
@@ -73,9 +73,9 @@
 		return
 	}
 	patience.Answered(time.Since(asked))
-	listed := make([]roster.Listed, 0, len(instances))
+	listed := make([]roster.ListedInstance, 0, len(instances))
 	for _, in := range instances {
-		listed = append(listed, roster.Listed{
+		listed = append(listed, roster.ListedInstance{
 			ID: in.ID, PeerAddress: in.PeerAddress, Leaving: in.State == instancelist.StateLeaving,
 		})
 	}
--- a/internal/member/targets_test.go
+++ b/internal/member/targets_test.go
@@ -52,7 +52,7 @@
 	now := time.Unix(1_000_000, 0)
 	m := inRoster(t, now, members)
 	for i := range dead {
-		m.listed = append(m.listed, roster.Listed{ID: fmt.Sprintf("dead-%03d", i), PeerAddress: fmt.Sprintf("10.0.1.%d:9080", i)})
+		m.listed = append(m.listed, roster.ListedInstance{ID: fmt.Sprintf("dead-%03d", i), PeerAddress: fmt.Sprintf("10.0.1.%d:9080", i)})
 	}
 	needed := m.needed(m.lease.Roster())
 	require.NotEmpty(t, needed)
--- a/internal/roster/propose.go
+++ b/internal/roster/propose.go
@@ -20,8 +20,8 @@
 	maxRank = 8
 )
 
-// Listed is an instance in the platform's list, which lags.
-type Listed struct {
+// ListedInstance is an instance in the platform's list, which lags.
+type ListedInstance struct {
 	ID          string
 	PeerAddress string
 	Leaving     bool
@@ -56,8 +56,8 @@
 //   - No change while the current roster isn't known to most of its members, unless
 //     too few of them are alive: two successive changes unknown to most members would
 //     let old owners confirm each other; see [Lease].
-func Propose(now time.Time, current *Roster, list []Listed, seen Observation) (Object, bool) {
-	live := map[string]Listed{}
+func Propose(now time.Time, current *Roster, list []ListedInstance, seen Observation) (Object, bool) {
+	live := map[string]ListedInstance{}
 	for _, l := range list {
 		live[l.ID] = l
 	}
@@ -103,7 +103,7 @@
 
 // majorityAlive reports whether more than half of the roster is neither down nor
 // replaced, so that waiting until they adopt it can succeed.
-func majorityAlive(now time.Time, current *Roster, live map[string]Listed, seen Observation) bool {
+func majorityAlive(now time.Time, current *Roster, live map[string]ListedInstance, seen Observation) bool {
 	n := 0
 	for _, in := range current.Instances {
 		latest, answered := seen.Responding[in.ID]
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -33,7 +33,7 @@
 	notAdopted bool
 }
 
-func (v observerView) observation(t *testing.T) ([]roster.Listed, roster.Observation) {
+func (v observerView) observation(t *testing.T) ([]roster.ListedInstance, roster.Observation) {
 	t.Helper()
 	seen := roster.Observation{
 		Responding: map[string]roster.Instance{}, MissedBy: map[string]map[string]time.Time{}, MajorityAdopted: !v.notAdopted,
@@ -47,9 +47,9 @@
 			seen.MissedBy[id][string(o)] = now
 		}
 	}
-	var list []roster.Listed
+	var list []roster.ListedInstance
 	for _, id := range v.listed {
-		list = append(list, roster.Listed{ID: string(id), PeerAddress: string(id)})
+		list = append(list, roster.ListedInstance{ID: string(id), PeerAddress: string(id)})
 	}
 	return list, seen
 }
@@ -102,7 +102,7 @@
 	current := roster.New(1, roster.Object{Number: 1, Instances: testInstances("a", "b")})
 	restarted := testInstance("b")
 	restarted.Incarnation = "2"
-	next, ok := roster.Propose(now, current, []roster.Listed{{ID: "a"}, {ID: "b"}}, roster.Observation{
+	next, ok := roster.Propose(now, current, []roster.ListedInstance{{ID: "a"}, {ID: "b"}}, roster.Observation{
 		Responding: map[string]roster.Instance{"a": testInstance("a"), "b": restarted}, MajorityAdopted: true,
 	})
 	require.True(t, ok)
