--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -260,7 +260,7 @@
 	for {
 		now := time.Now()
 		m.mu.Lock()
-		paused := m.guard.Beat(now)
+		paused := m.guard.Tick(now)
 		if m.opts.Config.Confirmed(now, m.opts.Timing.LeaseDuration) {
 			m.guard.ConfigConfirmed(m.configAskedAt(now))
 		}
--- a/internal/roster/guard.go
+++ b/internal/roster/guard.go
@@ -5,7 +5,7 @@
 // Guard stops an instance that was paused from sending new work.
 //
 // A process that was frozen, or starved of CPU, for longer than the others take to
-// replace it would act on outdated state. A background task calls [Guard.Beat]
+// replace it would act on outdated state. A background task calls [Guard.Tick]
 // every [BeatEvery]; a gap longer than [MaxGap] means a pause. From then on no new
 // work is sent until calls made after the gap have confirmed configuration and
 // roster. [Guard.Allowed] checks the gap itself too, so a sender that runs before
@@ -26,8 +26,8 @@
 	MaxGap = time.Second
 )
 
-// Beat records that the process runs at now. It reports whether it was paused before.
-func (g *Guard) Beat(now time.Time) bool {
+// Tick records that the process runs at now. It reports whether it was paused before.
+func (g *Guard) Tick(now time.Time) bool {
 	paused := !g.lastTick.IsZero() && now.Sub(g.lastTick) > MaxGap
 	if paused {
 		g.suspended, g.resumedAt = true, now
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -149,11 +149,11 @@
 	// calls made after the pause confirm configuration and roster; a response that
 	// was under way during the pause may be outdated.
 	var g roster.Guard
-	g.Beat(now)
+	g.Tick(now)
 	require.True(t, g.Allowed(now.Add(roster.MaxGap)))
 	resumed := now.Add(2 * time.Second)
 	require.False(t, g.Allowed(resumed), "before the first tick after the pause")
-	require.True(t, g.Beat(resumed))
+	require.True(t, g.Tick(resumed))
 	g.ConfigConfirmed(now.Add(time.Second))
 	g.RosterConfirmed(resumed.Add(time.Millisecond))
 	require.False(t, g.Allowed(resumed), "configuration was requested before the end of the pause")
