--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -255,7 +255,7 @@
 
 // watchPauses is the watch on the monotonic clock.
 func (m *Member) watchPauses(ctx context.Context) {
-	tick := time.NewTicker(roster.BeatEvery)
+	tick := time.NewTicker(roster.TickInterval)
 	defer tick.Stop()
 	for {
 		now := time.Now()
--- a/internal/roster/guard.go
+++ b/internal/roster/guard.go
@@ -6,7 +6,7 @@
 //
 // A process that was frozen, or starved of CPU, for longer than the others take to
 // replace it would act on outdated state. A background task calls [Guard.Tick]
-// every [BeatEvery]; a gap longer than [MaxGap] means a pause. From then on no new
+// every [TickInterval]; a gap longer than [MaxGap] means a pause. From then on no new
 // work is sent until calls made after the gap have confirmed configuration and
 // roster. [Guard.Allowed] checks the gap itself too, so a sender that runs before
 // the background task does is also stopped.
@@ -19,8 +19,8 @@
 }
 
 const (
-	// BeatEvery is the period of the pause check on the monotonic clock.
-	BeatEvery = 100 * time.Millisecond
+	// TickInterval is the period of the pause check on the monotonic clock.
+	TickInterval = 100 * time.Millisecond
 	// MaxGap is the longest gap that doesn't count as a pause. It is longer than
 	// the delays of a busy machine and shorter than the validity of a permit.
 	MaxGap = time.Second
