--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -262,7 +262,7 @@
 		m.mu.Lock()
 		paused := m.guard.Tick(now)
 		if m.opts.Config.Confirmed(now, m.opts.Timing.LeaseDuration) {
-			m.guard.ConfigConfirmed(m.configAskedAt(now))
+			m.guard.ConfirmConfig(m.configAskedAt(now))
 		}
 		m.mu.Unlock()
 		if paused {
--- a/internal/member/outage.go
+++ b/internal/member/outage.go
@@ -92,6 +92,6 @@
 		return
 	}
 	m.opts.Config.Confirm(since)
-	m.guard.ConfigConfirmed(since)
+	m.guard.ConfirmConfig(since)
 	m.guard.RosterConfirmed(since)
 }
--- a/internal/roster/guard.go
+++ b/internal/roster/guard.go
@@ -36,8 +36,8 @@
 	return paused
 }
 
-// ConfigConfirmed records that a call sent at sentAt confirmed the configuration.
-func (g *Guard) ConfigConfirmed(sentAt time.Time) {
+// ConfirmConfig records that a call sent at sentAt confirmed the configuration.
+func (g *Guard) ConfirmConfig(sentAt time.Time) {
 	g.configConfirmedAt = latest(g.configConfirmedAt, sentAt)
 	g.resume()
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -154,10 +154,10 @@
 	resumed := now.Add(2 * time.Second)
 	require.False(t, g.Allowed(resumed), "before the first tick after the pause")
 	require.True(t, g.Tick(resumed))
-	g.ConfigConfirmed(now.Add(time.Second))
+	g.ConfirmConfig(now.Add(time.Second))
 	g.RosterConfirmed(resumed.Add(time.Millisecond))
 	require.False(t, g.Allowed(resumed), "configuration was requested before the end of the pause")
-	g.ConfigConfirmed(resumed.Add(time.Millisecond))
+	g.ConfirmConfig(resumed.Add(time.Millisecond))
 	require.True(t, g.Allowed(resumed))
 }
 
