--- a/internal/member/follow.go
+++ b/internal/member/follow.go
@@ -101,7 +101,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lease.Confirm(asked, m.lease.Roster().Epoch)
-	m.guard.RosterConfirmed(asked)
+	m.guard.ConfirmRoster(asked)
 }
 
 // adopt puts a roster in force if it is newer. One from a peer is adopted as
@@ -119,7 +119,7 @@
 	changed := m.lease.Adopt(now, next)
 	if confirms && epoch == m.lease.Roster().Epoch {
 		m.lease.Confirm(asked, epoch)
-		m.guard.RosterConfirmed(asked)
+		m.guard.ConfirmRoster(asked)
 	}
 	if changed {
 		m.differs = time.Time{}
--- a/internal/member/outage.go
+++ b/internal/member/outage.go
@@ -93,5 +93,5 @@
 	}
 	m.opts.Config.Confirm(since)
 	m.guard.ConfirmConfig(since)
-	m.guard.RosterConfirmed(since)
+	m.guard.ConfirmRoster(since)
 }
--- a/internal/roster/guard.go
+++ b/internal/roster/guard.go
@@ -42,8 +42,8 @@
 	g.resume()
 }
 
-// RosterConfirmed records that a call sent at sentAt confirmed the roster.
-func (g *Guard) RosterConfirmed(sentAt time.Time) {
+// ConfirmRoster records that a call sent at sentAt confirmed the roster.
+func (g *Guard) ConfirmRoster(sentAt time.Time) {
 	g.rosterConfirmedAt = latest(g.rosterConfirmedAt, sentAt)
 	g.resume()
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -155,7 +155,7 @@
 	require.False(t, g.Allowed(resumed), "before the first tick after the pause")
 	require.True(t, g.Tick(resumed))
 	g.ConfirmConfig(now.Add(time.Second))
-	g.RosterConfirmed(resumed.Add(time.Millisecond))
+	g.ConfirmRoster(resumed.Add(time.Millisecond))
 	require.False(t, g.Allowed(resumed), "configuration was requested before the end of the pause")
 	g.ConfirmConfig(resumed.Add(time.Millisecond))
 	require.True(t, g.Allowed(resumed))
