--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -11,7 +11,7 @@
 // # Usage
 //
 //	switch a := store.Begin(ctx, time.Now(), claim.Key{Workspace: "club", Key: key}, fingerprint).(type) {
-//	case claim.Won:
+//	case claim.Acquired:
 //		if !a.Claim.MaySend(time.Now()) {
 //			_ = store.Abandon(ctx, a.Claim) // and respond that it didn't run
 //		}
@@ -90,8 +90,8 @@
 	Fingerprint string
 	// Version is the version of the claim's object.
 	Version int64
-	// SendDeadline is the deadline for sending the request. It carries a monotonic
-	// clock reading.
+	// SendDeadline is the deadline for sending the request. It carries a
+	// monotonic clock reading.
 	SendDeadline time.Time
 	// CreatedAt and ExpiresAt limit the lifetime of the claim's object.
 	CreatedAt time.Time
@@ -129,9 +129,9 @@
 	return r
 }
 
-// BeginResult is the result of [Store.Begin]: [Acquired], [Stored], [InProgress], [Unknown],
-// [Mismatch] or [Unavailable].
-type BeginResult interface{ isAnswer() }
+// BeginResult is the result of [Store.Begin]: [Acquired], [Stored], [InProgress],
+// [Unknown], [Mismatch] or [Unavailable].
+type BeginResult interface{ isBeginResult() }
 
 // Acquired means that this attempt, and no other, may send the request.
 type Acquired struct{ Claim Claim }
@@ -156,9 +156,9 @@
 // Unavailable means that the claim could not be created, so nothing may be sent.
 type Unavailable struct{ Err error }
 
-func (Acquired) isAnswer()    {}
-func (Stored) isAnswer()      {}
-func (InProgress) isAnswer()  {}
-func (Unknown) isAnswer()     {}
-func (Mismatch) isAnswer()    {}
-func (Unavailable) isAnswer() {}
+func (Acquired) isBeginResult()    {}
+func (Stored) isBeginResult()      {}
+func (InProgress) isBeginResult()  {}
+func (Unknown) isBeginResult()     {}
+func (Mismatch) isBeginResult()    {}
+func (Unavailable) isBeginResult() {}
--- a/internal/claim/decide.go
+++ b/internal/claim/decide.go
@@ -39,43 +39,43 @@
 }
 
 func decode(o objectapi.Object) storedClaim {
-	f := storedClaim{version: o.Version}
-	f.readable = json.Unmarshal(o.Value, &f.record) == nil
-	return f
+	stored := storedClaim{version: o.Version}
+	stored.readable = json.Unmarshal(o.Value, &stored.record) == nil
+	return stored
 }
 
-// nextStep is what Begin does next: a conditional write, or return an answer.
+// nextStep is what Begin does next: a conditional write, or return a result.
 type nextStep struct {
 	// version is the object version that the write replaces; 0 creates the object.
 	version int64
-	// answer ends Begin; won ends it with the claim at version.
-	answer BeginResult
-	won    bool
+	// result ends Begin; acquired ends it with the claim at version.
+	result   BeginResult
+	acquired bool
 }
 
 // afterConflict decides how Begin continues for the given attempt when its write
 // failed because the object differs from the expected version.
 //
-// Only the claim's own attempt wins, and only a claim under which nothing was sent
+// Only the claim's own attempt acquires it, and only a claim under which nothing was sent
 // is overwritten.
-func afterConflict(now time.Time, f storedClaim, attempt, fingerprint string) nextStep {
+func afterConflict(now time.Time, stored storedClaim, attempt, fingerprint string) nextStep {
 	switch {
-	case f.version == 0:
+	case stored.version == 0:
 		return nextStep{version: 0}
-	case !f.readable:
+	case !stored.readable:
 		// A request may have been sent under the claim.
-		return nextStep{answer: Unknown{}}
-	case f.record.Attempt == attempt && f.record.Phase == phaseOpen:
+		return nextStep{result: Unknown{}}
+	case stored.record.Attempt == attempt && stored.record.Phase == phaseOpen:
 		// An earlier write whose response was lost took effect.
-		return nextStep{version: f.version, won: true}
-	case f.record.Phase == phaseAbandoned:
-		return nextStep{version: f.version}
+		return nextStep{version: stored.version, acquired: true}
+	case stored.record.Phase == phaseAbandoned:
+		return nextStep{version: stored.version}
 	}
-	return nextStep{answer: answerRepeat(now, f.record, fingerprint)}
+	return nextStep{result: resultOfRetry(now, stored.record, fingerprint)}
 }
 
-// answerRepeat returns the answer to a retry whose claim another attempt holds.
-func answerRepeat(now time.Time, r record, fingerprint string) BeginResult {
+// resultOfRetry returns the result for a retry whose claim another attempt holds.
+func resultOfRetry(now time.Time, r record, fingerprint string) BeginResult {
 	switch {
 	case r.Fingerprint != fingerprint:
 		return Mismatch{}
@@ -98,31 +98,31 @@
 // A lost write may still arrive. Writing the abandoned record, even where no object
 // exists, changes the version that the lost write expects, so that it can't take
 // effect any more and leave the key blocked.
-func afterAbandonConflict(f storedClaim, w write) (version int64, done bool) {
+func afterAbandonConflict(stored storedClaim, w write) (version int64, done bool) {
 	switch {
-	case f.version == 0:
+	case stored.version == 0:
 		// Swept, unless a lost create may still arrive.
 		return 0, w.version != 0
-	case !f.readable:
+	case !stored.readable:
 		return 0, true
-	case f.record.Attempt == w.record.Attempt:
-		return f.version, f.record.Phase != phaseOpen
-	case f.record.Phase == phaseAbandoned && f.version == w.lostVersion:
-		return f.version, false
+	case stored.record.Attempt == w.record.Attempt:
+		return stored.version, stored.record.Phase != phaseOpen
+	case stored.record.Phase == phaseAbandoned && stored.version == w.lostVersion:
+		return stored.version, false
 	}
 	return 0, true
 }
 
 // afterFinishConflict decides the same for the write of a result.
-func afterFinishConflict(f storedClaim, w write) (version int64, done bool, err error) {
+func afterFinishConflict(stored storedClaim, w write) (version int64, done bool, err error) {
 	switch {
-	case f.version == 0 || !f.readable || f.record.Attempt != w.record.Attempt || f.record.Phase == phaseAbandoned:
+	case stored.version == 0 || !stored.readable || stored.record.Attempt != w.record.Attempt || stored.record.Phase == phaseAbandoned:
 		// Swept after its retention, or abandoned by mistake.
 		return 0, true, ErrNotStored
-	case f.record.Phase == phaseDone:
+	case stored.record.Phase == phaseDone:
 		return 0, true, nil
 	}
-	return f.version, false, nil
+	return stored.version, false, nil
 }
 
 // expired reports whether a claim may be swept.
--- a/internal/claim/deferred.go
+++ b/internal/claim/deferred.go
@@ -46,12 +46,12 @@
 	case err == nil:
 		return true, nil
 	case errors.As(err, &conflict):
-		f := decode(conflict.Current)
+		stored := decode(conflict.Current)
 		if w.record.Phase == phaseDone {
-			w.version, done, err = afterFinishConflict(f, *w)
+			w.version, done, err = afterFinishConflict(stored, *w)
 			return done, err
 		}
-		w.version, done = afterAbandonConflict(f, *w)
+		w.version, done = afterAbandonConflict(stored, *w)
 		return done, nil
 	case errors.Is(err, objectapi.ErrRefused):
 		return true, ErrNotStored
--- a/internal/claim/interleave_test.go
+++ b/internal/claim/interleave_test.go
@@ -114,7 +114,7 @@
 	crashed  bool
 	// pending holds the possible outcomes of its next step; nil when it has ended.
 	pending []outcome
-	answer  BeginResult
+	result  BeginResult
 	// unscheduled makes steps succeed at once, after the scheduled part.
 	unscheduled bool
 }
@@ -142,22 +142,22 @@
 // sendRequest handles the caller's request as an instance does.
 func (c *testCaller) sendRequest(ctx context.Context) {
 	defer close(c.steps)
-	c.answer = c.store.Begin(ctx, testNow, Key{Workspace: "club", Key: "k"}, "print")
-	won, ok := c.answer.(Acquired)
+	c.result = c.store.Begin(ctx, testNow, Key{Workspace: "club", Key: "k"}, "print")
+	acquired, ok := c.result.(Acquired)
 	if !ok {
 		return
 	}
 	o := c.step(sendOutcomes)
 	if o == outcomeAbandon {
-		c.answer = Unavailable{}
-		_ = c.store.Abandon(ctx, won.Claim)
+		c.result = Unavailable{}
+		_ = c.store.Abandon(ctx, acquired.Claim)
 		return
 	}
 	if o != outcomeCrashBefore {
-		c.sim.effects = append(c.sim.effects, won.Claim.Attempt)
+		c.sim.effects = append(c.sim.effects, acquired.Claim.Attempt)
 	}
 	c.exitIfCrashed(o)
-	_ = c.store.Finish(ctx, won.Claim, Result{Status: 200, Body: []byte(won.Claim.Attempt)})
+	_ = c.store.Finish(ctx, acquired.Claim, Result{Status: 200, Body: []byte(acquired.Claim.Attempt)})
 }
 
 func (c *testCaller) step(outcomes []outcome) outcome {
@@ -178,10 +178,10 @@
 // write makes one conditional write with the outcome that the scheduler chose.
 func (c *testCaller) write(kind, name string, version int64, value []byte) (objectapi.Object, error) {
 	s := c.sim
-	f := c.step(writeOutcomes)
+	chosen := c.step(writeOutcomes)
 	var o objectapi.Object
 	var err error
-	switch f {
+	switch chosen {
 	case outcomeCrashBefore, outcomeLostBefore:
 	case outcomeDelayed:
 		s.delayedWrites = append(s.delayedWrites, func() { _, _ = s.put(kind, name, version, value) })
@@ -190,8 +190,8 @@
 	default:
 		o, err = s.put(kind, name, version, value)
 	}
-	c.exitIfCrashed(f)
-	if f != outcomeSuccess {
+	c.exitIfCrashed(chosen)
+	if chosen != outcomeSuccess {
 		return objectapi.Object{}, objectapi.ErrUnknownOutcome
 	}
 	return o, err
@@ -302,19 +302,19 @@
 	sent, crashed := len(s.effects), false
 	for _, c := range s.callers {
 		crashed = crashed || c.crashed
-		s.checkStoredResult(t, c.answer)
+		s.checkStoredResult(t, c.result)
 	}
 	third := s.newCaller()
 	third.unscheduled = true
 	go third.sendRequest(t.Context())
 	<-third.steps
-	s.checkStoredResult(t, third.answer)
+	s.checkStoredResult(t, third.result)
 	require.LessOrEqual(t, len(s.effects), 1, "effects")
 	if !crashed && sent == 0 {
-		require.IsType(t, Acquired{}, third.answer, "key must be free again")
+		require.IsType(t, Acquired{}, third.result, "key must be free again")
 	}
 	if !crashed && sent == 1 {
-		require.IsType(t, Stored{}, third.answer, "result must be stored")
+		require.IsType(t, Stored{}, third.result, "result must be stored")
 	}
 }
 
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// defaultAttempts limits the attempts at one write while a caller waits,
+	// defaultMaxAttempts limits the attempts at one write while a caller waits,
 	// when responses are lost. With the backoff between them they span about
 	// a second.
-	defaultAttempts = 4
-	minBackoff      = 20 * time.Millisecond
-	maxBackoff      = 500 * time.Millisecond
+	defaultMaxAttempts = 4
+	minBackoff         = 20 * time.Millisecond
+	maxBackoff         = 500 * time.Millisecond
 	// defaultRequestTimeout is how long the request of a holder may run.
 	defaultRequestTimeout = 2 * time.Minute
 	defaultRetention      = 24 * time.Hour
@@ -72,7 +72,7 @@
 		opts.Retention = func() time.Duration { return defaultRetention }
 	}
 	if opts.MaxAttempts == 0 {
-		opts.MaxAttempts = defaultAttempts
+		opts.MaxAttempts = defaultMaxAttempts
 	}
 	if opts.Pause == nil {
 		opts.Pause = objectapi.Pause
@@ -111,12 +111,12 @@
 			return Acquired{Claim: c}
 		case errors.As(err, &conflict):
 			next := afterConflict(now, decode(conflict.Current), c.Attempt, fingerprint)
-			if next.won {
+			if next.acquired {
 				c.Version = next.version
 				return Acquired{Claim: c}
 			}
-			if next.answer != nil {
-				return next.answer
+			if next.result != nil {
+				return next.result
 			}
 			w.version = next.version
 			continue
--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -78,8 +78,8 @@
 	w.cursors[shard] = page.Cursor
 	swept := 0
 	for _, o := range page.Objects {
-		f := decode(o)
-		if !f.readable || !expired(now, f.record) {
+		stored := decode(o)
+		if !stored.readable || !expired(now, stored.record) {
 			continue
 		}
 		err := s.opts.Objects.Delete(ctx, o.Kind, o.Name, o.Version)
--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -72,7 +72,7 @@
 }
 
 // permitExpired reports whether a permit granted to an earlier call with the same
-// request ID has expired. The requesting instance then asks again: the server isn't full.
+// request ID has expired. It is then requested again, as the server isn't full.
 func (o *Owner) permitExpired(received time.Time, decision admission.Decision) bool {
 	g, ok := decision.(admission.Granted)
 	return ok && o.validFor(received, g) <= 0
@@ -161,8 +161,8 @@
 }
 
 // delayedResponse responds while this instance can't grant permits yet. A request
-// that may wait is held for a moment and told that it is queued, so that it asks here
-// again; any other is refused and goes elsewhere.
+// that may wait gets the response Queued after a delay and is then sent here again;
+// any other is refused and goes elsewhere.
 func delayedResponse(ctx context.Context, wait time.Duration) *peerv1.AcquireResponse {
 	if wait == 0 {
 		return refusedResponse(permit.ReasonOverloaded, defaultRetryAfter, fullLoadPermille)
--- a/internal/owner/expired_permit_test.go
+++ b/internal/owner/expired_permit_test.go
@@ -51,5 +51,5 @@
 	require.IsType(t, admission.Granted{}, e.state.Acquire(past, admission.Ask{PermitID: "r", Request: permit.Request{ID: "r", Deadline: now.Add(time.Minute)}}))
 	answer := o.Acquire(t.Context(), &peerv1.AcquireRequest{Server: "desk-1", Id: "r", WaitMillis: 10})
 	require.Nil(t, answer.GetRefused())
-	require.NotNil(t, answer.GetQueued(), "must be told to ask again")
+	require.NotNil(t, answer.GetQueued(), "must be queued, so that it is requested again")
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -74,8 +74,8 @@
 	Loads       Loads
 	Policy      admission.Policy
 	Suspects    *Suspects
-	// PermitValidity is how long a permit is valid, PollEvery the usual time between
-	// two load reports of one server.
+	// PermitValidity is how long a permit is valid, PollInterval the usual time
+	// between two load reports of one server.
 	PermitValidity time.Duration
 	PollInterval   time.Duration
 	Log            zerolog.Logger
--- a/internal/roster/lease.go
+++ b/internal/roster/lease.go
@@ -32,12 +32,12 @@
 //
 // The rules, for a server with owner O, deputy D and cold limit C:
 //
-//  1. O grants permits only while confirmed: within the last Lease it read its
+//  1. O grants permits only while confirmed: within the last lease it read its
 //     epoch from the platform, or more than half of the roster was at that epoch,
 //     according to responses to O or to others; see [Lease.ApplyAges]. An instance
 //     that reaches neither grants none.
 //  2. By responding to O's heartbeat at the same epoch, D promises to grant no
-//     permits for O's servers for one Lease. O counts the promise from the sending
+//     permits for O's servers for one lease. O counts the promise from the sending
 //     of its heartbeat, which is earlier, so it always expires at O first.
 //  3. Without D's promise O leaves D's share (half of C, at least 1) unused.
 //  4. D grants permits only after its promise and then O's last permit granted
@@ -47,12 +47,12 @@
 //     has expired, on a load report measured after that time.
 //  6. A new owner or deputy waits until half of the previous roster is known to
 //     have adopted this epoch, so that the rest can't confirm each other any
-//     more, and then for [Timing.Takeover]: a lease and a permit. It waits only
-//     one Permit after the old owner and its deputy both reported that they
-//     adopted this epoch, and not at all in the first roster, before which no
-//     permits were granted. When most of the previous roster was removed at once,
-//     it waits for the survivors only and trusts the platform's list that the
-//     others are dead.
+//     more, and then for [Timing.TakeoverDelay]: a lease and a permit's validity. It
+//     waits only for a permit's validity after the old owner and its deputy both
+//     reported that they adopted this epoch, and not at all in the first roster,
+//     before which no permits were granted. When most of the previous roster was
+//     removed at once, it waits for the survivors only and trusts the platform's
+//     list that the others are dead.
 //  7. An owner that owned the server in the previous epoch continues, but leaves
 //     the share unused until the old deputy has stopped too.
 //
--- a/internal/roster/propose.go
+++ b/internal/roster/propose.go
@@ -56,27 +56,27 @@
 //   - No change while the current roster isn't known to most of its members, unless
 //     too few of them are alive: two successive changes unknown to most members would
 //     let old owners confirm each other; see [Lease].
-func Propose(now time.Time, current *Roster, list []ListedInstance, seen Observation) (Object, bool) {
+func Propose(now time.Time, current *Roster, list []ListedInstance, obs Observation) (Object, bool) {
 	live := map[string]ListedInstance{}
 	for _, l := range list {
 		live[l.ID] = l
 	}
-	if !seen.MajorityAdopted && current.Number > 0 && majorityAlive(now, current, live, seen) {
+	if !obs.MajorityAdopted && current.Number > 0 && majorityAlive(now, current, live, obs) {
 		return Object{}, false
 	}
 	next := make([]Instance, 0, len(list))
 	for _, in := range current.Instances {
-		if answered, ok := seen.Responding[in.ID]; ok {
+		if answered, ok := obs.Responding[in.ID]; ok {
 			in = answered
 		}
 		l, listed := live[in.ID]
-		if !listed && isDown(now, current, in, seen) {
+		if !listed && isDown(now, current, in, obs) {
 			continue
 		}
 		in.Leaving = in.Leaving || listed && l.Leaving
 		next = append(next, in)
 	}
-	for id, in := range seen.Responding {
+	for id, in := range obs.Responding {
 		_, member := current.Find(id)
 		if l, listed := live[id]; listed && !member {
 			in.Leaving = in.Leaving || l.Leaving
@@ -91,9 +91,9 @@
 }
 
 // isDown reports whether enough observers miss the responses of in.
-func isDown(now time.Time, current *Roster, in Instance, seen Observation) bool {
+func isDown(now time.Time, current *Roster, in Instance, obs Observation) bool {
 	n := 0
-	for _, at := range seen.MissedBy[in.ID] {
+	for _, at := range obs.MissedBy[in.ID] {
 		if now.Sub(at) <= missedAnswerTTL {
 			n++
 		}
@@ -103,13 +103,13 @@
 
 // majorityAlive reports whether more than half of the roster is neither down nor
 // replaced, so that waiting until they adopt it can succeed.
-func majorityAlive(now time.Time, current *Roster, live map[string]ListedInstance, seen Observation) bool {
+func majorityAlive(now time.Time, current *Roster, live map[string]ListedInstance, obs Observation) bool {
 	n := 0
 	for _, in := range current.Instances {
-		latest, answered := seen.Responding[in.ID]
+		latest, answered := obs.Responding[in.ID]
 		replaced := answered && latest.Incarnation != in.Incarnation
 		_, listed := live[in.ID]
-		if !replaced && (listed || !isDown(now, current, in, seen)) {
+		if !replaced && (listed || !isDown(now, current, in, obs)) {
 			n++
 		}
 	}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -9,7 +9,7 @@
 //
 //	r := roster.New(epoch, roster.Object{Number: 1, Instances: instances})
 //	owner, ok := r.Owner("engine-1", "kigali")
-//	lease := roster.NewLease(self, roster.Timing{Lease: 3 * time.Second, Permit: 2 * time.Second})
+//	lease := roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})
 //	lease.Adopt(now, r)
 //	right := lease.Right(now, roster.Server{Name: "engine-1", Region: "kigali", ColdLimit: 2})
 package roster
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -35,23 +35,23 @@
 
 func (v observerView) observation(t *testing.T) ([]roster.ListedInstance, roster.Observation) {
 	t.Helper()
-	seen := roster.Observation{
+	obs := roster.Observation{
 		Responding: map[string]roster.Instance{}, MissedBy: map[string]map[string]time.Time{}, MajorityAdopted: !v.notAdopted,
 	}
 	for _, id := range v.responding {
-		seen.Responding[string(id)] = testInstance(string(id))
+		obs.Responding[string(id)] = testInstance(string(id))
 	}
 	for id, observers := range v.silent {
-		seen.MissedBy[id] = map[string]time.Time{}
+		obs.MissedBy[id] = map[string]time.Time{}
 		for _, o := range observers {
-			seen.MissedBy[id][string(o)] = now
+			obs.MissedBy[id][string(o)] = now
 		}
 	}
 	var list []roster.ListedInstance
 	for _, id := range v.listed {
 		list = append(list, roster.ListedInstance{ID: string(id), PeerAddress: string(id)})
 	}
-	return list, seen
+	return list, obs
 }
 
 func TestPropose(t *testing.T) {
@@ -82,8 +82,8 @@
 				ids = append(ids, string(id))
 			}
 			number := int64(min(1, len(ids)))
-			list, seen := tt.view.observation(t)
-			next, ok := roster.Propose(now, roster.New(number, roster.Object{Number: number, Instances: testInstances(ids...)}), list, seen)
+			list, obs := tt.view.observation(t)
+			next, ok := roster.Propose(now, roster.New(number, roster.Object{Number: number, Instances: testInstances(ids...)}), list, obs)
 			got := ""
 			for _, in := range next.Instances {
 				got += in.ID
