--- a/internal/forward/claim.go
+++ b/internal/forward/claim.go
@@ -29,7 +29,7 @@
 
 // Claims makes sure that one key runs once; *claim.Store does.
 type Claims interface {
-	Begin(ctx context.Context, now time.Time, key claim.Key, fingerprint string) claim.Answer
+	Begin(ctx context.Context, now time.Time, key claim.Key, fingerprint string) claim.BeginResult
 	Finish(ctx context.Context, c claim.Claim, r claim.Result) error
 	Abandon(ctx context.Context, c claim.Claim) error
 }
@@ -46,7 +46,7 @@
 	defer cancel()
 	key := claim.Key{Workspace: call.Workspace, Key: call.Key}
 	switch a := f.opts.Claims.Begin(ctx, time.Now(), key, claimFingerprint(call)).(type) {
-	case claim.Won:
+	case claim.Acquired:
 		return f.runWon(caller, call, a.Claim)
 	case claim.Stored:
 		return replay(a.Result)
@@ -72,8 +72,8 @@
 // runWon runs the call that won its claim. Only a call that surely wasn't run
 // gives its claim up; otherwise a repeat finds the key taken.
 func (f *Forwarder) runWon(caller context.Context, call Call, c claim.Claim) (Answer, error) {
-	if c.SendBy.Before(call.Deadline) {
-		call.Deadline = c.SendBy
+	if c.SendDeadline.Before(call.Deadline) {
+		call.Deadline = c.SendDeadline
 	}
 	response, err := f.run(caller, call, c.MaySend)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(caller), storeTimeout)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -93,7 +93,7 @@
 	guard   roster.Guard
 	known   map[string]*peerState
 	leaving bool
-	listed  []roster.Listed
+	listed  []roster.ListedInstance
 	rng     *rand.Rand
 	// peers are those that need heartbeats at peersEpoch and peersVersion.
 	peers        []roster.Instance
@@ -255,14 +255,14 @@
 
 // watchPauses is the watch on the monotonic clock.
 func (m *Member) watchPauses(ctx context.Context) {
-	tick := time.NewTicker(roster.BeatEvery)
+	tick := time.NewTicker(roster.TickInterval)
 	defer tick.Stop()
 	for {
 		now := time.Now()
 		m.mu.Lock()
-		paused := m.guard.Beat(now)
-		if m.opts.Config.Confirmed(now, m.opts.Timing.Lease) {
-			m.guard.ConfigConfirmed(m.configAskedAt(now))
+		paused := m.guard.Tick(now)
+		if m.opts.Config.Confirmed(now, m.opts.Timing.LeaseDuration) {
+			m.guard.ConfirmConfig(m.configAskedAt(now))
 		}
 		m.mu.Unlock()
 		if paused {
--- a/internal/member/propose.go
+++ b/internal/member/propose.go
@@ -73,9 +73,9 @@
 		return
 	}
 	patience.Answered(time.Since(asked))
-	listed := make([]roster.Listed, 0, len(instances))
+	listed := make([]roster.ListedInstance, 0, len(instances))
 	for _, in := range instances {
-		listed = append(listed, roster.Listed{
+		listed = append(listed, roster.ListedInstance{
 			ID: in.ID, PeerAddress: in.PeerAddress, Leaving: in.State == instancelist.StateLeaving,
 		})
 	}
@@ -104,19 +104,19 @@
 
 func (m *Member) observation(now time.Time) roster.Observation {
 	seen := roster.Observation{
-		Answered: map[string]roster.Instance{},
-		Silent:   map[string]map[string]time.Time{},
-		Settled:  m.lease.Settled(),
+		Responding:      map[string]roster.Instance{},
+		MissedBy:        map[string]map[string]time.Time{},
+		MajorityAdopted: m.lease.MajorityAdopted(),
 	}
 	for id, p := range m.known {
 		if now.Sub(p.answeredAt) < answeredFor && p.instance.PeerAddress != "" {
-			seen.Answered[id] = p.instance
+			seen.Responding[id] = p.instance
 		}
 		if now.Sub(p.answeredAt) >= missedAfter {
-			seen.Silent[id] = p.silent
+			seen.MissedBy[id] = p.silent
 		}
 	}
-	seen.Answered[m.opts.Self.ID] = m.self()
+	seen.Responding[m.opts.Self.ID] = m.self()
 	return seen
 }
 
--- a/internal/member/targets_test.go
+++ b/internal/member/targets_test.go
@@ -31,7 +31,7 @@
 	key, err := peer.NewKey("AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=")
 	require.NoError(t, err)
 	m, err := New(Options{
-		Self: all[0], Timing: roster.Timing{Lease: 3 * time.Second, Permit: 2 * time.Second}, Config: emptyConfig{},
+		Self: all[0], Timing: roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second}, Config: emptyConfig{},
 		Peers: peer.NewPool(all[0].ID, key, tally.NoopScope), Heartbeat: 500 * time.Millisecond,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
@@ -52,7 +52,7 @@
 	now := time.Unix(1_000_000, 0)
 	m := inRoster(t, now, members)
 	for i := range dead {
-		m.listed = append(m.listed, roster.Listed{ID: fmt.Sprintf("dead-%03d", i), PeerAddress: fmt.Sprintf("10.0.1.%d:9080", i)})
+		m.listed = append(m.listed, roster.ListedInstance{ID: fmt.Sprintf("dead-%03d", i), PeerAddress: fmt.Sprintf("10.0.1.%d:9080", i)})
 	}
 	needed := m.needed(m.lease.Roster())
 	require.NotEmpty(t, needed)
--- a/internal/serve/views.go
+++ b/internal/serve/views.go
@@ -128,18 +128,18 @@
 
 func (p *parts) rosterTiming() roster.Timing {
 	return roster.Timing{
-		Lease:  millis(p.settings.Timing.ConfirmMillis),
-		Permit: millis(p.settings.Timing.PermitMillis),
+		LeaseDuration:  millis(p.settings.Timing.ConfirmMillis),
+		PermitValidity: millis(p.settings.Timing.PermitMillis),
 	}
 }
 
 func (p *parts) claimOptions() claim.StoreOptions {
 	return claim.StoreOptions{
-		Objects:      p.objects,
-		Log:          telemetry.Part(p.tel.Log, "claim"),
-		Holder:       p.settings.Instance,
-		AnswerWithin: answerWithin,
-		Attempts:     claimAttempts,
+		Objects:        p.objects,
+		Log:            telemetry.Part(p.tel.Log, "claim"),
+		Holder:         p.settings.Instance,
+		RequestTimeout: answerWithin,
+		MaxAttempts:    claimAttempts,
 		Retention: func() time.Duration {
 			return time.Duration(p.store.Snapshot().Config.Limits.ClaimRetentionSeconds) * time.Second
 		},
--- a/internal/slopes/duties.go
+++ b/internal/slopes/duties.go
@@ -91,13 +91,13 @@
 func ownerCost(ctx context.Context, members, servers int) (float64, error) {
 	list := instances(members)
 	self := typical(list, servers)
-	r := &rights{lease: roster.NewLease(self, roster.Timing{Lease: 3 * time.Second, Permit: 2 * time.Second})}
+	r := &rights{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})}
 	r.lease.Adopt(time.Now(), roster.New(epoch, firstRoster(list)))
 	snap := config.NewSnapshot(1, fleet(servers, fullWorkspaces))
 	o, err := owner.New(owner.Options{
 		Self: self.ID, Incarnation: self.Incarnation, Rights: r, Config: func() *config.Snapshot { return snap },
 		Loads: reports{}, Policy: admission.Predicted{}, Suspects: owner.NewSuspects(),
-		PermitFor: 2 * time.Second, PollEvery: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
+		PermitValidity: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	if err != nil {
 		return 0, merry.Wrap(ErrMeasure, merry.WithCause(err))
@@ -211,7 +211,7 @@
 	pool := peer.NewPool(self.ID, key, tally.NoopScope)
 	defer pool.Close()
 	m, err := member.New(member.Options{
-		Self: self, Timing: roster.Timing{Lease: 3 * time.Second, Permit: 2 * time.Second},
+		Self: self, Timing: roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second},
 		Objects: world, List: world, Config: world, Suspects: noSuspects{}, Peers: pool,
 		Heartbeat: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
--- a/internal/slopes/polls.go
+++ b/internal/slopes/polls.go
@@ -65,13 +65,13 @@
 		cfg.Servers = append(cfg.Servers, s)
 	}
 	self := instances(1)[0]
-	r := &rights{lease: roster.NewLease(self, roster.Timing{Lease: 3 * time.Second, Permit: 2 * time.Second})}
+	r := &rights{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})}
 	r.lease.Adopt(time.Now(), roster.New(epoch, firstRoster([]roster.Instance{self})))
 	snap, loads := config.NewSnapshot(1, cfg), &countedLoads{polls: map[string]int{}}
 	o, err := owner.New(owner.Options{
 		Self: self.ID, Incarnation: self.Incarnation, Rights: r, Config: func() *config.Snapshot { return snap },
 		Loads: loads, Policy: admission.Predicted{}, Suspects: owner.NewSuspects(),
-		PermitFor: 2 * time.Second, PollEvery: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
+		PermitValidity: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	if err != nil {
 		return out, merry.Wrap(ErrMeasure, merry.WithCause(err))
