--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -71,36 +71,36 @@
 
 // Server is a backend server as the platform lists it.
 type Server struct {
-	ID      string
-	Service string
-	Address string
-	Zone    string
+	ID      string `json:"ID"`
+	Service string `json:"Service"`
+	Address string `json:"Address"`
+	Zone    string `json:"Zone"`
 	// Version is that of the server's software.
-	Version string
-	Slots   int
+	Version string `json:"Version"`
+	Slots   int    `json:"Slots"`
 	// Leaving servers take no new requests.
-	Leaving bool
+	Leaving bool `json:"Leaving"`
 	// ColdFor is how much longer the server is cold.
-	ColdFor time.Duration
+	ColdFor time.Duration `json:"ColdFor"`
 	// Born is the server's start, in milliseconds since 1970; 0 if unknown.
-	Born int64
+	Born int64 `json:"Born"`
 }
 
 // Rollout is an order to move a service's traffic to one version of its servers,
 // as the platform holds it.
 type Rollout struct {
 	// Name is the object's, Revision that of its last change.
-	Name     string
-	Revision int64
+	Name     string `json:"Name"`
+	Revision int64  `json:"Revision"`
 	// ID tells apart orders of the same name.
-	ID       string
-	Service  string
-	To       string
-	Duration time.Duration
+	ID       string        `json:"ID"`
+	Service  string        `json:"Service"`
+	To       string        `json:"To"`
+	Duration time.Duration `json:"Duration"`
 	// Told is what the platform was told so far: none, canary for one that runs, or
 	// an end. Stage is how far it has come, as far as is known here.
-	Told  rollout.Stage
-	Stage rollout.Stage
+	Told  rollout.Stage `json:"Told"`
+	Stage rollout.Stage `json:"Stage"`
 }
 
 // Report is what a model engine says of itself.
