--- a/internal/generation/id.go
+++ b/internal/generation/id.go
@@ -1,8 +1,8 @@
-// Package generation makes and reads the ids of generations that callers get.
+// Package generation encodes and decodes the generation IDs that callers get.
 //
-// An id says where its generation runs, so that any entry instance can resume
-// or cancel it without shared state. It is authenticated: nobody can make one
-// up or change one, and the engine's request id inside is random.
+// An ID says where its generation runs, so that any entry instance can resume or cancel it without
+// shared state. It is authenticated, so nobody can forge or change one, and the engine's request ID
+// inside it is random.
 //
 // # Usage
 //
@@ -22,36 +22,35 @@
 )
 
 const (
-	// prefix makes ids easy to tell from others in logs.
+	// prefix distinguishes generation IDs from other IDs in logs.
 	prefix = "gen-"
-	// version leads the encoded fields, so that a rolling replacement may
-	// change them.
+	// version is the first encoded byte, so that the fields can change during a rolling update.
 	version = 1
-	// tagBytes truncates the HMAC: 128 bits can't be guessed online.
+	// tagBytes is the length of the truncated HMAC: 128 bits can't be guessed online.
 	tagBytes = 16
-	// keyBytes is the least length of a key.
-	keyBytes = 32
-	// maxText bounds what Parse decodes, in bytes.
-	maxText = 2048
-	// maxField is the longest field that fits its one-byte length.
-	maxField  = 255
-	numFields = 8
+	// minKeyBytes is the minimum length of a key.
+	minKeyBytes = 32
+	// maxIDBytes limits the length of an ID that is decoded.
+	maxIDBytes = 2048
+	// maxFieldBytes is the longest field that fits its one-byte length prefix.
+	maxFieldBytes = 255
+	numFields     = 8
 )
 
-// ErrInvalid means that a text is not an id made with this key.
+// ErrInvalid means that a text is not an ID that was made with one of the keys.
 var ErrInvalid = merry.New("invalid generation id")
 
 // ErrKey means that the key is too short.
 var ErrKey = merry.New("generation key is shorter than 32 bytes")
 
-// ErrTooLong means that a field of an id is too long to be encoded.
+// ErrTooLong means that a field of an ID is too long to be encoded.
 var ErrTooLong = merry.New("field of a generation id is longer than 255 bytes")
 
-// ID names one generation on one start of one backend server.
+// ID identifies one generation on one incarnation of a backend server.
 type ID struct {
 	Server      string
 	Incarnation string
-	// Request is the id under which the engine knows the generation.
+	// Request is the engine's ID of the generation.
 	Request   string
 	Workspace string
 	Service   string
@@ -61,24 +60,22 @@
 	Entry string
 }
 
-// Codec formats ids with one key and parses those of a few.
+// Codec formats IDs with one key and accepts IDs of several keys.
 //
-// The fields are signed, not encrypted: they tell a caller nothing that it
-// may not know, and a random nonce under one AES-GCM key would have to be
-// counted at a thousand ids a second.
+// The fields are signed and not encrypted: they contain nothing that a caller may not know, and
+// random nonces under one AES-GCM key would have to be counted at a thousand IDs per second.
 type Codec struct {
-	// keys holds the one that ids are made with, and then those accepted.
+	// keys holds the signing key, followed by the other accepted keys.
 	keys [][]byte
 }
 
-// NewCodec returns a codec that makes ids with key, the same on all entry
-// instances. It reads also those made with one of the accepted keys: callers
-// hold ids for as long as their generations run, and resume them through
-// instances that got another key meanwhile.
+// NewCodec returns a codec that signs IDs with key, the same on all entry instances. It also
+// accepts IDs signed with one of the accepted keys: callers hold IDs for as long as their
+// generations run, and resume through instances that were given another key in the meantime.
 func NewCodec(key []byte, accepted ...[]byte) (*Codec, error) {
 	c := &Codec{}
 	for _, k := range append([][]byte{key}, accepted...) {
-		if len(k) < keyBytes {
+		if len(k) < minKeyBytes {
 			return nil, ErrKey
 		}
 		c.keys = append(c.keys, append([]byte(nil), k...))
@@ -86,7 +83,7 @@
 	return c, nil
 }
 
-// Format returns the text of id.
+// Format returns the text form of id.
 func (c *Codec) Format(id ID) (string, error) {
 	raw, err := appendFields([]byte{version}, id.fields()...)
 	if err != nil {
@@ -96,9 +93,9 @@
 	return prefix + base64.RawURLEncoding.EncodeToString(raw), nil
 }
 
-// Parse returns the id in text, or [ErrInvalid].
+// Parse returns the ID in text, or [ErrInvalid].
 func (c *Codec) Parse(text string) (ID, error) {
-	raw, err := c.open(text, prefix, version)
+	raw, err := c.verify(text, prefix, version)
 	if err != nil {
 		return ID{}, err
 	}
@@ -111,8 +108,8 @@
 	return mac.Sum(nil)[:tagBytes]
 }
 
-// genuine reports whether one of the keys made the tag.
-func (c *Codec) genuine(signed, got []byte) bool {
+// verifyTag reports whether the tag was made with one of the keys.
+func (c *Codec) verifyTag(signed, got []byte) bool {
 	for _, key := range c.keys {
 		if hmac.Equal(got, tag(key, signed)) {
 			return true
--- a/internal/generation/id_test.go
+++ b/internal/generation/id_test.go
@@ -13,7 +13,7 @@
 }
 
 func newCodec(t require.TestingT, fill byte) *Codec {
-	c, err := NewCodec(bytes.Repeat([]byte{fill}, keyBytes))
+	c, err := NewCodec(bytes.Repeat([]byte{fill}, minKeyBytes))
 	require.NoError(t, err)
 	return c
 }
@@ -37,7 +37,7 @@
 }
 
 func TestParseReadsAcceptedKeys(t *testing.T) {
-	oldKey, newKey := bytes.Repeat([]byte{1}, keyBytes), bytes.Repeat([]byte{2}, keyBytes)
+	oldKey, newKey := bytes.Repeat([]byte{1}, minKeyBytes), bytes.Repeat([]byte{2}, minKeyBytes)
 	before, err := newCodec(t, 1).Format(testID)
 	require.NoError(t, err)
 	both, err := NewCodec(newKey, oldKey)
@@ -48,7 +48,7 @@
 
 	after, err := both.Format(testID)
 	require.NoError(t, err)
-	require.NotEqual(t, before, after, "ids are made with the first key")
+	require.NotEqual(t, before, after, "IDs are signed with the first key")
 	_, err = newCodec(t, 1).Parse(after)
 	require.ErrorIs(t, err, ErrInvalid)
 	_, err = NewCodec(newKey, oldKey[:8])
--- a/internal/generation/request.go
+++ b/internal/generation/request.go
@@ -7,21 +7,21 @@
 
 const (
 	requestPrefix = "req-"
-	// requestVersion differs from that of generations, so that the text of one
-	// can't be made into the other.
+	// requestVersion differs from the version of generation IDs, so that the text of one can't be
+	// turned into the other.
 	requestVersion = 0x71
 	requestFields  = 2
 )
 
-// RequestID names a request of a caller, also one that was refused and has no
-// generation. Entry says which entry instance remembers it.
+// RequestID identifies a request of a caller, including one that was refused and has no generation.
+// Entry is the entry instance that remembers it.
 type RequestID struct {
 	Entry string
 	// Unique is random.
 	Unique string
 }
 
-// FormatRequest returns the text of id.
+// FormatRequest returns the text form of id.
 func (c *Codec) FormatRequest(id RequestID) (string, error) {
 	raw, err := appendFields([]byte{requestVersion}, id.Entry, id.Unique)
 	if err != nil {
@@ -31,9 +31,9 @@
 	return requestPrefix + base64.RawURLEncoding.EncodeToString(raw), nil
 }
 
-// ParseRequest returns the id in text, or [ErrInvalid].
+// ParseRequest returns the ID in text, or [ErrInvalid].
 func (c *Codec) ParseRequest(text string) (RequestID, error) {
-	raw, err := c.open(text, requestPrefix, requestVersion)
+	raw, err := c.verify(text, requestPrefix, requestVersion)
 	if err != nil {
 		return RequestID{}, err
 	}
@@ -44,10 +44,10 @@
 	return RequestID{Entry: fields[0], Unique: fields[1]}, nil
 }
 
-// open checks a text and returns its encoded fields.
-func (c *Codec) open(text, prefix string, version byte) ([]byte, error) {
+// verify checks the signature of a text and returns its encoded fields.
+func (c *Codec) verify(text, prefix string, version byte) ([]byte, error) {
 	encoded, ok := strings.CutPrefix(text, prefix)
-	if !ok || len(text) > maxText {
+	if !ok || len(text) > maxIDBytes {
 		return nil, ErrInvalid
 	}
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(encoded)
@@ -55,7 +55,7 @@
 		return nil, ErrInvalid
 	}
 	signed, got := raw[:len(raw)-tagBytes], raw[len(raw)-tagBytes:]
-	if !c.genuine(signed, got) || signed[0] != version {
+	if !c.verifyTag(signed, got) || signed[0] != version {
 		return nil, ErrInvalid
 	}
 	return signed[1:], nil
@@ -63,7 +63,7 @@
 
 func appendFields(raw []byte, fields ...string) ([]byte, error) {
 	for _, field := range fields {
-		if len(field) > maxField {
+		if len(field) > maxFieldBytes {
 			return nil, ErrTooLong
 		}
 		raw = append(raw, byte(len(field)))
