--- a/internal/answer/failure.go
+++ b/internal/answer/failure.go
@@ -1,5 +1,5 @@
-// Package answer holds the failures that callers get: one JSON form, one
-// meaning of "not run", one rule for Retry-After.
+// Package answer defines the failure responses that callers get: one JSON form, one meaning of "not
+// run" and one rule for Retry-After.
 //
 // # Usage
 //
@@ -17,22 +17,22 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// Outcome says what became of the request behind a failure.
+// Outcome says whether the request of a failure was run.
 type Outcome string
 
 // The outcomes.
 const (
-	// OutcomeNotRun is said only when no byte of the request left for a
-	// backend server, or the backend server itself refused before running.
+	// OutcomeNotRun is used only when no byte of the request left for a backend server, or the
+	// backend server itself refused the request before running it.
 	OutcomeNotRun  Outcome = "notRun"
 	OutcomeRan     Outcome = "ran"
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Code names a failure for programs.
+// Code is the machine-readable code of a failure.
 type Code string
 
-// The codes beside those of [permit.Reason].
+// The codes in addition to those of [permit.Reason].
 const (
 	CodeInvalidRequest      Code = "invalidRequest"
 	CodeUnauthorized        Code = "unauthorized"
@@ -61,38 +61,38 @@
 	CodeInternal            Code = "internal"
 )
 
-// Failure is what a caller gets in place of an answer.
+// Failure is the response to a request that failed.
 type Failure struct {
 	// Status is the HTTP status.
 	Status  int
 	Code    Code
 	Message string
 	Outcome Outcome
-	// RetryAfter says when coming back is worthwhile; zero when it isn't.
+	// RetryAfter is the time after which a retry makes sense; zero if it doesn't.
 	RetryAfter time.Duration
-	// Position is the last position of a stream that reached the caller.
+	// Position is the last position of a stream that was sent to the caller.
 	Position int64
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (f *Failure) Error() string {
 	return fmt.Sprintf("%s: %s (%s)", f.Code, f.Message, f.Outcome)
 }
 
-// NotRun returns a failure of a request that wasn't run.
+// NotRun returns the failure of a request that wasn't run.
 func NotRun(status int, code Code, message string) *Failure {
 	return &Failure{Status: status, Code: code, Message: message, Outcome: OutcomeNotRun}
 }
 
-// Invalid returns the failure for a bad request; field names what is wrong.
+// Invalid returns the failure for an invalid request; field names the invalid part.
 func Invalid(field, problem string) *Failure {
 	return NotRun(http.StatusBadRequest, CodeInvalidRequest, field+": "+problem)
 }
 
-// After returns f as it stands after earlier attempts of the same request.
+// After returns f adjusted for earlier attempts of the same request.
 //
-// A request whose first attempt was lost and whose second was refused may have
-// run; saying "not run" of it would have its caller send it again elsewhere.
+// A request whose first attempt was lost and whose second one was refused may have run; with "not
+// run" its caller would send it again elsewhere.
 func (f *Failure) After(earlier Outcome) *Failure {
 	if f.Outcome != OutcomeNotRun || earlier == "" || earlier == OutcomeNotRun {
 		return f
@@ -102,9 +102,8 @@
 	return &after
 }
 
-// Of returns the failure in err. An error that isn't one becomes an internal
-// failure, so that nothing from a lower layer leaks to a caller; its outcome
-// is unknown because nothing is known about it.
+// Of returns the failure in err. Any other error becomes an internal failure, so that no
+// detail of a lower layer leaks to a caller; its outcome is unknown.
 func Of(err error) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
@@ -141,8 +140,8 @@
 	Error Detail `json:"error"`
 }
 
-// Detail is the inner object of [Body]. Type and Code follow OpenAI's form,
-// so that its clients show them.
+// Detail is the inner object of [Body]. Type and Code follow the format of the OpenAI API, so that
+// its clients display them.
 type Detail struct {
 	Code         Code    `json:"code"`
 	Message      string  `json:"message"`
@@ -154,21 +153,21 @@
 
 // JSON returns the encoded [Body] of f.
 func (f *Failure) JSON() []byte {
-	// Strings and integers only: encoding can't fail.
+	// Encoding strings and integers can't fail.
 	b, _ := json.Marshal(Body{Error: Detail{
-		Code: f.Code, Message: f.Message, Type: f.kind(), Outcome: f.Outcome,
+		Code: f.Code, Message: f.Message, Type: f.errorType(), Outcome: f.Outcome,
 		RetryAfterMs: f.RetryAfter.Milliseconds(), Position: f.Position,
 	}})
 	return b
 }
 
-// RetryAfterSeconds is the value of Retry-After: rounded up, because a caller
-// that comes back a moment early is refused again.
+// RetryAfterSeconds is the value of the Retry-After header field. It is rounded up, because a
+// caller that retries slightly too early is refused again.
 func (f *Failure) RetryAfterSeconds() int64 {
 	return int64((f.RetryAfter + time.Second - 1) / time.Second)
 }
 
-func (f *Failure) kind() string {
+func (f *Failure) errorType() string {
 	switch {
 	case f.Status == http.StatusUnauthorized:
 		return "authentication_error"
--- a/internal/answer/failure_test.go
+++ b/internal/answer/failure_test.go
@@ -17,14 +17,14 @@
 		outcome Outcome
 		seconds int64
 	}{
-		"a refusal is not run and says when to come back": {
+		"refusal is not run and has a Retry-After": {
 			err:    fmt.Errorf("acquire: %w", &permit.Refusal{Reason: permit.ReasonOverloaded, RetryAfter: 1100 * time.Millisecond}),
 			status: 429, outcome: OutcomeNotRun, seconds: 2,
 		},
-		"an unknown error claims nothing": {
+		"unknown error has an unknown outcome": {
 			err: fmt.Errorf("dial 10.0.0.1: refused"), status: 500, outcome: OutcomeUnknown,
 		},
-		"a failure stays itself": {
+		"wrapped failure is returned unchanged": {
 			err: fmt.Errorf("handler: %w", Invalid("model", "missing")), status: 400, outcome: OutcomeNotRun,
 		},
 	}
