--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,6 +1,5 @@
-// Package routes holds the declared routes, services and workspaces of a
-// deployment in the form from which requests are served: the route of a host
-// and path, and the workspace of a key. Everything here is pure.
+// Package routes holds the declared routes, services and workspaces of a deployment, indexed for
+// serving requests: the route of a host and path, and the workspace of a key. It does no I/O.
 //
 // # Usage
 //
@@ -18,17 +17,17 @@
 	"time"
 )
 
-// Kind says what may be repeated.
+// Kind is the kind of a route. It determines whether its requests may be repeated.
 type Kind string
 
 // The kinds of routes.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// NonIdempotent requests run at most once for each attempt of a caller.
+	// NonIdempotent requests run at most once per attempt of a caller.
 	NonIdempotent Kind = "nonIdempotent"
-	// Stream requests are answered with a series of events. Without
-	// [Route.Resumable] they are not idempotent.
+	// Stream requests are answered with a stream of events. Without [Route.Resumable] they are not
+	// idempotent.
 	Stream Kind = "stream"
 )
 
@@ -39,24 +38,21 @@
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time that a caller is kept waiting for an answer
-	// to begin.
+	// Timeout is the longest time a caller waits for the start of a response.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer, or the first event of
-	// a stream, is on time.
+	// TargetLatency is the target time to a response or to the first event of a stream.
 	TargetLatency time.Duration
-	// TargetGap is the longest pause between two events of a stream that is on
-	// time.
+	// TargetGap is the target for the longest pause between two events of a stream.
 	TargetGap time.Duration
-	// Priority is the rank, 0 is the highest.
+	// Priority is the priority of requests; 0 is the highest.
 	Priority int
-	// Split are the services that take the route's requests, by weight.
+	// Split lists the services that receive the route's requests, by weight.
 	Split []Share
 	// MaxAttempts is on how many backend servers one request may run.
 	MaxAttempts int
 	// Anonymous routes need no key.
 	Anonymous bool
-	// Resumable streams may go on at another backend server after an event.
+	// Resumable streams may continue on another backend server after an event.
 	Resumable bool
 }
 
@@ -65,7 +61,7 @@
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Share is the part of a route's requests that goes to a service.
+// Share is the share of a route's requests that goes to a service.
 type Share struct {
 	Service string
 	Weight  float64
@@ -74,8 +70,8 @@
 // Service is one declared service.
 type Service struct {
 	Name string
-	// ColdFor is how long a server is cold after its start; ColdPerSecond how
-	// many requests a second it bears meanwhile.
+	// ColdFor is how long a server is cold after its start, ColdPerSecond the request
+	// rate that it handles while cold.
 	ColdFor       time.Duration
 	ColdPerSecond float64
 	// Engine is set for services of model engines.
@@ -86,15 +82,15 @@
 type Engine struct {
 	// Slots is how many requests an engine decodes at the same time.
 	Slots int
-	// MemoryTokens is how many tokens fit into an engine's memory.
+	// MemoryTokens is how many tokens fit into the KV cache of an engine.
 	MemoryTokens int
-	// TokenBytes is the size of one token in memory, LinkMbps the rate of an
-	// engine's link, in megabits a second.
+	// TokenBytes is the size of one token in the KV cache, LinkMbps the rate of an engine's link in
+	// megabits per second.
 	TokenBytes float64
 	LinkMbps   float64
-	// Moves says that running requests can be moved between engines.
+	// Moves says that running generations can be moved between engines.
 	Moves bool
-	// TokensPerEvent is how many tokens an event of a stream holds.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
 }
 
@@ -102,17 +98,17 @@
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority takes precedence over that of a route; nil where none is set.
+	// Priority overrides the priority of a route; nil if not set.
 	Priority *int
 }
 
-// Limits bound what a caller may send. Zero means that none is declared.
+// Limits are the limits for requests of callers. Zero means that none is declared.
 type Limits struct {
 	MaxBodyBytes int
 	IdleTimeout  time.Duration
 }
 
-// Configuration is what operators declare, as one version.
+// Configuration is one version of what operators declare.
 type Configuration struct {
 	Version    int64
 	Routes     []Route
@@ -121,15 +117,15 @@
 	Limits     Limits
 }
 
-// Table is a configuration, indexed. It isn't changed after it was made.
+// Table is an indexed configuration. It is immutable.
 type Table struct {
 	Version    int64
 	Limits     Limits
 	byHost     map[string][]*Route
 	services   map[string]*Service
 	workspaces map[[sha256.Size]byte]*Workspace
-	// open says that no workspaces are declared, so that no key is needed.
-	open bool
+	// noWorkspaces says that no workspaces are declared, so that no key is required.
+	noWorkspaces bool
 }
 
 // NewTable indexes a configuration.
@@ -137,7 +133,7 @@
 	t := &Table{
 		Version: cfg.Version, Limits: cfg.Limits, byHost: map[string][]*Route{},
 		services: map[string]*Service{}, workspaces: map[[sha256.Size]byte]*Workspace{},
-		open: len(cfg.Workspaces) == 0,
+		noWorkspaces: len(cfg.Workspaces) == 0,
 	}
 	for i := range cfg.Routes {
 		r := &cfg.Routes[i]
@@ -160,8 +156,7 @@
 	return t
 }
 
-// Route returns the route of a host, with or without a port, whose prefix is
-// the longest that begins path.
+// Route returns the route of a host, with or without a port, that has the longest prefix of path.
 func (t *Table) Route(host, path string) (*Route, bool) {
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
 	for _, r := range t.byHost[name] {
@@ -178,18 +173,18 @@
 	return s, ok
 }
 
-// Workspace returns the workspace that holds a key. The hash of the key is
-// looked up, so that the time taken tells nothing about other keys.
+// Workspace returns the workspace of a key. It looks up the hash of the key, so that the lookup
+// time reveals nothing about other keys.
 func (t *Table) Workspace(key string) (*Workspace, bool) {
 	w, ok := t.workspaces[sha256.Sum256([]byte(key))]
 	return w, ok
 }
 
-// NeedsKey reports whether requests of a route must carry a key.
-func (t *Table) NeedsKey(r *Route) bool { return !t.open && !r.Anonymous }
+// NeedsKey reports whether requests of a route require a key.
+func (t *Table) NeedsKey(r *Route) bool { return !t.noWorkspaces && !r.Anonymous }
 
-// Pick returns the service for one request of a route, by the weights of its
-// split. It is empty when the route has none.
+// Pick returns the service for one request of a route, chosen by the weights of its split.
+// It is empty if the route has no split.
 func (r *Route) Pick(rng *rand.Rand) string {
 	total := 0.0
 	for _, s := range r.Split {
