--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service speaks to plain HTTP services: it passes one request on and
-// says, when that fails, whether the service may have run it.
+// Package service is a client for plain HTTP services: it forwards one request and, if that fails,
+// says whether the service may have run it.
 //
 // # Usage
 //
@@ -33,34 +33,33 @@
 	"pollenspindle.example/pollenspindle/internal/httpclient"
 )
 
-// The kinds of failure of a call to a plain service. They decide what a caller
-// may be told about its request.
+// The kinds of failure of a call to a plain service. They determine what a caller may be told about
+// its request.
 var (
 	// ErrNotSent means that no byte of the request left for the service.
 	ErrNotSent = merry.Sentinel("service: request not sent")
 	// ErrRefused means that the service refused the request before running
 	// it. errors.As with a *Refusal gives the details.
 	ErrRefused = merry.Sentinel("service: request refused")
-	// ErrLost means that the answer did not come. The service may have run the
-	// request, or run it still.
-	ErrLost = merry.Sentinel("service: answer lost")
-	// ErrTooLarge means that the service ran the request and its answer is
-	// larger than allowed.
-	ErrTooLarge = merry.Sentinel("service: answer too large")
+	// ErrLost means that no response arrived. The service may have run the request, or may still be
+	// running it.
+	ErrLost = merry.Sentinel("service: response lost")
+	// ErrTooLarge means that the service ran the request and the response exceeds the size limit.
+	ErrTooLarge = merry.Sentinel("service: response too large")
 	// ErrBadRequest means that the request can't be written as HTTP.
 	ErrBadRequest = merry.Sentinel("service: bad request")
-	// ErrBadAnswer means that a load report can't be understood.
-	ErrBadAnswer = merry.Sentinel("service: answer not understood")
+	// ErrInvalidReport means that a load report is invalid.
+	ErrInvalidReport = merry.Sentinel("service: invalid load report")
 )
 
-// headerNotRun marks a refusal before running.
+// headerNotRun marks the refusal of a request that wasn't run.
 const headerNotRun = "X-Not-Run"
 
-// Refusal is the answer of a service that did not run a request.
+// Refusal is the response of a service that did not run a request.
 type Refusal struct {
 	// Status is the HTTP status.
 	Status int
-	// RetryAfter is when the service wants to be asked again; 0 if not said.
+	// RetryAfter is the value of the Retry-After field; 0 if there is none.
 	RetryAfter time.Duration
 }
 
@@ -75,22 +74,22 @@
 // Options are the limits of a [Client].
 type Options struct {
 	HTTP httpclient.Options
-	// Loads counts what load reports cost; it may be nil.
+	// Loads measures the cost of load reports; it may be nil.
 	Loads *control.Meter
 }
 
-// Client calls plain services. It is safe for use by several goroutines.
+// Client calls plain services. It is safe for concurrent use.
 type Client struct {
-	http  *httpclient.Client
-	loads *control.Meter
+	http      *httpclient.Client
+	loadMeter *control.Meter
 }
 
 // NewClient returns a Client.
 func NewClient(opts Options) *Client {
-	return &Client{http: httpclient.New(opts.HTTP), loads: opts.Loads}
+	return &Client{http: httpclient.New(opts.HTTP), loadMeter: opts.Loads}
 }
 
-// Close closes unused connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.Close() }
 
 // Header is one header field.
@@ -99,9 +98,8 @@
 	Value string
 }
 
-// Request is passed on as it is but for the fields that belong to a
-// connection. The caller's credentials for pollenspindle are not for the
-// service; leave them out of Header.
+// Request is forwarded as it is, except for the header fields that belong to a connection. The
+// caller's credentials for pollenspindle are not meant for the service and must not be in Header.
 type Request struct {
 	Method string
 	// Path is the escaped path, beginning with a slash.
@@ -110,22 +108,22 @@
 	Query  string
 	Header []Header
 	Body   []byte
-	// FreshConnection opens a connection for this request alone. A caller's
-	// request takes one: on an unused connection that the service has closed
-	// meanwhile it would fail without telling whether it has run, and an answer
-	// that comes late on a used one would go to the wrong caller.
+	// FreshConnection opens a connection for this request only. Requests of callers need one: on an
+	// idle connection that the service has closed in the meantime, a request would fail without
+	// telling whether it ran, and a late response on a reused connection would go to the wrong
+	// caller.
 	FreshConnection bool
 }
 
-// Response is the service's answer.
+// Response is the response of the service.
 type Response struct {
 	Status int
 	Header []Header
 	Body   []byte
 }
 
-// Do passes a request on. Every answer but a refusal before running is a
-// Response, whatever its status. The time is bounded by ctx.
+// Do forwards a request. Every response except a refusal before running is returned as a Response,
+// whatever its status. The time is limited by ctx.
 func (c *Client) Do(ctx context.Context, address string, req Request) (Response, error) {
 	return c.do(ctx, address, req, nil)
 }
@@ -138,19 +136,19 @@
 	defer protocol.ReleaseRequest(r)
 	resp, err := c.http.Do(ctx, address, r, httpclient.Call{Alone: req.FreshConnection})
 	if err != nil {
-		return Response{}, callError(err)
+		return Response{}, classifyError(err)
 	}
 	defer resp.Close()
 	if meter != nil {
 		meter.Bytes(httpclient.Size(r, resp))
 	}
-	if refusal := refusalOf(resp); refusal != nil {
+	if refusal := parseRefusal(resp); refusal != nil {
 		return Response{}, refusal
 	}
 	return decode(resp), nil
 }
 
-func refusalOf(resp *httpclient.Response) *Refusal {
+func parseRefusal(resp *httpclient.Response) *Refusal {
 	status := resp.StatusCode()
 	if status < http.StatusBadRequest || resp.Header.Get(headerNotRun) != "true" {
 		return nil
@@ -162,7 +160,7 @@
 	return refusal
 }
 
-func callError(err error) error {
+func classifyError(err error) error {
 	switch {
 	case errors.Is(err, httpclient.ErrNotSent):
 		return merry.Wrap(ErrNotSent, merry.WithCause(err))
@@ -173,7 +171,7 @@
 	}
 }
 
-// LoadState is what a service says about its readiness.
+// LoadState is the readiness that a service reports.
 type LoadState string
 
 // The states in load reports.
@@ -183,11 +181,11 @@
 	LoadLeaving LoadState = "leaving"
 )
 
-// LoadReport is a service's view of its load, late by MeasuredMillisAgo.
+// LoadReport is the load that a service reports, measured MeasuredMillisAgo before.
 type LoadReport struct {
 	Incarnation       string `json:"incarnation"`
 	MeasuredMillisAgo int64  `json:"measuredMillisAgo"`
-	// State may be missing: old services don't report it.
+	// State may be empty: old services don't report it.
 	State         LoadState `json:"state,omitempty"`
 	Running       int       `json:"running"`
 	AcceptedTotal int64     `json:"acceptedTotal"`
@@ -196,26 +194,26 @@
 
 // Load reads the load report of a service.
 func (c *Client) Load(ctx context.Context, address string) (LoadReport, error) {
-	resp, err := c.do(ctx, address, Request{Method: http.MethodGet, Path: "/load"}, c.loads)
+	resp, err := c.do(ctx, address, Request{Method: http.MethodGet, Path: "/load"}, c.loadMeter)
 	if err != nil {
 		return LoadReport{}, err
 	}
 	if resp.Status != http.StatusOK {
-		return LoadReport{}, merry.Wrap(ErrBadAnswer, merry.AppendMessagef("status %d", resp.Status))
+		return LoadReport{}, merry.Wrap(ErrInvalidReport, merry.AppendMessagef("status %d", resp.Status))
 	}
 	var report LoadReport
-	c.loads.Run(func() { err = json.Unmarshal(resp.Body, &report) })
+	c.loadMeter.Run(func() { err = json.Unmarshal(resp.Body, &report) })
 	if err != nil {
-		return LoadReport{}, merry.Wrap(ErrBadAnswer, merry.WithCause(err))
+		return LoadReport{}, merry.Wrap(ErrInvalidReport, merry.WithCause(err))
 	}
 	return report, nil
 }
 
-// encode writes the request in the codec's form. The path goes out unchanged;
-// parsing it as a URL would resolve its dots and escapes, so that the service
-// could see another path than the one whose route was checked.
+// encode converts the request to the codec's form. The path is sent unchanged; parsing it as a URL
+// would resolve its dots and escapes, and the service could see a path other than the one whose
+// route was checked.
 func encode(address string, req Request) (*protocol.Request, error) {
-	if !strings.HasPrefix(req.Path, "/") || !printable(req.Path) || !printable(req.Query) || !token(req.Method) {
+	if !strings.HasPrefix(req.Path, "/") || !isRequestTarget(req.Path) || !isRequestTarget(req.Query) || !isMethod(req.Method) {
 		return nil, merry.Wrap(ErrBadRequest)
 	}
 	r := protocol.AcquireRequest()
@@ -236,7 +234,7 @@
 	return r, nil
 }
 
-// decode copies the answer out of the codec's buffers.
+// decode copies the response out of the codec's buffers.
 func decode(resp *httpclient.Response) Response {
 	var header []Header
 	resp.Header.VisitAll(func(name, value []byte) {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -69,8 +69,8 @@
 	return ledger
 }
 
-// What the client says about a request must agree with the service's ledger:
-// "not run" with no effect, and nothing but "lost" when the answer is missing.
+// The client's error must agree with the service's ledger: "not run" only without an effect, and
+// only "lost" when the response is missing.
 func TestErrorsAgreeWithLedger(t *testing.T) {
 	tests := map[string]struct {
 		faults  standin.Faults
@@ -90,7 +90,7 @@
 			t.Run(name+" "+method, func(t *testing.T) {
 				address := startService(t, standin.Options{})
 				c, ctx := newClient(t, service.Options{}), testContext(t)
-				// An unused connection is there to be taken.
+				// Leaves an idle connection in the pool.
 				_, err := c.Load(ctx, address)
 				require.NoError(t, err)
 				setFaults(t, address, tt.faults)
@@ -112,11 +112,10 @@
 	}
 }
 
-// The caller of a booking sees its connection fail although the service works.
-// The service closes an unused connection; the client takes it for the next
-// request. A client that repeats by itself would book twice if the service had
-// run the first, so it must report the request as lost and leave it.
-func TestUnusedConnectionClosedByServiceIsNotRepeated(t *testing.T) {
+// Guards against booking twice: the service closes an idle connection that the client takes for the
+// next request. The client must report that request as lost and not repeat it, as the service may
+// have run it.
+func TestRequestOnClosedIdleConnectionIsNotRepeated(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -135,7 +134,7 @@
 					return
 				}
 				_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
-				// The second request on it arrives and is not answered.
+				// The second request on the connection arrives and is not answered.
 				_, _ = conn.Read(buf)
 			}()
 		}
@@ -153,7 +152,7 @@
 	require.NoError(t, err)
 }
 
-func TestHeaderFieldsOfConnectionStay(t *testing.T) {
+func TestConnectionHeaderFieldsAreNotForwarded(t *testing.T) {
 	seen := make(chan http.Header, 1)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
