--- a/internal/httpclient/bench_test.go
+++ b/internal/httpclient/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkExchange shows what a connection of its own costs an exchange.
+// BenchmarkExchange compares exchanges on pooled and on single-use connections.
 func BenchmarkExchange(b *testing.B) {
-	for name, call := range map[string]Call{"kept": {}, "alone": {Alone: true}} {
+	for name, call := range map[string]Call{"pooled": {}, "single-use": {Alone: true}} {
 		b.Run(name, func(b *testing.B) {
 			s := serve(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ab") })
 			c := New(Options{})
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,8 +1,7 @@
-// Package httpclient does one HTTP/1.1 exchange with a backend server at a
-// time and says how far it got when it fails: before the first byte left, or
-// after. It is built from the codec and connections of hertz. The hertz client
-// itself doesn't serve here, because it repeats some requests by itself and
-// cannot be interrupted before the response headers have come.
+// Package httpclient does HTTP/1.1 exchanges with backend servers and, if one fails, says whether
+// bytes of the request had left. It is built from the codec and the connections of hertz. The hertz
+// client itself is unsuitable, because it repeats some requests on its own and can't be interrupted
+// before the response headers have arrived.
 //
 // # Usage
 //
@@ -28,30 +27,28 @@
 var (
 	// ErrNotSent means that no byte of the request left this process.
 	ErrNotSent = merry.Sentinel("request not sent")
-	// ErrLost means that the exchange failed after bytes may have left. The
-	// server may have run the request, or run it still.
+	// ErrLost means that the exchange failed after bytes may have left. The server may have run the
+	// request, or may still be running it.
 	ErrLost = merry.Sentinel("exchange lost")
-	// ErrTooLarge means that the response is larger than allowed. The server
-	// has run the request.
+	// ErrTooLarge means that the response exceeds the size limit. The server has run the request.
 	ErrTooLarge = merry.Sentinel("response too large")
 )
 
 // Options are the limits of a [Client]. Zero fields take the defaults.
 type Options struct {
-	// DialTimeout bounds the opening of a connection; 1 s by default. The end
-	// of a context doesn't interrupt it, only its deadline shortens it.
+	// DialTimeout limits the opening of a connection; 1 s by default. The cancellation of a context
+	// doesn't interrupt it, only the context's deadline shortens it.
 	DialTimeout time.Duration
-	// WriteTimeout bounds the sending of a request; 5 s by default. A request
-	// larger than the socket's buffer would otherwise wait for ever on a link
-	// that went silent.
+	// WriteTimeout limits the sending of a request; 5 s by default. Without it, a request larger
+	// than the socket's buffer would block forever on a dead link.
 	WriteTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept; 2 s by default. It
-	// is shorter than the idle timeouts of usual servers, 5 s and more, so that
-	// a request rarely meets a connection that the server is closing.
+	// IdleTimeout is how long an idle connection is kept; 2 s by default. It is shorter than the
+	// usual idle timeouts of servers, 5 s and more, so that a request rarely uses a connection that
+	// the server is closing.
 	IdleTimeout time.Duration
-	// MaxIdle bounds the unused connections kept per address; 64 by default.
+	// MaxIdle limits the idle connections per address; 64 by default.
 	MaxIdle int
-	// MaxResponseBytes bounds a response that isn't streamed; 8 MiB by default.
+	// MaxResponseBytes limits a response that isn't streamed; 8 MiB by default.
 	MaxResponseBytes int
 }
 
@@ -74,20 +71,20 @@
 	return o
 }
 
-// Call says how one exchange is done.
+// Call holds the options of one exchange.
 type Call struct {
-	// FreshConnection opens a new connection instead of taking an unused one.
-	// Open connections can go silent for good while new ones work.
+	// FreshConnection opens a new connection instead of reusing an idle one. Open connections can
+	// stop delivering data permanently while new ones work.
 	FreshConnection bool
-	// Alone opens a new connection too, and closes it afterwards. An answer that
-	// comes late on a kept connection would be read as the next request's; where
-	// answers don't name their request, nothing else tells the two apart.
+	// Alone opens a new connection too, and closes it afterwards. A late response on a reused
+	// connection would be read as the response to the next request; where responses don't name
+	// their request, nothing else distinguishes the two.
 	Alone bool
 	// Stream leaves the body to be read from [Response.Body].
 	Stream bool
 }
 
-// Client does exchanges. It is safe for use by several goroutines.
+// Client does HTTP exchanges. It is safe for concurrent use.
 type Client struct {
 	opts Options
 	pool *pool
@@ -99,12 +96,11 @@
 	return &Client{opts: opts, pool: newPool(opts.MaxIdle, opts.IdleTimeout)}
 }
 
-// Close closes the unused connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.pool.close() }
 
-// Do sends req to address and reads the response headers, and the body too
-// unless call.Stream is set. Cancelling ctx ends the exchange, also while the
-// body is read.
+// Do sends req to address and reads the response headers, and the body too unless call.Stream is
+// set. Cancelling ctx ends the exchange, even while the body is read.
 func (c *Client) Do(ctx context.Context, address string, req *protocol.Request, call Call) (*Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, merry.Wrap(ErrNotSent, merry.WithCause(err))
@@ -113,14 +109,14 @@
 	if err != nil {
 		return nil, merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
-	r := &Response{Response: protocol.AcquireResponse(), client: c, conn: conn, address: address, alone: call.Alone}
-	// Only closing the connection interrupts a read that waits for a silent
-	// server; a deadline would be set anew by the codec.
+	r := &Response{Response: protocol.AcquireResponse(), client: c, conn: conn, address: address, singleUse: call.Alone}
+	// Only closing the connection interrupts a read from a silent server; the codec would overwrite
+	// a read deadline.
 	callCtx, abort := context.WithCancel(ctx)
 	r.abort = abort
 	r.stop = context.AfterFunc(callCtx, func() { conn.Close() })
 	if err := c.exchange(r, req, call); err != nil {
-		r.discard()
+		r.release()
 		if ctxErr := ctx.Err(); ctxErr != nil {
 			err = merry.Wrap(err, merry.WithCause(ctxErr))
 		}
@@ -167,14 +163,14 @@
 	if !r.SkipBody && r.Header.ContentLength() > c.opts.MaxResponseBytes {
 		return merry.Wrap(ErrTooLarge)
 	}
-	if r.unframed() {
-		err := r.readUnframed(c.opts.MaxResponseBytes)
-		r.finish(true)
+	if r.isCloseDelimited() {
+		err := r.readCloseDelimited(c.opts.MaxResponseBytes)
+		r.releaseConn(true)
 		return err
 	}
 	if err := respcodec.ReadRespBody(r.Response, r.conn, c.opts.MaxResponseBytes); err != nil {
-		return readError(err)
+		return classifyReadError(err)
 	}
-	r.finish(r.ConnectionClose())
+	r.releaseConn(r.ConnectionClose())
 	return nil
 }
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -18,16 +18,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// counted is a server that counts its connections.
-type counted struct {
+// countingServer is a server that counts its connections.
+type countingServer struct {
 	*httptest.Server
 	mu    sync.Mutex
 	conns int
 }
 
-func serve(t testing.TB, handler http.HandlerFunc) *counted {
+func serve(t testing.TB, handler http.HandlerFunc) *countingServer {
 	t.Helper()
-	s := &counted{Server: httptest.NewUnstartedServer(handler)}
+	s := &countingServer{Server: httptest.NewUnstartedServer(handler)}
 	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
 			s.mu.Lock()
@@ -40,9 +40,9 @@
 	return s
 }
 
-func (s *counted) address() string { return strings.TrimPrefix(s.URL, "http://") }
+func (s *countingServer) address() string { return strings.TrimPrefix(s.URL, "http://") }
 
-func (s *counted) connections() int {
+func (s *countingServer) connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conns
@@ -63,13 +63,13 @@
 		read  func(*Response)
 		conns int
 	}{
-		"whole":           {read: func(*Response) {}, conns: 1},
-		"alone":           {call: Call{Alone: true}, read: func(*Response) {}, conns: 3},
-		"fresh":           {call: Call{FreshConnection: true}, read: func(*Response) {}, conns: 3},
-		"stream drained":  {call: Call{Stream: true}, read: func(r *Response) { _, _ = io.ReadFull(r.Body(), make([]byte, 2)); r.Drain() }, conns: 1},
-		"stream left":     {call: Call{Stream: true}, read: func(*Response) {}, conns: 3},
-		"stream aborted":  {call: Call{Stream: true}, read: func(r *Response) { r.Abort() }, conns: 3},
-		"stream all read": {call: Call{Stream: true}, read: func(r *Response) { _, _ = io.Copy(io.Discard, r.Body()); r.Drain() }, conns: 1},
+		"complete body":          {read: func(*Response) {}, conns: 1},
+		"single-use":             {call: Call{Alone: true}, read: func(*Response) {}, conns: 3},
+		"fresh connection":       {call: Call{FreshConnection: true}, read: func(*Response) {}, conns: 3},
+		"stream drained":         {call: Call{Stream: true}, read: func(r *Response) { _, _ = io.ReadFull(r.Body(), make([]byte, 2)); r.Drain() }, conns: 1},
+		"stream closed unread":   {call: Call{Stream: true}, read: func(*Response) {}, conns: 3},
+		"stream aborted":         {call: Call{Stream: true}, read: func(r *Response) { r.Abort() }, conns: 3},
+		"stream read to its end": {call: Call{Stream: true}, read: func(r *Response) { _, _ = io.Copy(io.Discard, r.Body()); r.Drain() }, conns: 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestUnusedConnectionsAreClosedAfterTheirTime(t *testing.T) {
+func TestIdleConnectionsAreClosedAfterTimeout(t *testing.T) {
 	s := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ab") })
 	c := New(Options{})
 	defer c.Close()
@@ -101,10 +101,8 @@
 	require.Empty(t, c.pool.conns[s.address()])
 }
 
-// The reader of a stream waits for a token that never comes.
-// The server has sent one and goes silent; the context is cancelled, as by a
-// caller that leaves. The read must end at once and the connection with it, so
-// that the server learns that nobody listens.
+// Guards against a read that blocks on a silent server after its context was cancelled: the read
+// must end at once, and so must the connection, so that the server notices.
 func TestCancelEndsReadOfSilentStream(t *testing.T) {
 	left := make(chan struct{})
 	s := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -128,10 +126,10 @@
 	<-left
 }
 
-func TestResponseIsBounded(t *testing.T) {
+func TestResponseSizeIsLimited(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
 		"with length": func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, strings.Repeat("x", 100)) },
-		"in chunks": func(w http.ResponseWriter, _ *http.Request) {
+		"chunked": func(w http.ResponseWriter, _ *http.Request) {
 			for range 10 {
 				_, _ = io.WriteString(w, strings.Repeat("x", 10))
 				w.(http.Flusher).Flush()
@@ -182,9 +180,9 @@
 	require.Zero(t, s.connections())
 }
 
-// An exchange alone leaves no connection behind for the next one, on which a
-// late answer to it would be read as the next one's.
-func TestAloneKeepsNoConnection(t *testing.T) {
+// Guards against a late response on a reused connection that is read as the response to the next
+// request: a single-use exchange must not return its connection to the pool.
+func TestSingleUseKeepsNoConnection(t *testing.T) {
 	s := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ab") })
 	c := New(Options{})
 	defer c.Close()
--- a/internal/httpclient/pool.go
+++ b/internal/httpclient/pool.go
@@ -7,21 +7,21 @@
 	"github.com/cloudwego/hertz/pkg/network"
 )
 
-// pooledConn is a connection with the time since which it is unused.
+// pooledConn is a connection with the time at which it became idle.
 type pooledConn struct {
 	network.Conn
 	idleSince time.Time
 }
 
-// pool keeps unused connections by address, the latest used on top.
+// pool holds idle connections by address, the most recently used one last.
 type pool struct {
 	maxIdle     int
 	idleTimeout time.Duration
 
-	mu     sync.Mutex
-	closed bool
-	conns  map[string][]*pooledConn
-	swept  time.Time
+	mu        sync.Mutex
+	closed    bool
+	conns     map[string][]*pooledConn
+	lastSweep time.Time
 }
 
 func newPool(maxIdle int, idleTimeout time.Duration) *pool {
@@ -46,7 +46,7 @@
 }
 
 func (p *pool) put(address string, conn *pooledConn) {
-	// Bytes beyond the response belong to no request of ours.
+	// Bytes after the response belong to no request of this client.
 	if conn.Len() > 0 {
 		conn.Close()
 		return
@@ -62,13 +62,13 @@
 	p.sweep(conn.idleSince)
 }
 
-// sweep closes what has been unused for too long, also for addresses that are
-// never asked for again. It runs with the calls, so it needs no goroutine.
+// sweep closes connections that have been idle for too long, including those to addresses that
+// aren't used any more. It runs within other calls and needs no goroutine.
 func (p *pool) sweep(now time.Time) {
-	if now.Sub(p.swept) < p.idleTimeout {
+	if now.Sub(p.lastSweep) < p.idleTimeout {
 		return
 	}
-	p.swept = now
+	p.lastSweep = now
 	for address, conns := range p.conns {
 		kept := conns[:0]
 		for _, conn := range conns {
--- a/internal/httpclient/response.go
+++ b/internal/httpclient/response.go
@@ -13,56 +13,52 @@
 	respcodec "github.com/cloudwego/hertz/pkg/protocol/http1/resp"
 )
 
-// Response is the answer to one exchange. Close must be called once, by the
-// goroutine that reads.
+// Response is the response to one exchange. Close must be called once, by the goroutine that reads.
 type Response struct {
 	*protocol.Response
-	client  *Client
-	conn    *pooledConn
-	address string
-	stop    func() bool
-	abort   context.CancelFunc
-	stream  bool
-	alone   bool
+	client    *Client
+	conn      *pooledConn
+	address   string
+	stop      func() bool
+	abort     context.CancelFunc
+	stream    bool
+	singleUse bool
 }
 
-// forceCloser is what the codec's body streams offer to be given up unread.
+// forceCloser is implemented by the codec's body streams, to close them unread.
 type forceCloser interface{ ForceClose() error }
 
-// Bytes returns the whole body of a response that was not streamed. It is valid
-// until Close.
+// Bytes returns the complete body of a response that was not streamed. It is valid until Close.
 func (r *Response) Bytes() []byte { return r.Response.Body() }
 
-// Body returns the body of a response that was asked for with [Call.Stream].
+// Body returns the body of a response that was requested with [Call.Stream].
 func (r *Response) Body() io.Reader {
-	if r.unframed() {
-		return unframedBody{r.conn}
+	if r.isCloseDelimited() {
+		return closeDelimitedBody{r.conn}
 	}
 	return r.BodyStream()
 }
 
-// codecIdentity is how the codec tells a body that ends with its connection.
+// codecIdentity is the content length with which the codec marks a close-delimited body.
 const codecIdentity = -2
 
-// unframed reports whether the body ends with its connection. Some answers have
-// no body and need no length; there is nothing to wait for then.
-func (r *Response) unframed() bool {
-	return r.Header.ContentLength() == codecIdentity && !r.SkipBody && !bodiless(r.StatusCode())
+// isCloseDelimited reports whether the end of the connection is the end of the body. Responses
+// without a body need no length either and are excluded.
+func (r *Response) isCloseDelimited() bool {
+	return r.Header.ContentLength() == codecIdentity && !r.SkipBody && !hasNoBody(r.StatusCode())
 }
 
-// bodiless reports whether answers with a status never have a body (RFC 9110,
-// 6.4.1).
-func bodiless(status int) bool {
+// hasNoBody reports whether responses with a status never have a body (RFC 9110, 6.4.1).
+func hasNoBody(status int) bool {
 	return status < http.StatusOK || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// unframedBody is a body that ends with its connection. The codec takes any end
-// for the end of such a body, also a reset: an answer that was broken off would
-// look whole to the caller.
-type unframedBody struct{ conn io.Reader }
+// closeDelimitedBody is a body that ends with its connection. The codec takes any error for the end
+// of such a body, including a reset, and a truncated response would look complete to the caller.
+type closeDelimitedBody struct{ conn io.Reader }
 
-// Read implements io.Reader; io.EOF means that the server closed in order.
-func (b unframedBody) Read(p []byte) (int, error) {
+// Read implements io.Reader; io.EOF means that the server closed the connection normally.
+func (b closeDelimitedBody) Read(p []byte) (int, error) {
 	n, err := b.conn.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
 		err = merry.Wrap(ErrLost, merry.WithCause(err))
@@ -70,9 +66,9 @@
 	return n, err
 }
 
-// readUnframed reads a whole body that ends with its connection.
-func (r *Response) readUnframed(limit int) error {
-	body, err := io.ReadAll(io.LimitReader(unframedBody{r.conn}, int64(limit)+1))
+// readCloseDelimited reads a complete body that ends with its connection.
+func (r *Response) readCloseDelimited(limit int) error {
+	body, err := io.ReadAll(io.LimitReader(closeDelimitedBody{r.conn}, int64(limit)+1))
 	switch {
 	case err != nil:
 		return err
@@ -83,19 +79,19 @@
 	return nil
 }
 
-// Close releases the response. A connection whose body was not read to its end
-// is closed, which tells the server that nobody listens.
+// Close releases the response. If the body was not read to its end, the connection is closed, which
+// tells the server that nobody reads.
 func (r *Response) Close() {
 	if r.Response == nil {
 		return
 	}
 	if r.stream {
-		// The codec would read a streamed body to its end to reuse the
-		// connection; for a generation that could be minutes away.
+		// The codec would read a streamed body to its end to reuse the connection; the end of a
+		// generation can be minutes away.
 		r.conn.Close()
-		if r.unframed() {
+		if r.isCloseDelimited() {
 			r.stream = false
-			r.discard()
+			r.release()
 			return
 		}
 		if body, ok := r.BodyStream().(forceCloser); ok {
@@ -104,18 +100,17 @@
 		_ = r.CloseBodyStream()
 		r.stream = false
 	}
-	r.discard()
+	r.release()
 }
 
-// drainTimeout is how long Drain waits for the end of a body whose content has
-// come. Reusing a connection saves less than a longer wait would cost.
+// drainTimeout is how long Drain waits for the end of a body whose content has been read. Waiting
+// longer would cost more than a new connection.
 const drainTimeout = 20 * time.Millisecond
 
-// Drain reads the little that is left behind the content of a streamed body, so
-// that Close keeps the connection for another exchange. The end may never come
-// on a link that went silent, so it waits only shortly.
+// Drain reads what follows the content of a streamed body, so that Close keeps the connection for
+// another exchange. It waits only briefly, because the end may never arrive on a dead link.
 func (r *Response) Drain() {
-	if !r.stream || r.unframed() || r.conn.SetReadTimeout(drainTimeout) != nil {
+	if !r.stream || r.isCloseDelimited() || r.conn.SetReadTimeout(drainTimeout) != nil {
 		return
 	}
 	var rest [1]byte
@@ -128,11 +123,11 @@
 		closing = true
 	}
 	closing = closing || r.conn.SetReadTimeout(0) != nil
-	r.finish(closing)
+	r.releaseConn(closing)
 }
 
 func (r *Response) openBody() error {
-	if r.unframed() {
+	if r.isCloseDelimited() {
 		r.stream = true
 		return nil
 	}
@@ -144,15 +139,15 @@
 	return nil
 }
 
-// finish gives the connection back, or closes it.
-func (r *Response) finish(closing bool) {
+// releaseConn returns the connection to the pool, or closes it.
+func (r *Response) releaseConn(closing bool) {
 	if r.conn == nil {
 		return
 	}
 	defer r.abort()
-	// When the context has ended in between, its function closes the
-	// connection at any moment, so it must not be handed out again.
-	if stopped := r.stop(); closing || r.alone || !stopped {
+	// If the context has ended in the meantime, its function may close the connection at any
+	// moment, so the connection must not be reused.
+	if stopped := r.stop(); closing || r.singleUse || !stopped {
 		r.conn.Close()
 	} else {
 		r.client.pool.put(r.address, r.conn)
@@ -160,27 +155,27 @@
 	r.conn = nil
 }
 
-func (r *Response) discard() {
-	r.finish(true)
+func (r *Response) release() {
+	r.releaseConn(true)
 	if r.Response != nil {
 		protocol.ReleaseResponse(r.Response)
 		r.Response = nil
 	}
 }
 
-func readError(err error) error {
+func classifyReadError(err error) error {
 	if errors.Is(err, herrors.ErrBodyTooLarge) {
 		return merry.Wrap(ErrTooLarge, merry.WithCause(err))
 	}
 	return merry.Wrap(ErrLost, merry.WithCause(err))
 }
 
-// Abort closes the connection from another goroutine, which ends a read that
-// waits on it. Close must still be called.
+// Abort closes the connection from another goroutine, which interrupts a pending read. Close must
+// still be called.
 func (r *Response) Abort() { r.abort() }
 
-// ReadAll returns the whole body, also of a response that was asked for as a
-// stream, as failures are.
+// ReadAll returns the complete body, also of a response that was requested as a stream, for
+// instance a failure.
 func (r *Response) ReadAll() ([]byte, error) {
 	if !r.stream {
 		return r.Bytes(), nil
--- a/internal/httpclient/unframed_test.go
+++ b/internal/httpclient/unframed_test.go
@@ -10,11 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server answers without a length, so that the end of the connection is the
-// end of the answer. In the middle of it the server crashes and its connection
-// is reset. A caller that got what had come until then, with a length of our
-// own, would take half an answer for a whole one.
-func TestUnframedAnswerThatIsResetIsLost(t *testing.T) {
+// Guards against taking a truncated response for a complete one: the end of the connection delimits
+// the response, and the server crashes while sending it, which resets the connection.
+func TestResetCloseDelimitedResponseIsLost(t *testing.T) {
 	tests := map[string]struct {
 		reset  bool
 		stream bool
@@ -72,10 +70,9 @@
 	}
 }
 
-// An order is answered with "no content", which has neither a body nor a
-// length, on a connection that stays open. Whoever waited for its end would
-// wait until the server gives the connection up.
-func TestAnswerWithoutContentIsWhole(t *testing.T) {
+// Guards against waiting for the end of the connection after a response that has neither a body nor
+// a length.
+func TestResponseWithoutContentIsComplete(t *testing.T) {
 	for _, status := range []int{http.StatusNoContent, http.StatusNotModified} {
 		s := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
 		c := New(Options{})
