--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -1,7 +1,7 @@
-// Package dialect describes what differs between the surroundings that an
-// instance is run in: names of header fields, paths, and the forms of
-// messages. The product works with its own types; a dialect turns them into
-// what callers, backend servers and the platform speak. It decides nothing.
+// Package dialect describes what differs between the environments in which an instance runs: the
+// names of header fields, paths, and message formats. The product uses its own types; a dialect
+// converts them to and from the formats of callers, backend servers and the platform. It contains
+// no decisions.
 //
 // # Usage
 //
@@ -19,48 +19,48 @@
 
 // Fields are the names of header fields.
 type Fields struct {
-	// RequestID names one attempt of a caller.
+	// RequestID identifies one attempt of a caller.
 	RequestID string
 	// DeadlineMillis is how long the caller waits, in milliseconds.
 	DeadlineMillis string
-	// Key is the caller's key.
+	// Key is the caller's API key.
 	Key string
 	// Model, TokenCounts, Prefix and LengthHint describe a generation.
 	Model       string
 	TokenCounts string
 	Prefix      string
 	LengthHint  string
-	// LastEventID is the last event that the caller of a stream has.
+	// LastEventID is the last event that the caller of a stream has received.
 	LastEventID string
-	// Workspace tells a backend server whose request it gets.
+	// Workspace tells a backend server the workspace of a request.
 	Workspace string
-	// ExpectInstance names the start of a backend server that is meant.
+	// ExpectInstance names the incarnation of a backend server that a request is meant for.
 	ExpectInstance string
-	// Urgency orders the requests of an engine, 0 is the first.
+	// Urgency is the priority of a request on an engine; 0 is the highest.
 	Urgency string
-	// CarryFrom names the memory that a generation goes on from.
+	// CarryFrom names the KV cache from which a generation resumes.
 	CarryFrom string
-	// Seal is a backend server's mark of its own answer.
+	// Seal proves that a response was made by the backend server itself.
 	Seal string
-	// NotExecuted marks an answer to a request that the server didn't run.
+	// NotExecuted marks the response to a request that the server didn't run.
 	NotExecuted string
-	// Instance names the backend server that answers.
+	// Instance names the backend server that responds.
 	Instance string
-	// Internal are the fields that callers may not set.
+	// Internal lists the fields that callers may not set.
 	Internal []string
 }
 
-// Paths are the paths of calls, without a slash at the end.
+// Paths are the paths of calls, without a trailing slash.
 type Paths struct {
 	Directory string
 	Ready     string
 	Report    string
 	Move      string
-	// Handle is followed by a slash and the id of the request.
+	// Handle is followed by a slash and the KV handle of a copy.
 	Handle string
 }
 
-// Kinds are the platform's names of kinds of objects.
+// Kinds are the platform's names for kinds of objects.
 type Kinds struct {
 	Configuration     string
 	ConfigurationName string
@@ -75,44 +75,44 @@
 	Service string `json:"Service"`
 	Address string `json:"Address"`
 	Zone    string `json:"Zone"`
-	// Version is that of the server's software.
+	// Version is the version of the server's software.
 	Version string `json:"Version"`
 	Slots   int    `json:"Slots"`
 	// Leaving servers take no new requests.
 	Leaving bool `json:"Leaving"`
 	// ColdFor is how much longer the server is cold.
 	ColdFor time.Duration `json:"ColdFor"`
-	// Born is the server's start, in milliseconds since 1970; 0 if unknown.
+	// Born is when the server started, in milliseconds since 1970; 0 if unknown.
 	Born int64 `json:"Born"`
 }
 
-// Rollout is an order to move a service's traffic to one version of its servers,
-// as the platform holds it.
+// Rollout is a rollout spec as the platform holds it: a service's traffic is to be moved to one
+// version of its servers.
 type Rollout struct {
-	// Name is the object's, Revision that of its last change.
+	// Name is the name of the object, Revision the revision of its last change.
 	Name     string `json:"Name"`
 	Revision int64  `json:"Revision"`
-	// ID tells apart orders of the same name.
+	// ID distinguishes rollouts of the same name.
 	ID       string        `json:"ID"`
 	Service  string        `json:"Service"`
 	To       string        `json:"To"`
 	Duration time.Duration `json:"Duration"`
-	// Told is what the platform was told so far: none, canary for one that runs, or
-	// an end. Stage is how far it has come, as far as is known here.
+	// Told is the stage that was reported to the platform: none, canary while the rollout
+	// is running, or a final stage. Stage is the stage as far as this instance knows.
 	Told  rollout.Stage `json:"Told"`
 	Stage rollout.Stage `json:"Stage"`
 }
 
-// Report is what a model engine says of itself.
+// Report is what a model engine reports of itself.
 type Report struct {
 	Leaving bool
-	// LeavesIn is how long the engine stays, or negative if it doesn't say.
+	// LeavesIn is the time until the engine exits; negative if not reported.
 	LeavesIn    time.Duration
 	Waiting     int
 	Running     int
 	UsedTokens  int
 	TotalTokens int
-	// Sequences are the running requests, by id.
+	// Sequences are the running requests.
 	Sequences []Sequence
 }
 
@@ -123,41 +123,41 @@
 	Events int
 }
 
-// Move asks an engine to copy the memory of a request to another one.
+// Move asks an engine to copy the KV cache of a request to another engine.
 type Move struct {
 	RequestID string
 	To        string
-	// Last stops the request first.
+	// Last stops the request first, for the cutover.
 	Last bool
 }
 
-// Moved is the answer to a [Move].
+// Moved is the response to a [Move].
 type Moved struct {
 	Handle string
 	Events int
 }
 
-// Dialect holds the names and forms of one deployment's surroundings.
+// Dialect holds the names and message formats of one environment.
 type Dialect struct {
 	Fields Fields
 	Paths  Paths
 	Kinds  Kinds
-	// Objects is the form of the platform's object API.
+	// Objects is the format of the platform's object API.
 	Objects objectapi.Form
-	// Configuration, Server and Report read messages.
+	// Configuration, Server and Report decode messages.
 	Configuration func(value []byte) (routes.Configuration, error)
 	Server        func(id string, value []byte) (Server, error)
-	// Rollout reads an order and its status, RolloutStatus writes a status.
+	// Rollout decodes a rollout spec and its status; RolloutStatus encodes a status.
 	Rollout       func(o objectapi.Object) (Rollout, error)
 	RolloutStatus func(to string, stage rollout.Stage) []byte
 	Report        func(body []byte) (Report, error)
-	// Move writes the order to move, Moved reads its answer.
+	// Move encodes the request for a migration; Moved decodes its response.
 	Move  func(m Move) []byte
 	Moved func(body []byte) (Moved, error)
-	// CarryFrom writes the value of [Fields.CarryFrom].
+	// CarryFrom encodes the value of [Fields.CarryFrom].
 	CarryFrom func(address, handle string) string
-	// Directory writes the answer to a caller that asks where to connect.
+	// Directory encodes the response to a caller that looks up instances.
 	Directory func(addresses []string, keep time.Duration) []byte
-	// DirectoryZone is the query parameter with the caller's zone.
+	// DirectoryZone is the query parameter with the caller's availability zone.
 	DirectoryZone string
 }
