--- a/internal/migration/migration_test.go
+++ b/internal/migration/migration_test.go
@@ -33,51 +33,51 @@
 	}
 }
 
-// Guards against paused streams when five generations of one engine are copied over one link, 200
-// ms each, by instances that don't see each other's copies: no stream may pause for more than 180
-// ms, and all must have moved within 1.5 s, when the engine exits.
+// Guards against paused streams when five generations of one engine are copied over one link,
+// 200 ms each, by instances that don't see each other's copies: no stream may pause for more than
+// 180 ms, and all must have moved within 1.5 s, when the engine exits.
 func TestGenerationsShareALink(t *testing.T) {
 	const copyTime, rest, gone = 200 * time.Millisecond, 5 * time.Millisecond, 1500 * time.Millisecond
-	type one struct {
-		p       Progress
-		done    time.Duration
-		asked   time.Duration
-		stopped bool
+	type generation struct {
+		p           Progress
+		doneAt      time.Duration
+		requestedAt time.Duration
+		cutOver     bool
 	}
-	all := make([]one, 5)
+	all := make([]generation, 5)
 	link := time.Duration(0)
-	ask := func(o *one, at time.Duration) {
-		o.asked = at
-		took := rest
-		if o.p.Copies == 0 {
-			took = copyTime
+	requestCopy := func(g *generation, at time.Duration) {
+		g.requestedAt = at
+		duration := rest
+		if g.p.Copies == 0 {
+			duration = copyTime
 		}
-		link = max(link, at) + took
-		o.done = link
+		link = max(link, at) + duration
+		g.doneAt = link
 	}
 	for i := range all {
 		all[i].p = Progress{NoticedAt: start, Remaining: -1}
-		ask(&all[i], 0)
+		requestCopy(&all[i], 0)
 	}
 	for at := time.Duration(0); at < gone; at += time.Millisecond {
 		for i := range all {
-			o := &all[i]
-			if at < o.done || o.done == 0 {
+			g := &all[i]
+			if at < g.doneAt || g.doneAt == 0 {
 				continue
 			}
-			if o.stopped {
-				require.LessOrEqual(t, o.done-o.asked, 180*time.Millisecond)
-				o.done = 0
+			if g.cutOver {
+				require.LessOrEqual(t, g.doneAt-g.requestedAt, 180*time.Millisecond)
+				g.doneAt = 0
 				continue
 			}
-			o.p.Copies++
-			o.p.LastCopyTime = o.done - o.asked
-			_, o.stopped = Next(start.Add(at), o.p).(Cutover)
-			ask(o, at)
+			g.p.Copies++
+			g.p.LastCopyTime = g.doneAt - g.requestedAt
+			_, g.cutOver = Next(start.Add(at), g.p).(Cutover)
+			requestCopy(g, at)
 		}
 	}
-	for _, o := range all {
-		require.True(t, o.stopped)
-		require.Zero(t, o.done)
+	for _, g := range all {
+		require.True(t, g.cutOver)
+		require.Zero(t, g.doneAt)
 	}
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -156,7 +156,8 @@
 	return t
 }
 
-// Route returns the route of a host, with or without a port, that has the longest prefix of path.
+// Route returns the route of a host, with or without a port, with the longest prefix that
+// matches path.
 func (t *Table) Route(host, path string) (*Route, bool) {
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
 	for _, r := range t.byHost[name] {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -58,8 +58,8 @@
 }
 
 // Get returns the first value of a header field, or an empty string.
-func (a *Response) Get(name string) string {
-	for _, h := range a.Header {
+func (r *Response) Get(name string) string {
+	for _, h := range r.Header {
 		if strings.EqualFold(h.Name, name) {
 			return h.Value
 		}
@@ -68,13 +68,13 @@
 }
 
 // Stream returns the body of a streamed response.
-func (a *Response) Stream() io.Reader { return a.resp.Body() }
+func (r *Response) Stream() io.Reader { return r.resp.Body() }
 
 // Abort interrupts a read of the stream from another goroutine.
-func (a *Response) Abort() { a.resp.Abort() }
+func (r *Response) Abort() { r.resp.Abort() }
 
 // Close closes the response and its connection.
-func (a *Response) Close() { a.resp.Close() }
+func (r *Response) Close() { r.resp.Close() }
 
 // Client sends requests to backend servers. It is safe for concurrent use.
 type Client struct{ http *httpclient.Client }
@@ -96,17 +96,17 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Response{Status: resp.StatusCode(), Header: responseHeader(resp), resp: resp}
-	if stream && a.Status < http.StatusMultipleChoices {
-		return a, nil
+	response := &Response{Status: resp.StatusCode(), Header: responseHeader(resp), resp: resp}
+	if stream && response.Status < http.StatusMultipleChoices {
+		return response, nil
 	}
 	body, err := resp.ReadAll()
 	if err != nil {
 		resp.Close()
 		return nil, err
 	}
-	a.Body = append([]byte(nil), body...)
-	return a, nil
+	response.Body = append([]byte(nil), body...)
+	return response, nil
 }
 
 // Call sends a request of this instance's own, in JSON, and returns the status and the body. A
@@ -116,15 +116,15 @@
 	if len(body) > 0 {
 		req.Header = []service.Header{{Name: "Content-Type", Value: "application/json"}}
 	}
-	a, err := c.Do(ctx, address, req, false)
+	response, err := c.Do(ctx, address, req, false)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer a.Close()
-	if a.Status >= http.StatusMultipleChoices {
-		return a.Status, a.Body, merry.Wrap(ErrStatus, merry.AppendMessagef("status %d", a.Status))
+	defer response.Close()
+	if response.Status >= http.StatusMultipleChoices {
+		return response.Status, response.Body, merry.Wrap(ErrStatus, merry.AppendMessagef("status %d", response.Status))
 	}
-	return a.Status, a.Body, nil
+	return response.Status, response.Body, nil
 }
 
 func encode(address string, req Request) *protocol.Request {
@@ -143,7 +143,7 @@
 	return r
 }
 
-// responseHeader copies the header out of the codec's buffers, without the responseHeader that belong to
+// responseHeader copies the header out of the codec's buffers, without the fields that belong to
 // the connection.
 func responseHeader(resp *httpclient.Response) []service.Header {
 	var header []service.Header
