--- a/internal/httpclient/bench_test.go
+++ b/internal/httpclient/bench_test.go
@@ -10,7 +10,7 @@
 
 // BenchmarkExchange compares exchanges on pooled and on single-use connections.
 func BenchmarkExchange(b *testing.B) {
-	for name, call := range map[string]Call{"pooled": {}, "single-use": {Alone: true}} {
+	for name, call := range map[string]Call{"pooled": {}, "single-use": {SingleUse: true}} {
 		b.Run(name, func(b *testing.B) {
 			s := serve(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ab") })
 			c := New(Options{})
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -76,10 +76,10 @@
 	// FreshConnection opens a new connection instead of reusing an idle one. Open connections can
 	// stop delivering data permanently while new ones work.
 	FreshConnection bool
-	// Alone opens a new connection too, and closes it afterwards. A late response on a reused
+	// SingleUse opens a new connection too, and closes it afterwards. A late response on a reused
 	// connection would be read as the response to the next request; where responses don't name
 	// their request, nothing else distinguishes the two.
-	Alone bool
+	SingleUse bool
 	// Stream leaves the body to be read from [Response.Body].
 	Stream bool
 }
@@ -105,11 +105,11 @@
 	if err := ctx.Err(); err != nil {
 		return nil, merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
-	conn, err := c.connect(ctx, address, call.FreshConnection || call.Alone)
+	conn, err := c.connect(ctx, address, call.FreshConnection || call.SingleUse)
 	if err != nil {
 		return nil, merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
-	r := &Response{Response: protocol.AcquireResponse(), client: c, conn: conn, address: address, singleUse: call.Alone}
+	r := &Response{Response: protocol.AcquireResponse(), client: c, conn: conn, address: address, singleUse: call.SingleUse}
 	// Only closing the connection interrupts a read from a silent server; the codec would overwrite
 	// a read deadline.
 	callCtx, abort := context.WithCancel(ctx)
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -64,7 +64,7 @@
 		conns int
 	}{
 		"complete body":          {read: func(*Response) {}, conns: 1},
-		"single-use":             {call: Call{Alone: true}, read: func(*Response) {}, conns: 3},
+		"single-use":             {call: Call{SingleUse: true}, read: func(*Response) {}, conns: 3},
 		"fresh connection":       {call: Call{FreshConnection: true}, read: func(*Response) {}, conns: 3},
 		"stream drained":         {call: Call{Stream: true}, read: func(r *Response) { _, _ = io.ReadFull(r.Body(), make([]byte, 2)); r.Drain() }, conns: 1},
 		"stream closed unread":   {call: Call{Stream: true}, read: func(*Response) {}, conns: 3},
@@ -186,7 +186,7 @@
 	s := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ab") })
 	c := New(Options{})
 	defer c.Close()
-	resp, err := get(t.Context(), c, s.address(), Call{Alone: true})
+	resp, err := get(t.Context(), c, s.address(), Call{SingleUse: true})
 	require.NoError(t, err)
 	resp.Close()
 	require.Nil(t, c.pool.take(s.address(), time.Now()))
--- a/internal/httpclient/unframed_test.go
+++ b/internal/httpclient/unframed_test.go
@@ -46,7 +46,7 @@
 			if !tt.stream {
 				close(read)
 			}
-			resp, err := get(t.Context(), c, ln.Addr().String(), Call{Alone: true, Stream: tt.stream})
+			resp, err := get(t.Context(), c, ln.Addr().String(), Call{SingleUse: true, Stream: tt.stream})
 			if tt.stream {
 				require.NoError(t, err)
 				defer resp.Close()
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -134,7 +134,7 @@
 		return Response{}, err
 	}
 	defer protocol.ReleaseRequest(r)
-	resp, err := c.http.Do(ctx, address, r, httpclient.Call{Alone: req.FreshConnection})
+	resp, err := c.http.Do(ctx, address, r, httpclient.Call{SingleUse: req.FreshConnection})
 	if err != nil {
 		return Response{}, classifyError(err)
 	}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -92,7 +92,7 @@
 func (c *Client) Do(ctx context.Context, address string, req Request, stream bool) (*Response, error) {
 	r := encode(address, req)
 	defer protocol.ReleaseRequest(r)
-	resp, err := c.http.Do(ctx, address, r, httpclient.Call{Alone: true, Stream: stream})
+	resp, err := c.http.Do(ctx, address, r, httpclient.Call{SingleUse: true, Stream: stream})
 	if err != nil {
 		return nil, err
 	}
