--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -74,8 +74,8 @@
 // Options are the limits of a [Client].
 type Options struct {
 	HTTP httpclient.Options
-	// Loads measures the cost of load reports; it may be nil.
-	Loads *control.Meter
+	// LoadMeter measures the cost of load reports; it may be nil.
+	LoadMeter *control.Meter
 }
 
 // Client calls plain services. It is safe for concurrent use.
@@ -86,7 +86,7 @@
 
 // NewClient returns a Client.
 func NewClient(opts Options) *Client {
-	return &Client{http: httpclient.New(opts.HTTP), loadMeter: opts.Loads}
+	return &Client{http: httpclient.New(opts.HTTP), loadMeter: opts.LoadMeter}
 }
 
 // Close closes idle connections.
