--- a/internal/answer/failure.go
+++ b/internal/answer/failure.go
@@ -102,9 +102,9 @@
 	return &after
 }
 
-// Of returns the failure in err. Any other error becomes an internal failure, so that no
+// FromError returns the failure in err. Any other error becomes an internal failure, so that no
 // detail of a lower layer leaks to a caller; its outcome is unknown.
-func Of(err error) *Failure {
+func FromError(err error) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
 		return f
--- a/internal/answer/failure_test.go
+++ b/internal/answer/failure_test.go
@@ -30,7 +30,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			f := Of(tt.err)
+			f := FromError(tt.err)
 			require.Equal(t, tt.status, f.Status)
 			require.Equal(t, tt.outcome, f.Outcome)
 			require.Equal(t, tt.seconds, f.RetryAfterSeconds())
--- a/internal/caller/instances.go
+++ b/internal/caller/instances.go
@@ -122,7 +122,7 @@
 func writeJSON(c *app.RequestContext, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
-		return answer.Of(err)
+		return answer.FromError(err)
 	}
 	c.Data(http.StatusOK, "application/json", b)
 	return nil
--- a/internal/caller/routes.go
+++ b/internal/caller/routes.go
@@ -124,8 +124,8 @@
 		defer span.End()
 		span.SetAttributes(attribute.String("request.id", string(c.Response.Header.Peek(headerRequest))))
 		if err := h(journal.With(ctx, entry), c); err != nil {
-			entry.End(time.Now(), endState(err), string(answer.Of(err).Code))
-			span.SetAttributes(attribute.String("error.code", string(answer.Of(err).Code)))
+			entry.End(time.Now(), endState(err), string(answer.FromError(err).Code))
+			span.SetAttributes(attribute.String("error.code", string(answer.FromError(err).Code)))
 			s.fail(c, name, err)
 		}
 	}
@@ -143,7 +143,7 @@
 }
 
 func endState(err error) journal.State {
-	if answer.Of(err).Outcome == answer.OutcomeNotRun {
+	if answer.FromError(err).Outcome == answer.OutcomeNotRun {
 		return journal.Refused
 	}
 	return journal.Failed
@@ -189,7 +189,7 @@
 
 // fail answers with a failure.
 func (s *Server) fail(c *app.RequestContext, name string, err error) {
-	f := answer.Of(err)
+	f := answer.FromError(err)
 	s.scope.Tagged(map[string]string{"code": string(f.Code)}).Counter("failures").Inc(1)
 	s.log.Debug().Str("route", name).Str("code", string(f.Code)).Str("outcome", string(f.Outcome)).Err(err).Msg("request failed")
 	if f.RetryAfter > 0 {
--- a/internal/caller/write.go
+++ b/internal/caller/write.go
@@ -66,7 +66,7 @@
 		case relay.Begun:
 			id, err := name(m)
 			if err != nil {
-				return answer.Of(err)
+				return answer.FromError(err)
 			}
 			w.id, w.ids = id, openai.NewIDWriter(id)
 		case relay.Token:
@@ -138,7 +138,7 @@
 			collector, size = openai.NewCollector(b.endpoint), 0
 			var err error
 			if id, err = b.name(m); err != nil {
-				return answer.Of(err)
+				return answer.FromError(err)
 			}
 		case relay.Token:
 			size += len(m.Event.Data)
@@ -151,7 +151,7 @@
 		case relay.Finished:
 			body, err := collector.Whole(id, b.promptTokens)
 			if err != nil {
-				return answer.Of(err)
+				return answer.FromError(err)
 			}
 			c.Response.Header.Set(headerGeneration, id)
 			c.Data(http.StatusOK, "application/json", body)
@@ -160,7 +160,7 @@
 			return m.Failure
 		}
 	}
-	return answer.Of(nil)
+	return answer.FromError(nil)
 }
 
 func wholeFailure(code answer.Code, message string) error {
--- a/internal/forward/claim.go
+++ b/internal/forward/claim.go
@@ -82,7 +82,7 @@
 		f.stored(f.opts.Claims.Finish(ctx, c, resultOf(response)))
 		return Answer{Response: response}, nil
 	}
-	if answer.Of(err).Outcome == answer.OutcomeNotRun {
+	if answer.FromError(err).Outcome == answer.OutcomeNotRun {
 		f.stored(f.opts.Claims.Abandon(ctx, c))
 	}
 	return Answer{}, err
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			route, err := Match(desk, tt.method, tt.path)
 			if tt.code != "" {
-				require.Equal(t, tt.code, answer.Of(err).Code)
+				require.Equal(t, tt.code, answer.FromError(err).Code)
 				return
 			}
 			require.NoError(t, err)
@@ -63,7 +63,7 @@
 	f.Add("GET", "")
 	f.Fuzz(func(t *testing.T, method, path string) {
 		if _, err := Match(desk, method, path); err != nil {
-			require.Equal(t, answer.OutcomeNotRun, answer.Of(err).Outcome)
+			require.Equal(t, answer.OutcomeNotRun, answer.FromError(err).Outcome)
 		}
 	})
 }
@@ -216,7 +216,7 @@
 			_, err := newTestForwarder(t, s, p, nil).Do(t.Context(), testCall(tt.idempotent, "", ""))
 			require.Equal(t, tt.outcome == "", err == nil)
 			if err != nil {
-				require.Equal(t, tt.outcome, answer.Of(err).Outcome)
+				require.Equal(t, tt.outcome, answer.FromError(err).Outcome)
 			}
 			require.Len(t, s.called, tt.sent)
 			require.Equal(t, tt.endings, p.endings)
@@ -236,7 +236,7 @@
 		wg.Go(func() {
 			a, err := f.Do(t.Context(), testCall(false, "k", "seven"))
 			if err != nil {
-				require.Equal(t, answer.OutcomeUnknown, answer.Of(err).Outcome)
+				require.Equal(t, answer.OutcomeUnknown, answer.FromError(err).Outcome)
 				return
 			}
 			require.Equal(t, "booked", string(a.Response.Body))
@@ -249,8 +249,8 @@
 	require.Len(t, s.called, 1)
 
 	_, err = f.Do(t.Context(), testCall(false, "k", "eight"))
-	require.Equal(t, answer.CodeKeyMismatch, answer.Of(err).Code)
-	require.Equal(t, 422, answer.Of(err).Status)
+	require.Equal(t, answer.CodeKeyMismatch, answer.FromError(err).Code)
+	require.Equal(t, 422, answer.FromError(err).Status)
 }
 
 func TestClaims(t *testing.T) {
@@ -270,7 +270,7 @@
 			s := &fakeService{errs: tt.errs}
 			f := newTestForwarder(t, s, &fakePermits{}, newClaims(tt.down))
 			_, err := f.Do(t.Context(), testCall(false, "k", ""))
-			require.Equal(t, tt.outcome, answer.Of(err).Outcome)
+			require.Equal(t, tt.outcome, answer.FromError(err).Outcome)
 			require.Len(t, s.called, tt.sent)
 			_, _ = f.Do(t.Context(), testCall(false, "k", ""))
 			require.Len(t, s.called, tt.again)
@@ -285,6 +285,6 @@
 	f := newTestForwarder(t, s, &fakePermits{}, nil)
 	lapsed := claim.Claim{SendBy: time.Now().Add(-time.Second)}
 	_, err := f.run(t.Context(), testCall(false, "k", ""), lapsed.MaySend)
-	require.Equal(t, answer.OutcomeNotRun, answer.Of(err).Outcome)
+	require.Equal(t, answer.OutcomeNotRun, answer.FromError(err).Outcome)
 	require.Empty(t, s.called)
 }
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -41,7 +41,7 @@
 	for number := 1; ; number++ {
 		p, err := f.acquire(ctx, call, excluded, avoided)
 		if err != nil {
-			return service.Response{}, answer.Of(err).After(earlier)
+			return service.Response{}, answer.FromError(err).After(earlier)
 		}
 		res := f.attempt(ctx, call, p, maySend)
 		if res.failure == nil {
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -374,7 +374,7 @@
 			if tt.outage {
 				s.opts.State.Lost(time.Now())
 			}
-			f := answer.Of(s.notReady())
+			f := answer.FromError(s.notReady())
 			require.Equal(t, answer.OutcomeNotRun, f.Outcome)
 			require.Equal(t, tt.want, f.RetryAfter)
 		})
@@ -388,7 +388,7 @@
 	s := &Server{opts: Options{State: observed.NewState(), DenyMaxAge: denyMaxAge}, fields: testDialect().Fields}
 	code := func() answer.Code {
 		_, err := s.matchRequest(now, app.NewContext(0))
-		return answer.Of(err).Code
+		return answer.FromError(err).Code
 	}
 	s.opts.State.Configure(now, configuration(), nil)
 	s.opts.State.ReplaceServers(now, 1, []dialect.Server{{ID: "desk-1", Service: "desk", Zone: "zone-a"}})
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -297,7 +297,7 @@
 
 // writeFailure responds with a failure of this instance.
 func (s *Server) writeFailure(c *app.RequestContext, r *request, err error) {
-	f := answer.Of(err)
+	f := answer.FromError(err)
 	s.opts.Scope.Tagged(map[string]string{"code": string(f.Code)}).Counter("failures").Inc(1)
 	line := s.log.Info().Int("status", f.Status).Str("code", string(f.Code)).Str("outcome", string(f.Outcome)).Dur("retryAfter", f.RetryAfter)
 	if r != nil {
--- a/internal/relay/life.go
+++ b/internal/relay/life.go
@@ -175,12 +175,12 @@
 	var refusal *permit.Refusal
 	if errors.As(err, &refusal) {
 		l.relay.opts.Scope.Tagged(map[string]string{"reason": string(refusal.Reason)}).Counter("refusals").Inc(1)
-		return answer.Of(refusal)
+		return answer.FromError(refusal)
 	}
 	// Without a permit nothing was sent, whatever went wrong.
-	f := answer.Of(&permit.Refusal{Reason: permit.ReasonOwnerNotFound, RetryAfter: fullRetryAfter})
+	f := answer.FromError(&permit.Refusal{Reason: permit.ReasonOwnerNotFound, RetryAfter: fullRetryAfter})
 	if l.relay.evicted.Err() != nil {
-		f = answer.Of(&permit.Refusal{Reason: permit.ReasonShuttingDown, RetryAfter: fullRetryAfter})
+		f = answer.FromError(&permit.Refusal{Reason: permit.ReasonShuttingDown, RetryAfter: fullRetryAfter})
 	}
 	return f
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -316,7 +316,7 @@
 		require.NoError(t, err)
 	}
 	_, err := r.Generate(ctx, Job{Streamed: true})
-	f := answer.Of(err)
+	f := answer.FromError(err)
 	require.Equal(t, answer.CodeTooManyStreams, f.Code)
 	require.Equal(t, answer.OutcomeNotRun, f.Outcome)
 }
