--- a/internal/answer/failure.go
+++ b/internal/answer/failure.go
@@ -89,11 +89,11 @@
 	return NotRun(http.StatusBadRequest, CodeInvalidRequest, field+": "+problem)
 }
 
-// After returns f adjusted for earlier attempts of the same request.
+// WithEarlierOutcome returns f adjusted for earlier attempts of the same request.
 //
 // A request whose first attempt was lost and whose second one was refused may have run; with "not
 // run" its caller would send it again elsewhere.
-func (f *Failure) After(earlier Outcome) *Failure {
+func (f *Failure) WithEarlierOutcome(earlier Outcome) *Failure {
 	if f.Outcome != OutcomeNotRun || earlier == "" || earlier == OutcomeNotRun {
 		return f
 	}
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -41,7 +41,7 @@
 	for number := 1; ; number++ {
 		p, err := f.acquire(ctx, call, excluded, avoided)
 		if err != nil {
-			return service.Response{}, answer.FromError(err).After(earlier)
+			return service.Response{}, answer.FromError(err).WithEarlierOutcome(earlier)
 		}
 		res := f.attempt(ctx, call, p, maySend)
 		if res.failure == nil {
@@ -54,7 +54,7 @@
 			continue
 		}
 		if !res.again || !f.waitAgain(ctx, call, retry.Attempt{Number: number, Cause: res.cause}) {
-			return service.Response{}, res.failure.After(earlier)
+			return service.Response{}, res.failure.WithEarlierOutcome(earlier)
 		}
 		if res.failure.Outcome != answer.OutcomeNotRun {
 			earlier = res.failure.Outcome
--- a/internal/relay/life.go
+++ b/internal/relay/life.go
@@ -96,7 +96,7 @@
 			return
 		}
 		if !res.again || !l.waitAgain(number, res.cause) {
-			l.end(Failed{res.failure.After(l.earlier)})
+			l.end(Failed{res.failure.WithEarlierOutcome(l.earlier)})
 			return
 		}
 		if res.failure.Outcome != answer.OutcomeNotRun {
