--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -46,9 +46,9 @@
 	crossZoneFactor = 2
 )
 
-// CopyTime returns how long the migration of a generation with the given number of tokens occupies
+// TransferTime returns how long the migration of a generation with the given number of tokens occupies
 // the link of its engine, including the cutover.
-func CopyTime(e routes.Engine, tokens int, crossZone bool) time.Duration {
+func TransferTime(e routes.Engine, tokens int, crossZone bool) time.Duration {
 	if e.LinkMbps <= 0 {
 		return cutoverTime
 	}
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -113,7 +113,7 @@
 	targets := make([]Target, 0, len(free))
 	for _, server := range free {
 		r.found[server.ID] = server
-		targets = append(targets, Target{ID: server.ID, Takes: migration.CopyTime(*r.service.Engine, c.Tokens, server.Zone != r.leaving.Zone)})
+		targets = append(targets, Target{ID: server.ID, Takes: migration.TransferTime(*r.service.Engine, c.Tokens, server.Zone != r.leaving.Zone)})
 	}
 	return targets
 }
--- a/internal/planner/schedule_test.go
+++ b/internal/planner/schedule_test.go
@@ -154,7 +154,7 @@
 func (n *near) For(c Copy) []Target {
 	var out []Target
 	for _, id := range n.engines {
-		out = append(out, Target{ID: id, Takes: migration.CopyTime(n.engine, c.Tokens, false)})
+		out = append(out, Target{ID: id, Takes: migration.TransferTime(n.engine, c.Tokens, false)})
 	}
 	return out
 }
@@ -192,7 +192,7 @@
 		for i := range 8 {
 			b, ok := s.Turn(start.Add(gather), "a", fmt.Sprint(i), engines)
 			require.True(t, ok)
-			tokens := int(float64(b.Takes-migration.CopyTime(engine, 0, false)) / float64(transfer(1)))
+			tokens := int(float64(b.Takes-migration.TransferTime(engine, 0, false)) / float64(transfer(1)))
 			orders = append(orders, order{at: b.At.Add(late()), tokens: tokens})
 		}
 		free := start
