--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -70,9 +70,9 @@
 // Service is one declared service.
 type Service struct {
 	Name string
-	// ColdFor is how long a server is cold after its start, ColdPerSecond the request
+	// ColdPeriod is how long a server is cold after its start, ColdPerSecond the request
 	// rate that it handles while cold.
-	ColdFor       time.Duration
+	ColdPeriod    time.Duration
 	ColdPerSecond float64
 	// Engine is set for services of model engines.
 	Engine *Engine
