--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -16,7 +16,7 @@
 var (
 	start   = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 	plain   = &routes.Service{Name: "desk"}
-	engines = &routes.Service{Name: "llm", ColdPerSecond: 38, Engine: &routes.Engine{Slots: 24, MemoryTokens: 34000}}
+	engines = &routes.Service{Name: "llm", ColdRequestsPerSecond: 38, Engine: &routes.Engine{Slots: 24, MemoryTokens: 34000}}
 )
 
 func alone(time.Time, string) Load { return Load{} }
@@ -104,7 +104,7 @@
 	for i := range all {
 		all[i] = newBalancer(alone)
 	}
-	big := &routes.Service{Name: "llm", ColdPerSecond: 38, Engine: &routes.Engine{Slots: 1000, MemoryTokens: 1 << 30}}
+	big := &routes.Service{Name: "llm", ColdRequestsPerSecond: 38, Engine: &routes.Engine{Slots: 1000, MemoryTokens: 1 << 30}}
 	for ms := range 5000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		for i, b := range all {
--- a/internal/balancer/cold.go
+++ b/internal/balancer/cold.go
@@ -12,10 +12,10 @@
 // those that can't see each other: each keeps to its share by the number of
 // instances known lately.
 func (b *Balancer) bearsCold(now time.Time, r Request, s *observed.Server) bool {
-	if !now.Before(s.ColdUntil) || r.Service.ColdPerSecond <= 0 {
+	if !now.Before(s.ColdUntil) || r.Service.ColdRequestsPerSecond <= 0 {
 		return true
 	}
-	share := (r.Service.ColdPerSecond*b.bounds.ColdOverage + b.bounds.ColdSlack) / float64(max(1, r.Instances))
+	share := (r.Service.ColdRequestsPerSecond*b.bounds.ColdOverage + b.bounds.ColdSlack) / float64(max(1, r.Instances))
 	window := time.Second
 	if share < 1 {
 		window = time.Duration(float64(time.Second) / share)
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -72,8 +72,8 @@
 	Name string
 	// ColdPeriod is how long a server is cold after its start, ColdPerSecond the request
 	// rate that it handles while cold.
-	ColdPeriod    time.Duration
-	ColdPerSecond float64
+	ColdPeriod            time.Duration
+	ColdRequestsPerSecond float64
 	// Engine is set for services of model engines.
 	Engine *Engine
 }
