--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -102,7 +102,7 @@
 			newRoute("plan", routes.Stream, "llm", 1, false), newRoute("check", routes.Stream, "llm", 2, true),
 		},
 		Services: []routes.Service{
-			{Name: "desk"}, {Name: "llm", Engine: &routes.Engine{Slots: 24, MemoryTokens: 34000, Moves: true, TokensPerEvent: 4}},
+			{Name: "desk"}, {Name: "llm", Engine: &routes.Engine{Slots: 24, MemoryTokens: 34000, SupportsMigration: true, TokensPerEvent: 4}},
 		},
 		Workspaces: []routes.Workspace{{Name: "club", Keys: []string{"secret"}}},
 	}
--- a/internal/ingress/migrations.go
+++ b/internal/ingress/migrations.go
@@ -79,7 +79,7 @@
 // isStalled reports whether a stream has been without events for too long.
 func (s *Server) isStalled(st *activeStream) bool {
 	e := st.request.service.Engine
-	return e != nil && e.Moves && st.stalledFor(s.opts.Now()) > streamStallTimeout
+	return e != nil && e.SupportsMigration && st.stalledFor(s.opts.Now()) > streamStallTimeout
 }
 
 // migrateStalled migrates the generation of a stalled stream to another engine.
@@ -152,7 +152,7 @@
 // taken out of service.
 func (s *Server) mustMigrate(st *activeStream) bool {
 	e := st.request.service.Engine
-	if e == nil || !e.Moves || st.eventCount() == 0 {
+	if e == nil || !e.SupportsMigration || st.eventCount() == 0 {
 		return false
 	}
 	server, listed := s.opts.State.Server(st.server().ID)
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -58,7 +58,7 @@
 	require.NoError(t, err)
 	state, address := observed.NewState(), l.Addr().String()
 	state.Configure(time.Now(), routes.Configuration{Version: 1, Services: []routes.Service{{
-		Name: "llm", Engine: &routes.Engine{Slots: 24, MemoryTokens: 34000, TokenBytes: 163840, LinkMbps: 24000, Moves: true, TokensPerEvent: 4},
+		Name: "llm", Engine: &routes.Engine{Slots: 24, MemoryTokens: 34000, TokenBytes: 163840, LinkMbps: 24000, SupportsMigration: true, TokensPerEvent: 4},
 	}}}, nil)
 	state.ReplaceServers(time.Now(), 1, engines)
 	table := membership.NewTable(ready(id, address))
--- a/internal/planner/room_test.go
+++ b/internal/planner/room_test.go
@@ -198,7 +198,7 @@
 	now := start
 	a := startWith(t, "a", "k", engineList(engines), func(o *Options) { o.Now = func() time.Time { return now } })
 	a.opts.State.Configure(start, routes.Configuration{Version: 2, Services: []routes.Service{{
-		Name: "llm", Engine: &routes.Engine{Slots: 24, MemoryTokens: 27000, Moves: true, TokensPerEvent: 4},
+		Name: "llm", Engine: &routes.Engine{Slots: 24, MemoryTokens: 27000, SupportsMigration: true, TokensPerEvent: 4},
 	}}}, nil)
 	type run struct {
 		by, tokens int
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -88,8 +88,8 @@
 	// megabits per second.
 	TokenBytes float64
 	LinkMbps   float64
-	// Moves says that running generations can be moved between engines.
-	Moves bool
+	// SupportsMigration says that running generations can be moved between engines.
+	SupportsMigration bool
 	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
 }
