--- a/internal/ingress/request.go
+++ b/internal/ingress/request.go
@@ -86,7 +86,7 @@
 	if err := s.authenticate(now, c, table, r); err != nil {
 		return nil, err
 	}
-	name := route.Pick(s.rng())
+	name := route.PickService(s.rng())
 	if r.service, ok = table.Service(name); !ok {
 		return nil, s.notReady()
 	}
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -184,9 +184,9 @@
 // NeedsKey reports whether requests of a route require a key.
 func (t *Table) NeedsKey(r *Route) bool { return !t.noWorkspaces && !r.Anonymous }
 
-// Pick returns the service for one request of a route, chosen by the weights of its split.
+// PickService returns the service for one request of a route, chosen by the weights of its split.
 // It is empty if the route has no split.
-func (r *Route) Pick(rng *rand.Rand) string {
+func (r *Route) PickService(rng *rand.Rand) string {
 	total := 0.0
 	for _, s := range r.Split {
 		total += s.Weight
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -50,11 +50,11 @@
 	r := Route{Split: []Share{{"old", 90}, {"new", 10}, {"none", 0}}}
 	rng, n := rand.New(rand.NewPCG(1, 2)), map[string]int{}
 	for range 10_000 {
-		n[r.Pick(rng)]++
+		n[r.PickService(rng)]++
 	}
 	require.InDelta(t, 1000, n["new"], 150)
 	require.Zero(t, n["none"])
-	require.Empty(t, (&Route{}).Pick(rng))
+	require.Empty(t, (&Route{}).PickService(rng))
 }
 
 func TestRepeatable(t *testing.T) {
