--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -38,8 +38,8 @@
 	ExpectInstance string
 	// Urgency is the priority of a request on an engine; 0 is the highest.
 	Urgency string
-	// CarryFrom names the KV cache from which a generation resumes.
-	CarryFrom string
+	// ResumeFrom names the KV cache from which a generation resumes.
+	ResumeFrom string
 	// Seal proves that a response was made by the backend server itself.
 	Seal string
 	// NotExecuted marks the response to a request that the server didn't run.
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -37,7 +37,7 @@
 		Fields: dialect.Fields{
 			RequestID: "T-Id", DeadlineMillis: "T-Deadline", Key: "T-Key", TokenCounts: "T-Tokens", LengthHint: "T-Hint",
 			LastEventID: "Last-Event-Id", Workspace: "T-Workspace", ExpectInstance: "T-Expect", Urgency: "T-Urgency",
-			CarryFrom: "T-From", Seal: "T-Seal", NotExecuted: "T-Not-Run",
+			ResumeFrom: "T-From", Seal: "T-Seal", NotExecuted: "T-Not-Run",
 			Internal: []string{"T-Workspace", "T-Expect", "T-Urgency", "T-From", "T-Key", "T-Deadline"},
 		},
 		Paths: dialect.Paths{Directory: "/where", Ready: "/ready", Report: "/report", Move: "/move", Handle: "/handle"},
