--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -55,7 +55,7 @@
 	Directory string
 	Ready     string
 	Report    string
-	Move      string
+	Migrate   string
 	// Handle is followed by a slash and the KV handle of a copy.
 	Handle string
 }
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -40,7 +40,7 @@
 			ResumeFrom: "T-From", Seal: "T-Seal", NotExecuted: "T-Not-Run",
 			Internal: []string{"T-Workspace", "T-Expect", "T-Urgency", "T-From", "T-Key", "T-Deadline"},
 		},
-		Paths: dialect.Paths{Directory: "/where", Ready: "/ready", Report: "/report", Move: "/move", Handle: "/handle"},
+		Paths: dialect.Paths{Directory: "/where", Ready: "/ready", Report: "/report", Migrate: "/move", Handle: "/handle"},
 		Report: func(body []byte) (r dialect.Report, err error) {
 			return r, json.Unmarshal(body, &r)
 		},
