--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -80,8 +80,8 @@
 	Slots   int    `json:"Slots"`
 	// Leaving servers take no new requests.
 	Leaving bool `json:"Leaving"`
-	// ColdFor is how much longer the server is cold.
-	ColdFor time.Duration `json:"ColdFor"`
+	// ColdRemaining is how much longer the server is cold.
+	ColdRemaining time.Duration `json:"ColdFor"`
 	// Born is when the server started, in milliseconds since 1970; 0 if unknown.
 	Born int64 `json:"Born"`
 }
--- a/internal/observed/news_test.go
+++ b/internal/observed/news_test.go
@@ -13,7 +13,7 @@
 
 func put(id string, cold time.Duration) Change {
 	s := server(id)
-	s.ColdFor = cold
+	s.ColdRemaining = cold
 	return Change{ID: id, Server: &s}
 }
 
--- a/internal/observed/servers.go
+++ b/internal/observed/servers.go
@@ -120,10 +120,10 @@
 		s.remove(now, known)
 	} else {
 		same := ok && known.missingSince.IsZero() && known.listed == *c.Server
-		if same && known.Leaving == c.Server.Leaving && c.Server.ColdFor == 0 {
+		if same && known.Leaving == c.Server.Leaving && c.Server.ColdRemaining == 0 {
 			return
 		}
-		e := entry{Server: Server{Server: *c.Server, ColdUntil: now.Add(c.Server.ColdFor), Since: now}, listed: *c.Server}
+		e := entry{Server: Server{Server: *c.Server, ColdUntil: now.Add(c.Server.ColdRemaining), Since: now}, listed: *c.Server}
 		s.see(now, &e)
 		s.put(e)
 		if same {
@@ -183,7 +183,7 @@
 		return c
 	}
 	server := *c.Server
-	server.ColdFor = max(0, s.servers[c.ID].ColdUntil.Sub(now))
+	server.ColdRemaining = max(0, s.servers[c.ID].ColdUntil.Sub(now))
 	return Change{ID: c.ID, Server: &server}
 }
 
@@ -193,7 +193,7 @@
 	for _, id := range slices.Sorted(maps.Keys(s.servers)) {
 		if known := s.servers[id]; known.missingSince.IsZero() {
 			server := known.listed
-			server.ColdFor = max(0, known.ColdUntil.Sub(now))
+			server.ColdRemaining = max(0, known.ColdUntil.Sub(now))
 			out = append(out, server)
 		}
 	}
