--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -82,8 +82,8 @@
 	Leaving bool `json:"Leaving"`
 	// ColdRemaining is how much longer the server is cold.
 	ColdRemaining time.Duration `json:"ColdFor"`
-	// Born is when the server started, in milliseconds since 1970; 0 if unknown.
-	Born int64 `json:"Born"`
+	// StartedAtMillis is when the server started, in milliseconds since 1970; 0 if unknown.
+	StartedAtMillis int64 `json:"Born"`
 }
 
 // Rollout is a rollout spec as the platform holds it: a service's traffic is to be moved to one
--- a/internal/ingress/suspects.go
+++ b/internal/ingress/suspects.go
@@ -67,7 +67,7 @@
 
 // recordCrash records that a request was running on a server when it crashed.
 func (s *Suspects) recordCrash(now time.Time, server observed.Server, fingerprint uint64) {
-	name := suspect.CrashName(server.Zone, server.ID, strconv.FormatInt(server.Born, 10))
+	name := suspect.CrashName(server.Zone, server.ID, strconv.FormatInt(server.StartedAtMillis, 10))
 	entry := suspect.Entry{Fingerprint: fingerprint, Crashes: []suspect.Crash{{Name: name, At: now}}}
 	s.Merge(now, []suspect.Entry{entry})
 	s.Broadcast([]suspect.Entry{entry})
--- a/internal/observed/offered.go
+++ b/internal/observed/offered.go
@@ -15,7 +15,7 @@
 	mark := s.marks[Servers] + e.mark()
 	if known, ok := s.servers[e.ID]; ok {
 		mark -= known.mark()
-		if known.Born == e.Born && known.Version == e.Version {
+		if known.StartedAtMillis == e.StartedAtMillis && known.Version == e.Version {
 			e.retired, e.Since = known.retired, known.Since
 		}
 		s.touchServer(known.Service, e.ID)
