--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -93,10 +93,10 @@
 	Name     string `json:"Name"`
 	Revision int64  `json:"Revision"`
 	// ID distinguishes rollouts of the same name.
-	ID       string        `json:"ID"`
-	Service  string        `json:"Service"`
-	To       string        `json:"To"`
-	Duration time.Duration `json:"Duration"`
+	ID            string        `json:"ID"`
+	Service       string        `json:"Service"`
+	TargetVersion string        `json:"To"`
+	Duration      time.Duration `json:"Duration"`
 	// Told is the stage that was reported to the platform: none, canary while the rollout
 	// is running, or a final stage. Stage is the stage as far as this instance knows.
 	Told  rollout.Stage `json:"Told"`
--- a/internal/observed/rollouts.go
+++ b/internal/observed/rollouts.go
@@ -77,12 +77,12 @@
 		if known, ok := before[r.Service]; ok && known.ID == r.ID {
 			r.Stage = known.Stage.Later(r.Stage)
 		}
-		delete(s.releases.rejected[r.Service], r.To)
+		delete(s.releases.rejected[r.Service], r.TargetVersion)
 		s.releases.rollouts[r.Service] = r
 	}
 	for service, known := range before {
-		if r, ok := s.releases.rollouts[service]; (!ok || r.To != known.To) && known.Stage != rollout.StageCompleted {
-			mark(s.releases.rejected, service, known.To)
+		if r, ok := s.releases.rollouts[service]; (!ok || r.TargetVersion != known.TargetVersion) && known.Stage != rollout.StageCompleted {
+			mark(s.releases.rejected, service, known.TargetVersion)
 		}
 		s.touchService(service)
 	}
@@ -126,7 +126,7 @@
 		return
 	}
 	for id, e := range s.servers {
-		if e.Service == service && e.Version != r.To && !e.retired {
+		if e.Service == service && e.Version != r.TargetVersion && !e.retired {
 			e.retired = true
 			s.servers[id] = e
 		}
@@ -139,7 +139,7 @@
 		return false, false
 	}
 	r, ok := s.releases.rollouts[e.Service]
-	isNew := e.Version == r.To
+	isNew := e.Version == r.TargetVersion
 	switch {
 	case ok && isNew:
 		return r.Stage.Serves(true), r.Stage == rollout.StageCanary
@@ -163,10 +163,10 @@
 		return true
 	}
 	r, ok := s.releases.rollouts[e.Service]
-	if !ok || e.Version != r.To && r.Stage.Ended() {
+	if !ok || e.Version != r.TargetVersion && r.Stage.Ended() {
 		return false
 	}
-	return r.Stage.Vacates(e.Version == r.To)
+	return r.Stage.Vacates(e.Version == r.TargetVersion)
 }
 
 // VacatedOf returns the servers of a service that are to be left.
@@ -206,7 +206,7 @@
 	if !k.followed || k.accepted[e.Service][e.Version] {
 		return
 	}
-	if r, ok := k.rollouts[e.Service]; ok && r.To == e.Version {
+	if r, ok := k.rollouts[e.Service]; ok && r.TargetVersion == e.Version {
 		mark(k.accepted, e.Service, e.Version)
 		return
 	}
--- a/internal/observed/rollouts_test.go
+++ b/internal/observed/rollouts_test.go
@@ -27,7 +27,7 @@
 	s := NewState()
 	s.FollowRollouts()
 	require.True(t, s.ReplaceServers(start, 10, []dialect.Server{versioned("old", "v1")}))
-	require.True(t, s.ReplaceRollouts(start, 11, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", To: "v2"}}))
+	require.True(t, s.ReplaceRollouts(start, 11, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", TargetVersion: "v2"}}))
 	require.True(t, s.ChangeServers(start, 10, 12, []Change{{ID: "new", Server: new(versioned("new", "v2"))}}))
 	return s
 }
@@ -77,10 +77,10 @@
 		"withdrawn while it ran":       {rollout.StageCanary, nil, []string{"old"}},
 		"withdrawn in the shift":       {rollout.StageShift, nil, []string{"old"}},
 		"withdrawn after its end":      {rollout.StageCompleted, nil, []string{"new"}},
-		"another version ordered":      {rollout.StageCanary, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", To: "v3"}}, []string{"old"}},
-		"the same ordered once more":   {rollout.StageRolledBack, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", To: "v2"}}, []string{"old"}},
-		"its end is told by platform":  {rollout.StageShift, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", To: "v2", Told: rollout.StageCompleted}}, []string{"new"}},
-		"an older state is told again": {rollout.StageBack, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", To: "v2", Told: rollout.StageCanary}}, []string{"old"}},
+		"another version ordered":      {rollout.StageCanary, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", TargetVersion: "v3"}}, []string{"old"}},
+		"the same ordered once more":   {rollout.StageRolledBack, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", TargetVersion: "v2"}}, []string{"old"}},
+		"its end is told by platform":  {rollout.StageShift, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", TargetVersion: "v2", Told: rollout.StageCompleted}}, []string{"new"}},
+		"an older state is told again": {rollout.StageBack, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", TargetVersion: "v2", Told: rollout.StageCanary}}, []string{"old"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/observed/take.go
+++ b/internal/observed/take.go
@@ -99,7 +99,7 @@
 		return
 	}
 	for _, r := range f.opts.State.Rollouts() {
-		f.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Dur("duration", r.Duration).Int64("revision", r.Revision).
+		f.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Dur("duration", r.Duration).Int64("revision", r.Revision).
 			Stringer("stage", r.Stage).Msg("roll-out ordered")
 	}
 }
--- a/internal/rolloutpeer/decide.go
+++ b/internal/rolloutpeer/decide.go
@@ -125,7 +125,7 @@
 	case rollout.Wait:
 		if action.Why != one.wait {
 			one.wait = action.Why
-			p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Str("for", action.Why).Msg("roll-out waits")
+			p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Str("for", action.Why).Msg("roll-out waits")
 		}
 		if r.Told == rollout.StageNone {
 			p.write(ctx, r, one, rollout.Write{Stage: rollout.StageCanary, Reason: "begun"})
@@ -139,7 +139,7 @@
 	for _, m := range p.opts.Table.Running() {
 		v.Live = append(v.Live, m.ID)
 	}
-	v.New, v.Old = p.opts.State.OfVersion(r.Service, r.To)
+	v.New, v.Old = p.opts.State.OfVersion(r.Service, r.TargetVersion)
 	return v
 }
 
@@ -147,7 +147,7 @@
 	counts := c.Counts()
 	number, failed := counts.Total(rollout.Canary)
 	oldNumber, oldFailed := counts.Total(rollout.Stable)
-	p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", c.Stage()).Str("reason", c.Reason).
+	p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Stringer("stage", c.Stage()).Str("reason", c.Reason).
 		Int("answers", number).Int("failed", failed).Int("oldAnswers", oldNumber).Int("oldFailed", oldFailed).
 		Float64("ratio", c.Evidence.Ratio).Msg("roll-out decided")
 	p.opts.Scope.Tagged(map[string]string{"stage": c.Stage().String()}).Counter("verdicts").Inc(1)
@@ -160,8 +160,8 @@
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	kind := p.opts.Dialect.Kinds.Rollouts
-	_, err := p.opts.Objects.UpdateStatus(ctx, kind, r.Name, r.Revision, p.opts.Dialect.RolloutStatus(r.To, w.Stage))
-	p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", w.Stage).Str("reason", w.Reason).
+	_, err := p.opts.Objects.UpdateStatus(ctx, kind, r.Name, r.Revision, p.opts.Dialect.RolloutStatus(r.TargetVersion, w.Stage))
+	p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Stringer("stage", w.Stage).Str("reason", w.Reason).
 		Int64("revision", r.Revision).Err(err).Msg("platform told of a roll-out")
 	var conflict *objectapi.ConflictError
 	if errors.As(err, &conflict) {
@@ -200,7 +200,7 @@
 	out := make([]Shown, 0, len(rollouts))
 	for i := range rollouts {
 		r := &rollouts[i]
-		shown := Shown{Service: r.Service, To: r.To, Stage: r.Stage.String(), Told: r.Told.String(), Left: p.left(r.Service)}
+		shown := Shown{Service: r.Service, To: r.TargetVersion, Stage: r.Stage.String(), Told: r.Told.String(), Left: p.left(r.Service)}
 		p.mu.Lock()
 		if one, ok := p.parts[r.ID]; ok {
 			counts := rollout.NewCounts()
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -149,7 +149,7 @@
 			one = p.begin(now, r)
 		}
 		if one.Advance(r.Stage) {
-			p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", r.Stage).Msg("roll-out goes on")
+			p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Stringer("stage", r.Stage).Msg("roll-out goes on")
 		}
 		p.opts.State.SetStage(r.ID, one.Stage())
 	}
@@ -171,13 +171,13 @@
 		one.Participant = rollout.JoinParticipant(now, order)
 	}
 	p.parts[r.ID] = one
-	p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Dur("duration", r.Duration).Stringer("stage", r.Stage).
+	p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Dur("duration", r.Duration).Stringer("stage", r.Stage).
 		Bool("joins", !p.ready).Msg("roll-out begins")
 	return one
 }
 
 func orderOf(r *dialect.Rollout) rollout.Order {
-	return rollout.Order{ID: r.ID, Service: r.Service, To: r.To, Duration: r.Duration}
+	return rollout.Order{ID: r.ID, Service: r.Service, To: r.TargetVersion, Duration: r.Duration}
 }
 
 // take does this instance's part in one roll-out: it reports, and decides where
@@ -195,7 +195,7 @@
 		p.decide(ctx, now, r, one)
 	}
 	if p.opts.State.SetStage(r.ID, one.Stage()) {
-		p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", one.Stage()).Str("decidedBy", decider.ID).Msg("roll-out goes on")
+		p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Stringer("stage", one.Stage()).Str("decidedBy", decider.ID).Msg("roll-out goes on")
 		p.opts.Announce()
 	}
 }
