--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -97,10 +97,10 @@
 	Service       string        `json:"Service"`
 	TargetVersion string        `json:"To"`
 	Duration      time.Duration `json:"Duration"`
-	// Told is the stage that was reported to the platform: none, canary while the rollout
+	// ReportedStage is the stage that was reported to the platform: none, canary while the rollout
 	// is running, or a final stage. Stage is the stage as far as this instance knows.
-	Told  rollout.Stage `json:"Told"`
-	Stage rollout.Stage `json:"Stage"`
+	ReportedStage rollout.Stage `json:"Told"`
+	Stage         rollout.Stage `json:"Stage"`
 }
 
 // Report is what a model engine reports of itself.
--- a/internal/observed/rollouts.go
+++ b/internal/observed/rollouts.go
@@ -73,7 +73,7 @@
 	before := s.releases.rollouts
 	s.releases.rollouts = map[string]dialect.Rollout{}
 	for _, r := range list {
-		r.Stage = rollout.StageCanary.Later(r.Told)
+		r.Stage = rollout.StageCanary.Later(r.ReportedStage)
 		if known, ok := before[r.Service]; ok && known.ID == r.ID {
 			r.Stage = known.Stage.Later(r.Stage)
 		}
--- a/internal/observed/rollouts_test.go
+++ b/internal/observed/rollouts_test.go
@@ -79,8 +79,8 @@
 		"withdrawn after its end":      {rollout.StageCompleted, nil, []string{"new"}},
 		"another version ordered":      {rollout.StageCanary, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", TargetVersion: "v3"}}, []string{"old"}},
 		"the same ordered once more":   {rollout.StageRolledBack, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", TargetVersion: "v2"}}, []string{"old"}},
-		"its end is told by platform":  {rollout.StageShift, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", TargetVersion: "v2", Told: rollout.StageCompleted}}, []string{"new"}},
-		"an older state is told again": {rollout.StageBack, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", TargetVersion: "v2", Told: rollout.StageCanary}}, []string{"old"}},
+		"its end is told by platform":  {rollout.StageShift, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", TargetVersion: "v2", ReportedStage: rollout.StageCompleted}}, []string{"new"}},
+		"an older state is told again": {rollout.StageBack, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", TargetVersion: "v2", ReportedStage: rollout.StageCanary}}, []string{"old"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/rolloutpeer/decide.go
+++ b/internal/rolloutpeer/decide.go
@@ -127,7 +127,7 @@
 			one.wait = action.Why
 			p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Str("for", action.Why).Msg("roll-out waits")
 		}
-		if r.Told == rollout.StageNone {
+		if r.ReportedStage == rollout.StageNone {
 			p.write(ctx, r, one, rollout.Write{Stage: rollout.StageCanary, Reason: "begun"})
 		}
 	}
@@ -200,7 +200,7 @@
 	out := make([]Shown, 0, len(rollouts))
 	for i := range rollouts {
 		r := &rollouts[i]
-		shown := Shown{Service: r.Service, To: r.TargetVersion, Stage: r.Stage.String(), Told: r.Told.String(), Left: p.left(r.Service)}
+		shown := Shown{Service: r.Service, To: r.TargetVersion, Stage: r.Stage.String(), Told: r.ReportedStage.String(), Left: p.left(r.Service)}
 		p.mu.Lock()
 		if one, ok := p.parts[r.ID]; ok {
 			counts := rollout.NewCounts()
