--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -103,8 +103,8 @@
 	Stage         rollout.Stage `json:"Stage"`
 }
 
-// Report is what a model engine reports of itself.
-type Report struct {
+// LoadReport is what a model engine reports of itself.
+type LoadReport struct {
 	Leaving bool
 	// LeavesIn is the time until the engine exits; negative if not reported.
 	LeavesIn    time.Duration
@@ -150,7 +150,7 @@
 	// Rollout decodes a rollout spec and its status; RolloutStatus encodes a status.
 	Rollout       func(o objectapi.Object) (Rollout, error)
 	RolloutStatus func(to string, stage rollout.Stage) []byte
-	Report        func(body []byte) (Report, error)
+	Report        func(body []byte) (LoadReport, error)
 	// Move encodes the request for a migration; Moved decodes its response.
 	Move  func(m Move) []byte
 	Moved func(body []byte) (Moved, error)
