--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -126,7 +126,7 @@
 // Move asks an engine to copy the KV cache of a request to another engine.
 type Move struct {
 	RequestID string
-	To        string
+	Target    string
 	// Last stops the request first, for the cutover.
 	Last bool
 }
