--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -127,8 +127,8 @@
 type Move struct {
 	RequestID string
 	Target    string
-	// Last stops the request first, for the cutover.
-	Last bool
+	// Stop stops the request first, for the cutover.
+	Stop bool
 }
 
 // Moved is the response to a [Move].
--- a/internal/ingress/streams_test.go
+++ b/internal/ingress/streams_test.go
@@ -88,24 +88,24 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.moves = append(m.moves, move)
-		if move.Last && m.stopped && m.conflicts > 0 {
+		if move.Stop && m.stopped && m.conflicts > 0 {
 			m.conflicts--
 			w.WriteHeader(http.StatusConflict)
 			return
 		}
-		if move.Last && m.stopped {
+		if move.Stop && m.stopped {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		if move.Last {
+		if move.Stop {
 			m.stopped = m.abortsOnStop || m.garblesResponse
 			close(m.stop)
 			m.stop = make(chan struct{})
 		}
-		if move.Last && m.abortsOnStop {
+		if move.Stop && m.abortsOnStop {
 			panic(http.ErrAbortHandler)
 		}
-		if move.Last && m.garblesResponse {
+		if move.Stop && m.garblesResponse {
 			_, _ = io.WriteString(w, `{"Handle":`)
 			return
 		}
@@ -166,8 +166,8 @@
 			require.Equal(t, wantEvents(7), string(three)+string(rest))
 			server, _ := f.state.Server(at)
 			require.True(t, server.Leaving)
-			require.False(t, source.moves[0].Last)
-			require.True(t, source.moves[len(source.moves)-1].Last)
+			require.False(t, source.moves[0].Stop)
+			require.True(t, source.moves[len(source.moves)-1].Stop)
 			require.Equal(t, server.Address+"/h1 after 3", target.resumedFrom)
 		})
 	}
@@ -237,7 +237,7 @@
 	if r.URL.Path == "/move" {
 		var move dialect.Move
 		_ = json.NewDecoder(r.Body).Decode(&move)
-		if !move.Last {
+		if !move.Stop {
 			_, _ = io.WriteString(w, `{"Handle":"h1","Events":3}`)
 			return
 		}
