--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -144,9 +144,9 @@
 	Kinds  Kinds
 	// Objects is the format of the platform's object API.
 	Objects objectapi.Form
-	// Configuration, Server and Report decode messages.
-	Configuration func(value []byte) (routes.Configuration, error)
-	Server        func(id string, value []byte) (Server, error)
+	// DecodeConfiguration, Server and Report decode messages.
+	DecodeConfiguration func(value []byte) (routes.Configuration, error)
+	Server              func(id string, value []byte) (Server, error)
 	// Rollout decodes a rollout spec and its status; RolloutStatus encodes a status.
 	Rollout       func(o objectapi.Object) (Rollout, error)
 	RolloutStatus func(to string, stage rollout.Stage) []byte
--- a/internal/observed/follow_test.go
+++ b/internal/observed/follow_test.go
@@ -57,7 +57,7 @@
 	f.objects = objectapi.NewClient(server.URL, objectapi.Options{ReadsPerSecond: 1e6, ReadBurst: 1e6})
 	d := dialect.Dialect{
 		Kinds: dialect.Kinds{Configuration: "config", ConfigurationName: "main", Servers: "servers", DrainedZones: "zones"},
-		Configuration: func(value []byte) (cfg routes.Configuration, err error) {
+		DecodeConfiguration: func(value []byte) (cfg routes.Configuration, err error) {
 			return cfg, json.Unmarshal(value, &cfg)
 		},
 		Server: func(id string, value []byte) (s dialect.Server, err error) {
--- a/internal/observed/take.go
+++ b/internal/observed/take.go
@@ -34,7 +34,7 @@
 	if f.opts.State.SameConfiguration(now, value) {
 		return
 	}
-	cfg, err := f.opts.Dialect.Configuration(value)
+	cfg, err := f.opts.Dialect.DecodeConfiguration(value)
 	if err != nil {
 		f.opts.Log.Error().Err(err).Str("source", source).Msg("configuration not understood, the last one stays in force")
 		return
