--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -146,7 +146,7 @@
 	Objects objectapi.Form
 	// DecodeConfiguration, Server and Report decode messages.
 	DecodeConfiguration func(value []byte) (routes.Configuration, error)
-	Server              func(id string, value []byte) (Server, error)
+	DecodeServer        func(id string, value []byte) (Server, error)
 	// Rollout decodes a rollout spec and its status; RolloutStatus encodes a status.
 	Rollout       func(o objectapi.Object) (Rollout, error)
 	RolloutStatus func(to string, stage rollout.Stage) []byte
--- a/internal/observed/follow_test.go
+++ b/internal/observed/follow_test.go
@@ -60,7 +60,7 @@
 		DecodeConfiguration: func(value []byte) (cfg routes.Configuration, err error) {
 			return cfg, json.Unmarshal(value, &cfg)
 		},
-		Server: func(id string, value []byte) (s dialect.Server, err error) {
+		DecodeServer: func(id string, value []byte) (s dialect.Server, err error) {
 			err = json.Unmarshal(value, &s)
 			s.ID = id
 			return s, err
--- a/internal/observed/take.go
+++ b/internal/observed/take.go
@@ -76,7 +76,7 @@
 }
 
 func (f *Follower) server(o objectapi.Object) (dialect.Server, bool) {
-	s, err := f.opts.Dialect.Server(o.Name, o.Value)
+	s, err := f.opts.Dialect.DecodeServer(o.Name, o.Value)
 	if err != nil {
 		f.opts.Log.Warn().Str("server", o.Name).Err(err).Msg("entry of a backend server not understood")
 		return s, false
