--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -147,8 +147,8 @@
 	// DecodeConfiguration, Server and Report decode messages.
 	DecodeConfiguration func(value []byte) (routes.Configuration, error)
 	DecodeServer        func(id string, value []byte) (Server, error)
-	// Rollout decodes a rollout spec and its status; RolloutStatus encodes a status.
-	Rollout       func(o objectapi.Object) (Rollout, error)
+	// DecodeRollout decodes a rollout spec and its status; RolloutStatus encodes a status.
+	DecodeRollout func(o objectapi.Object) (Rollout, error)
 	RolloutStatus func(to string, stage rollout.Stage) []byte
 	Report        func(body []byte) (LoadReport, error)
 	// Move encodes the request for a migration; Moved decodes its response.
--- a/internal/observed/take.go
+++ b/internal/observed/take.go
@@ -87,7 +87,7 @@
 func (f *Follower) listRollouts(now time.Time, version int64, objects []objectapi.Object) {
 	list := make([]dialect.Rollout, 0, len(objects))
 	for _, o := range objects {
-		r, err := f.opts.Dialect.Rollout(o)
+		r, err := f.opts.Dialect.DecodeRollout(o)
 		if err != nil {
 			f.opts.Log.Warn().Str("rollout", o.Name).Err(err).Msg("roll-out not understood")
 			continue
