--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -148,9 +148,9 @@
 	DecodeConfiguration func(value []byte) (routes.Configuration, error)
 	DecodeServer        func(id string, value []byte) (Server, error)
 	// DecodeRollout decodes a rollout spec and its status; RolloutStatus encodes a status.
-	DecodeRollout func(o objectapi.Object) (Rollout, error)
-	RolloutStatus func(to string, stage rollout.Stage) []byte
-	Report        func(body []byte) (LoadReport, error)
+	DecodeRollout       func(o objectapi.Object) (Rollout, error)
+	EncodeRolloutStatus func(to string, stage rollout.Stage) []byte
+	Report              func(body []byte) (LoadReport, error)
 	// Move encodes the request for a migration; Moved decodes its response.
 	Move  func(m Move) []byte
 	Moved func(body []byte) (Moved, error)
--- a/internal/rolloutpeer/decide.go
+++ b/internal/rolloutpeer/decide.go
@@ -160,7 +160,7 @@
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	kind := p.opts.Dialect.Kinds.Rollouts
-	_, err := p.opts.Objects.UpdateStatus(ctx, kind, r.Name, r.Revision, p.opts.Dialect.RolloutStatus(r.TargetVersion, w.Stage))
+	_, err := p.opts.Objects.UpdateStatus(ctx, kind, r.Name, r.Revision, p.opts.Dialect.EncodeRolloutStatus(r.TargetVersion, w.Stage))
 	p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Stringer("stage", w.Stage).Str("reason", w.Reason).
 		Int64("revision", r.Revision).Err(err).Msg("platform told of a roll-out")
 	var conflict *objectapi.ConflictError
