--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -150,7 +150,7 @@
 	// DecodeRollout decodes a rollout spec and its status; RolloutStatus encodes a status.
 	DecodeRollout       func(o objectapi.Object) (Rollout, error)
 	EncodeRolloutStatus func(to string, stage rollout.Stage) []byte
-	Report              func(body []byte) (LoadReport, error)
+	DecodeReport        func(body []byte) (LoadReport, error)
 	// Move encodes the request for a migration; Moved decodes its response.
 	Move  func(m Move) []byte
 	Moved func(body []byte) (Moved, error)
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -41,7 +41,7 @@
 			Internal: []string{"T-Workspace", "T-Expect", "T-Urgency", "T-From", "T-Key", "T-Deadline"},
 		},
 		Paths: dialect.Paths{Directory: "/where", Ready: "/ready", Report: "/report", Migrate: "/move", Handle: "/handle"},
-		Report: func(body []byte) (r dialect.LoadReport, err error) {
+		DecodeReport: func(body []byte) (r dialect.LoadReport, err error) {
 			return r, json.Unmarshal(body, &r)
 		},
 		Move: func(m dialect.Move) []byte {
--- a/internal/ingress/migrations.go
+++ b/internal/ingress/migrations.go
@@ -140,7 +140,7 @@
 		s.log.Debug().Str("server", server.ID).Err(err).Msg("engine's load report not read")
 		return
 	}
-	report, err := s.opts.Dialect.Report(body)
+	report, err := s.opts.Dialect.DecodeReport(body)
 	if err != nil || !report.Leaving {
 		return
 	}
