--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -151,9 +151,9 @@
 	DecodeRollout       func(o objectapi.Object) (Rollout, error)
 	EncodeRolloutStatus func(to string, stage rollout.Stage) []byte
 	DecodeReport        func(body []byte) (LoadReport, error)
-	// Move encodes the request for a migration; Moved decodes its response.
-	Move  func(m Move) []byte
-	Moved func(body []byte) (Moved, error)
+	// EncodeMigration encodes the request for a migration; Moved decodes its response.
+	EncodeMigration func(m Move) []byte
+	Moved           func(body []byte) (Moved, error)
 	// CarryFrom encodes the value of [Fields.CarryFrom].
 	CarryFrom func(address, handle string) string
 	// Directory encodes the response to a caller that looks up instances.
