--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -153,7 +153,7 @@
 	DecodeReport        func(body []byte) (LoadReport, error)
 	// EncodeMigration encodes the request for a migration; Moved decodes its response.
 	EncodeMigration func(m Move) []byte
-	Moved           func(body []byte) (Moved, error)
+	DecodeMigration func(body []byte) (Moved, error)
 	// CarryFrom encodes the value of [Fields.CarryFrom].
 	CarryFrom func(address, handle string) string
 	// Directory encodes the response to a caller that looks up instances.
--- a/internal/ingress/migrator.go
+++ b/internal/ingress/migrator.go
@@ -237,10 +237,10 @@
 	if err != nil {
 		migrated := dialect.Moved{}
 		if json.Valid(data) {
-			migrated, _ = d.Moved(data)
+			migrated, _ = d.DecodeMigration(data)
 		}
 		return status, migrated, err
 	}
-	migrated, err := d.Moved(data)
+	migrated, err := d.DecodeMigration(data)
 	return status, migrated, err
 }
