--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -154,8 +154,8 @@
 	// EncodeMigration encodes the request for a migration; Moved decodes its response.
 	EncodeMigration func(m Move) []byte
 	DecodeMigration func(body []byte) (Moved, error)
-	// CarryFrom encodes the value of [Fields.CarryFrom].
-	CarryFrom func(address, handle string) string
+	// EncodeResumeFrom encodes the value of [Fields.EncodeResumeFrom].
+	EncodeResumeFrom func(address, handle string) string
 	// Directory encodes the response to a caller that looks up instances.
 	Directory func(addresses []string, keep time.Duration) []byte
 	// DirectoryZone is the query parameter with the caller's availability zone.
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -54,9 +54,9 @@
 			}
 			return m, err
 		},
-		CarryFrom:     func(address, handle string) string { return address + "/" + handle },
-		Directory:     func(addresses []string, _ time.Duration) []byte { return []byte(strings.Join(addresses, ",")) },
-		DirectoryZone: "zone",
+		EncodeResumeFrom: func(address, handle string) string { return address + "/" + handle },
+		Directory:        func(addresses []string, _ time.Duration) []byte { return []byte(strings.Join(addresses, ",")) },
+		DirectoryZone:    "zone",
 	}
 }
 
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -291,7 +291,7 @@
 
 // resumeAt sends the request to the engine that has the KV cache.
 func (cs *callerStream) resumeAt(ctx context.Context, point resumePoint) (*upstream.Response, error) {
-	from := service.Header{Name: cs.s.fields.ResumeFrom, Value: cs.s.opts.Dialect.CarryFrom(point.sourceAddress, point.handle)}
+	from := service.Header{Name: cs.s.fields.ResumeFrom, Value: cs.s.opts.Dialect.EncodeResumeFrom(point.sourceAddress, point.handle)}
 	response, err := cs.send(ctx, point.target, from)
 	cs.switchTo(point.target)
 	cs.s.log.Info().Str("request", cs.r.id).Str("server", point.target.Server.ID).Int64("after", cs.stream.lastEventID()).Err(err).Msg("generation goes on")
