--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -156,8 +156,8 @@
 	DecodeMigration func(body []byte) (Moved, error)
 	// EncodeResumeFrom encodes the value of [Fields.EncodeResumeFrom].
 	EncodeResumeFrom func(address, handle string) string
-	// Directory encodes the response to a caller that looks up instances.
-	Directory func(addresses []string, keep time.Duration) []byte
+	// EncodeDirectory encodes the response to a caller that looks up instances.
+	EncodeDirectory func(addresses []string, keep time.Duration) []byte
 	// DirectoryZone is the query parameter with the caller's availability zone.
 	DirectoryZone string
 }
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -55,7 +55,7 @@
 			return m, err
 		},
 		EncodeResumeFrom: func(address, handle string) string { return address + "/" + handle },
-		Directory:        func(addresses []string, _ time.Duration) []byte { return []byte(strings.Join(addresses, ",")) },
+		EncodeDirectory:  func(addresses []string, _ time.Duration) []byte { return []byte(strings.Join(addresses, ",")) },
 		DirectoryZone:    "zone",
 	}
 }
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -272,7 +272,7 @@
 
 func (s *Server) directory(_ context.Context, c *app.RequestContext) {
 	addresses := s.opts.Addresses(c.Query(s.opts.Dialect.DirectoryZone))
-	c.Data(http.StatusOK, "application/json", s.opts.Dialect.Directory(addresses, directoryTTL))
+	c.Data(http.StatusOK, "application/json", s.opts.Dialect.EncodeDirectory(addresses, directoryTTL))
 }
 
 // handle serves one request of a caller.
