--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -123,15 +123,15 @@
 	Events int
 }
 
-// Move asks an engine to copy the KV cache of a request to another engine.
-type Move struct {
+// MigrationRequest asks an engine to copy the KV cache of a request to another engine.
+type MigrationRequest struct {
 	RequestID string
 	Target    string
 	// Stop stops the request first, for the cutover.
 	Stop bool
 }
 
-// Moved is the response to a [Move].
+// Moved is the response to a [MigrationRequest].
 type Moved struct {
 	Handle string
 	Events int
@@ -152,7 +152,7 @@
 	EncodeRolloutStatus func(to string, stage rollout.Stage) []byte
 	DecodeReport        func(body []byte) (LoadReport, error)
 	// EncodeMigration encodes the request for a migration; Moved decodes its response.
-	EncodeMigration func(m Move) []byte
+	EncodeMigration func(m MigrationRequest) []byte
 	DecodeMigration func(body []byte) (Moved, error)
 	// EncodeResumeFrom encodes the value of [Fields.EncodeResumeFrom].
 	EncodeResumeFrom func(address, handle string) string
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -44,7 +44,7 @@
 		DecodeReport: func(body []byte) (r dialect.LoadReport, err error) {
 			return r, json.Unmarshal(body, &r)
 		},
-		EncodeMigration: func(m dialect.Move) []byte {
+		EncodeMigration: func(m dialect.MigrationRequest) []byte {
 			data, _ := json.Marshal(m)
 			return data
 		},
--- a/internal/ingress/migrator.go
+++ b/internal/ingress/migrator.go
@@ -233,7 +233,7 @@
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	d := s.opts.Dialect
-	status, data, err := s.upstream.Call(ctx, source, http.MethodPost, d.Paths.Migrate, d.EncodeMigration(dialect.Move{RequestID: id, Target: target, Stop: stop}))
+	status, data, err := s.upstream.Call(ctx, source, http.MethodPost, d.Paths.Migrate, d.EncodeMigration(dialect.MigrationRequest{RequestID: id, Target: target, Stop: stop}))
 	if err != nil {
 		migrated := dialect.Moved{}
 		if json.Valid(data) {
--- a/internal/ingress/streams_test.go
+++ b/internal/ingress/streams_test.go
@@ -76,14 +76,14 @@
 	stop        chan struct{}
 	mu          sync.Mutex
 	stopped     bool
-	moves       []dialect.Move
+	moves       []dialect.MigrationRequest
 	resumedFrom string
 }
 
 func (m *migratableEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/move":
-		var move dialect.Move
+		var move dialect.MigrationRequest
 		_ = json.NewDecoder(r.Body).Decode(&move)
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -235,7 +235,7 @@
 
 func (s *refusingEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/move" {
-		var move dialect.Move
+		var move dialect.MigrationRequest
 		_ = json.NewDecoder(r.Body).Decode(&move)
 		if !move.Stop {
 			_, _ = io.WriteString(w, `{"Handle":"h1","Events":3}`)
