--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -131,8 +131,8 @@
 	Stop bool
 }
 
-// Moved is the response to a [MigrationRequest].
-type Moved struct {
+// MigrationResponse is the response to a [MigrationRequest].
+type MigrationResponse struct {
 	Handle string
 	Events int
 }
@@ -153,7 +153,7 @@
 	DecodeReport        func(body []byte) (LoadReport, error)
 	// EncodeMigration encodes the request for a migration; Moved decodes its response.
 	EncodeMigration func(m MigrationRequest) []byte
-	DecodeMigration func(body []byte) (Moved, error)
+	DecodeMigration func(body []byte) (MigrationResponse, error)
 	// EncodeResumeFrom encodes the value of [Fields.EncodeResumeFrom].
 	EncodeResumeFrom func(address, handle string) string
 	// EncodeDirectory encodes the response to a caller that looks up instances.
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -48,7 +48,7 @@
 			data, _ := json.Marshal(m)
 			return data
 		},
-		DecodeMigration: func(body []byte) (m dialect.Moved, err error) {
+		DecodeMigration: func(body []byte) (m dialect.MigrationResponse, err error) {
 			if err = json.Unmarshal(body, &m); err == nil && m.Handle == "" {
 				err = merry.New("no handle")
 			}
--- a/internal/ingress/migrator.go
+++ b/internal/ingress/migrator.go
@@ -229,13 +229,13 @@
 
 // sendMigration tells an engine to copy a generation to another one and, if stop is set, to stop it
 // first.
-func (s *Server) sendMigration(ctx context.Context, id, source, target string, stop bool) (int, dialect.Moved, error) {
+func (s *Server) sendMigration(ctx context.Context, id, source, target string, stop bool) (int, dialect.MigrationResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	d := s.opts.Dialect
 	status, data, err := s.upstream.Call(ctx, source, http.MethodPost, d.Paths.Migrate, d.EncodeMigration(dialect.MigrationRequest{RequestID: id, Target: target, Stop: stop}))
 	if err != nil {
-		migrated := dialect.Moved{}
+		migrated := dialect.MigrationResponse{}
 		if json.Valid(data) {
 			migrated, _ = d.DecodeMigration(data)
 		}
