--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -6,7 +6,7 @@
 // # Usage
 //
 //	d := dialect.Dialect{Fields: dialect.Fields{RequestID: "X-Request-Id"}, ...}
-//	cfg, err := d.Configuration(value)
+//	cfg, err := d.DecodeConfiguration(value)
 package dialect
 
 import (
@@ -144,20 +144,20 @@
 	Kinds  Kinds
 	// Objects is the format of the platform's object API.
 	Objects objectapi.Form
-	// DecodeConfiguration, Server and Report decode messages.
+	// DecodeConfiguration, DecodeServer and DecodeReport decode messages.
 	DecodeConfiguration func(value []byte) (routes.Configuration, error)
 	DecodeServer        func(id string, value []byte) (Server, error)
-	// DecodeRollout decodes a rollout spec and its status; RolloutStatus encodes a status.
+	// DecodeRollout decodes a rollout spec and its status; EncodeRolloutStatus encodes a status.
 	DecodeRollout       func(o objectapi.Object) (Rollout, error)
-	EncodeRolloutStatus func(to string, stage rollout.Stage) []byte
+	EncodeRolloutStatus func(targetVersion string, stage rollout.Stage) []byte
 	DecodeReport        func(body []byte) (LoadReport, error)
-	// EncodeMigration encodes the request for a migration; Moved decodes its response.
+	// EncodeMigration encodes the request for a migration; DecodeMigration decodes its response.
 	EncodeMigration func(m MigrationRequest) []byte
 	DecodeMigration func(body []byte) (MigrationResponse, error)
-	// EncodeResumeFrom encodes the value of [Fields.EncodeResumeFrom].
+	// EncodeResumeFrom encodes the value of [Fields.ResumeFrom].
 	EncodeResumeFrom func(address, handle string) string
 	// EncodeDirectory encodes the response to a caller that looks up instances.
-	EncodeDirectory func(addresses []string, keep time.Duration) []byte
+	EncodeDirectory func(addresses []string, ttl time.Duration) []byte
 	// DirectoryZone is the query parameter with the caller's availability zone.
 	DirectoryZone string
 }
--- a/internal/migration/migration.go
+++ b/internal/migration/migration.go
@@ -46,8 +46,8 @@
 	crossZoneFactor = 2
 )
 
-// TransferTime returns how long the migration of a generation with the given number of tokens occupies
-// the link of its engine, including the cutover.
+// TransferTime returns how long the migration of a generation with the given number of tokens
+// occupies the link of its engine, including the cutover.
 func TransferTime(e routes.Engine, tokens int, crossZone bool) time.Duration {
 	if e.LinkMbps <= 0 {
 		return cutoverTime
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -70,7 +70,7 @@
 // Service is one declared service.
 type Service struct {
 	Name string
-	// ColdPeriod is how long a server is cold after its start, ColdPerSecond the request
+	// ColdPeriod is how long a server is cold after its start, ColdRequestsPerSecond the request
 	// rate that it handles while cold.
 	ColdPeriod            time.Duration
 	ColdRequestsPerSecond float64
