--- a/internal/observed/apply.go
+++ b/internal/observed/apply.go
@@ -33,7 +33,7 @@
 	if f.opts.State.ConfirmConfiguration(now, value) {
 		return
 	}
-	cfg, err := f.opts.Dialect.Configuration(value)
+	cfg, err := f.opts.Dialect.DecodeConfiguration(value)
 	if err != nil {
 		f.opts.Log.Error().Err(err).Str("source", source).Msg("invalid configuration, the previous one stays in force")
 		return
@@ -75,7 +75,7 @@
 }
 
 func (f *Follower) server(o objectapi.Object) (dialect.Server, bool) {
-	s, err := f.opts.Dialect.Server(o.Name, o.Value)
+	s, err := f.opts.Dialect.DecodeServer(o.Name, o.Value)
 	if err != nil {
 		f.opts.Log.Warn().Str("server", o.Name).Err(err).Msg("invalid entry of a backend server")
 		return s, false
@@ -86,7 +86,7 @@
 func (f *Follower) listRollouts(now time.Time, version int64, objects []objectapi.Object) {
 	list := make([]dialect.Rollout, 0, len(objects))
 	for _, o := range objects {
-		r, err := f.opts.Dialect.Rollout(o)
+		r, err := f.opts.Dialect.DecodeRollout(o)
 		if err != nil {
 			f.opts.Log.Warn().Str("rollout", o.Name).Err(err).Msg("invalid rollout")
 			continue
@@ -98,7 +98,7 @@
 		return
 	}
 	for _, r := range f.opts.State.Rollouts() {
-		f.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Dur("duration", r.Duration).Int64("revision", r.Revision).
+		f.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Dur("duration", r.Duration).Int64("revision", r.Revision).
 			Stringer("stage", r.Stage).Msg("rollout requested")
 	}
 }
--- a/internal/observed/eligible.go
+++ b/internal/observed/eligible.go
@@ -15,7 +15,7 @@
 	hash := s.hashes[Servers] + e.hash()
 	if known, ok := s.servers[e.ID]; ok {
 		hash -= known.hash()
-		if known.Born == e.Born && known.Version == e.Version {
+		if known.StartedAtMillis == e.StartedAtMillis && known.Version == e.Version {
 			e.retired, e.ListedSince = known.retired, known.ListedSince
 		}
 		s.touchServer(known.Service, e.ID)
--- a/internal/observed/rollouts_test.go
+++ b/internal/observed/rollouts_test.go
@@ -28,7 +28,7 @@
 	s := NewState()
 	s.EnableRollouts()
 	require.True(t, s.ReplaceServers(start, 10, []dialect.Server{versioned("old", "v1")}))
-	require.True(t, s.ReplaceRollouts(start, 11, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", To: "v2"}}))
+	require.True(t, s.ReplaceRollouts(start, 11, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", TargetVersion: "v2"}}))
 	require.True(t, s.ChangeServers(start, 10, 12, []Change{{ID: "new", Server: new(versioned("new", "v2"))}}))
 	return s
 }
@@ -78,10 +78,10 @@
 		"withdrawn during the canary":    {rollout.StageCanary, nil, []string{"old"}},
 		"withdrawn during the promotion": {rollout.StagePromoting, nil, []string{"old"}},
 		"withdrawn after completion":     {rollout.StageCompleted, nil, []string{"new"}},
-		"replaced by another version":    {rollout.StageCanary, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", To: "v3"}}, []string{"old"}},
-		"same version requested again":   {rollout.StageRolledBack, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", To: "v2"}}, []string{"old"}},
-		"completed on the platform":      {rollout.StagePromoting, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", To: "v2", Told: rollout.StageCompleted}}, []string{"new"}},
-		"older stage on the platform":    {rollout.StageRollingBack, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", To: "v2", Told: rollout.StageCanary}}, []string{"old"}},
+		"replaced by another version":    {rollout.StageCanary, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", TargetVersion: "v3"}}, []string{"old"}},
+		"same version requested again":   {rollout.StageRolledBack, []dialect.Rollout{{ID: "p", Name: "desk", Service: "desk", TargetVersion: "v2"}}, []string{"old"}},
+		"completed on the platform":      {rollout.StagePromoting, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", TargetVersion: "v2", ReportedStage: rollout.StageCompleted}}, []string{"new"}},
+		"older stage on the platform":    {rollout.StageRollingBack, []dialect.Rollout{{ID: "o", Name: "desk", Service: "desk", TargetVersion: "v2", ReportedStage: rollout.StageCanary}}, []string{"old"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/rolloutpeer/coordinator.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -127,9 +127,9 @@
 	case rollout.Wait:
 		if action.Reason != lr.waitReason {
 			lr.waitReason = action.Reason
-			p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Str("for", action.Reason).Msg("roll-out waits")
+			p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Str("for", action.Reason).Msg("roll-out waits")
 		}
-		if r.Told == rollout.StageNone {
+		if r.ReportedStage == rollout.StageNone {
 			p.write(ctx, r, lr, rollout.Write{Stage: rollout.StageCanary, Reason: "begun"})
 		}
 	}
@@ -141,7 +141,7 @@
 	for _, m := range p.opts.Table.Running() {
 		v.Live = append(v.Live, m.ID)
 	}
-	v.NewServers, v.OldServers = p.opts.State.CountByVersion(r.Service, r.To)
+	v.NewServers, v.OldServers = p.opts.State.CountByVersion(r.Service, r.TargetVersion)
 	return v
 }
 
@@ -149,7 +149,7 @@
 	counts := c.Counts()
 	number, failed := counts.Total(rollout.Canary)
 	oldNumber, oldFailed := counts.Total(rollout.Stable)
-	p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", c.Stage()).Str("reason", c.Reason).
+	p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Stringer("stage", c.Stage()).Str("reason", c.Reason).
 		Int("answers", number).Int("failed", failed).Int("oldAnswers", oldNumber).Int("oldFailed", oldFailed).
 		Float64("ratio", c.Evidence.Ratio).Msg("roll-out decided")
 	p.opts.Scope.Tagged(map[string]string{"stage": c.Stage().String()}).Counter("verdicts").Inc(1)
@@ -162,8 +162,8 @@
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	kind := p.opts.Dialect.Kinds.Rollouts
-	_, err := p.opts.Objects.UpdateStatus(ctx, kind, r.Name, r.Revision, p.opts.Dialect.RolloutStatus(r.To, w.Stage))
-	p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", w.Stage).Str("reason", w.Reason).
+	_, err := p.opts.Objects.UpdateStatus(ctx, kind, r.Name, r.Revision, p.opts.Dialect.EncodeRolloutStatus(r.TargetVersion, w.Stage))
+	p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Stringer("stage", w.Stage).Str("reason", w.Reason).
 		Int64("revision", r.Revision).Err(err).Msg("platform told of a roll-out")
 	var conflict *objectapi.ConflictError
 	if errors.As(err, &conflict) {
@@ -202,7 +202,7 @@
 	out := make([]Status, 0, len(rollouts))
 	for i := range rollouts {
 		r := &rollouts[i]
-		status := Status{Service: r.Service, To: r.To, Stage: r.Stage.String(), PlatformStage: r.Told.String(), Remaining: p.remaining(r.Service)}
+		status := Status{Service: r.Service, To: r.TargetVersion, Stage: r.Stage.String(), PlatformStage: r.ReportedStage.String(), Remaining: p.remaining(r.Service)}
 		p.mu.Lock()
 		if lr, ok := p.rollouts[r.ID]; ok {
 			counts := rollout.NewCounts()
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -149,7 +149,7 @@
 			lr = p.start(now, r)
 		}
 		if lr.Advance(r.Stage) {
-			p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", r.Stage).Msg("rollout stage changed")
+			p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Stringer("stage", r.Stage).Msg("rollout stage changed")
 		}
 		p.opts.State.SetStage(r.ID, lr.Stage())
 	}
@@ -171,13 +171,13 @@
 		lr.Participant = rollout.JoinParticipant(now, spec)
 	}
 	p.rollouts[r.ID] = lr
-	p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Dur("duration", r.Duration).Stringer("stage", r.Stage).
+	p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Dur("duration", r.Duration).Stringer("stage", r.Stage).
 		Bool("joins", !p.ready).Msg("roll-out begins")
 	return lr
 }
 
 func specOf(r *dialect.Rollout) rollout.Spec {
-	return rollout.Spec{ID: r.ID, Service: r.Service, To: r.To, Duration: r.Duration}
+	return rollout.Spec{ID: r.ID, Service: r.Service, To: r.TargetVersion, Duration: r.Duration}
 }
 
 // participate does this instance's part in one rollout: it reports, and decides if it is
@@ -195,7 +195,7 @@
 		p.decide(ctx, now, r, lr)
 	}
 	if p.opts.State.SetStage(r.ID, lr.Stage()) {
-		p.opts.Log.Info().Str("service", r.Service).Str("to", r.To).Stringer("stage", lr.Stage()).Str("decidedBy", coordinator.ID).Msg("rollout stage changed")
+		p.opts.Log.Info().Str("service", r.Service).Str("to", r.TargetVersion).Stringer("stage", lr.Stage()).Str("decidedBy", coordinator.ID).Msg("rollout stage changed")
 		p.opts.StageChanged()
 	}
 }
