--- a/internal/planner/groups.go
+++ b/internal/planner/groups.go
@@ -12,36 +12,35 @@
 )
 
 const (
-	// groupSize is up to how many engines one instance plans for. Choosing among
-	// two dozen is nearly as good as among all.
+	// groupSize is the maximum number of engines that one instance plans for. Choosing among two
+	// dozen engines is nearly as good as choosing among all.
 	groupSize = 32
-	// foreignCost is what a group of another availability zone weighs, as a score
-	// of the balancer, and usualScore that of a group of which nothing is known.
-	foreignCost = 0.12
-	usualScore  = 0.25
-	// busyScore is from what score on another group is asked first: prompts wait
-	// for about a quarter of a second.
+	// crossZoneCost is added to the score of a group in another availability zone; defaultScore is
+	// the score of a group without a recent one.
+	crossZoneCost = 0.12
+	defaultScore  = 0.25
+	// busyScore is the score from which other groups are asked first: prompts wait for about a
+	// quarter of a second.
 	busyScore = 0.5
-	// scoreTTL is how long the score of a group's last choice is believed.
+	// scoreTTL is how long the score of a group's last placement is used.
 	scoreTTL = time.Second
 )
 
-// groupKey names the group of engines that one instance plans for: all engines
-// of a small service, else those of one availability zone, or a part of them.
-// Copies of generations stay in a zone where they can, and so in the plan of one
-// instance.
+// groupKey returns the key of the engine group that one instance plans for: all engines of a small
+// service, otherwise those of one availability zone or a part of them. Migrations stay within a
+// zone where possible, and so within the plan of one instance.
 func groupKey(l layout, service, zone, id string) string {
 	if l.engines <= groupSize {
 		return service
 	}
 	key := service + "@" + zone
 	if parts := (l.byZone[zone] + groupSize - 1) / groupSize; parts > 1 {
-		key += "#" + strconv.Itoa(hashOf(id, parts))
+		key += "#" + strconv.Itoa(hashBucket(id, parts))
 	}
 	return key
 }
 
-// layout is how many engines a service has, in all and by availability zone.
+// layout counts the engines of a service, in total and by availability zone.
 type layout struct {
 	engines int
 	byZone  map[string]int
@@ -55,13 +54,13 @@
 	return l
 }
 
-func hashOf(name string, n int) int {
+func hashBucket(name string, n int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
 	return int(h.Sum32() % uint32(n))
 }
 
-// group is the engines that one instance plans for.
+// group is the set of engines that one instance plans for.
 type group struct {
 	key, zone string
 	engines   []observed.Server
@@ -89,15 +88,15 @@
 	return groups
 }
 
-// grouped are the groups of a list of engines, which isn't changed once made.
-type grouped struct {
-	first  *observed.Server
-	number int
-	layout layout
-	groups []group
+// serviceGroups caches the groups of one list of engines. The list is immutable.
+type serviceGroups struct {
+	firstEngine *observed.Server
+	engineCount int
+	layout      layout
+	groups      []group
 }
 
-// groups returns the groups of a service's engines, and how those are laid out.
+// groups returns the groups of a service's engines and their layout.
 func (p *Planner) groups(service string) ([]group, layout) {
 	engines := p.opts.State.Servers(service)
 	if len(engines) == 0 {
@@ -105,31 +104,30 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.grouped[service]
-	if known.first != &engines[0] || known.number != len(engines) {
+	cached := p.groupCache[service]
+	if cached.firstEngine != &engines[0] || cached.engineCount != len(engines) {
 		l := layoutOf(engines)
-		known = grouped{first: &engines[0], number: len(engines), layout: l, groups: groupsOf(engines, service, l)}
-		p.grouped[service] = known
+		cached = serviceGroups{firstEngine: &engines[0], engineCount: len(engines), layout: l, groups: groupsOf(engines, service, l)}
+		p.groupCache[service] = cached
 	}
-	return known.groups, known.layout
+	return cached.groups, cached.layout
 }
 
-// keyOf names the group that plans for an engine.
-func (p *Planner) keyOf(service, zone, id string) string {
+// groupKeyOf returns the key of an engine's group.
+func (p *Planner) groupKeyOf(service, zone, id string) string {
 	_, l := p.groups(service)
 	return groupKey(l, service, zone, id)
 }
 
-// score is what a group's last choice came to.
-type score struct {
+// groupScore is the score of a group's last placement.
+type groupScore struct {
 	value float64
 	at    time.Time
 }
 
-// inOrder returns the groups in the order in which they are asked: the least
-// loaded first, as far as the last choices tell, those of the asker's zone before
-// others that are about as free.
-func (p *Planner) inOrder(now time.Time, groups []group, zone, request string) []group {
+// sortedGroups returns the groups in the order in which they are asked: by the scores of their last
+// placements, with the requester's zone first among groups without one.
+func (p *Planner) sortedGroups(now time.Time, groups []group, zone, request string) []group {
 	if len(groups) == 1 {
 		return groups
 	}
@@ -140,19 +138,19 @@
 			return s.value
 		}
 		if g.zone != zone {
-			return usualScore + foreignCost
+			return defaultScore + crossZoneCost
 		}
-		return usualScore
+		return defaultScore
 	}
 	out := slices.Clone(groups)
 	slices.SortFunc(out, func(a, b group) int {
-		return cmp.Or(cmp.Compare(cost(a), cost(b)), cmp.Compare(hashOf(a.key+request, 1<<20), hashOf(b.key+request, 1<<20)))
+		return cmp.Or(cmp.Compare(cost(a), cost(b)), cmp.Compare(hashBucket(a.key+request, 1<<20), hashBucket(b.key+request, 1<<20)))
 	})
 	return out
 }
 
-func (p *Planner) noteScore(key string, now time.Time, value float64) {
+func (p *Planner) recordScore(key string, now time.Time, value float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.scores[key] = score{value, now}
+	p.scores[key] = groupScore{value, now}
 }
--- a/internal/planner/handlers.go
+++ b/internal/planner/handlers.go
@@ -10,39 +10,39 @@
 	"pollenspindle.example/pollenspindle/internal/peerrpc"
 )
 
-// Handlers answer other instances, by path.
+// Handlers returns the handlers of requests from other instances, by path.
 func (p *Planner) Handlers() map[string]http.Handler {
-	turn := func(ctx context.Context, req *connect.Request[Leaving]) (*connect.Response[Turn], error) {
-		if err := peerrpc.Check(p.opts.Key, p.opts.Now(), req.Header(), turnProcedure); err != nil {
+	transfer := func(ctx context.Context, req *connect.Request[Leaving]) (*connect.Response[Turn], error) {
+		if err := peerrpc.Check(p.opts.Key, p.opts.Now(), req.Header(), transferProcedure); err != nil {
 			return nil, err
 		}
 		return reply(p.scheduleCopy(ctx, *req.Msg))
 	}
-	place := func(_ context.Context, req *connect.Request[Placing]) (*connect.Response[Placed], error) {
+	place := func(_ context.Context, req *connect.Request[Placing]) (*connect.Response[PlacementResponse], error) {
 		if err := peerrpc.Check(p.opts.Key, p.opts.Now(), req.Header(), placeProcedure); err != nil {
 			return nil, err
 		}
-		placed, err := p.begin(*req.Msg)
+		res, err := p.chooseEngine(*req.Msg)
 		if errors.Is(err, ErrUnavailable) {
 			return nil, connect.NewError(connect.CodeUnavailable, ErrUnavailable)
 		}
 		if err != nil {
 			return nil, connect.NewError(connect.CodeResourceExhausted, ErrUnavailable)
 		}
-		return connect.NewResponse(&placed), nil
+		return connect.NewResponse(&res), nil
 	}
-	report := func(_ context.Context, req *connect.Request[Report]) (*connect.Response[Reported], error) {
+	report := func(_ context.Context, req *connect.Request[Report]) (*connect.Response[ReportResponse], error) {
 		if err := peerrpc.Check(p.opts.Key, p.opts.Now(), req.Header(), reportProcedure); err != nil {
 			return nil, err
 		}
-		p.loads.Take(p.opts.Now(), *req.Msg)
-		return connect.NewResponse(&Reported{}), nil
+		p.loads.Apply(p.opts.Now(), *req.Msg)
+		return connect.NewResponse(&ReportResponse{}), nil
 	}
 	options := peerrpc.HandlerOptions()
 	return map[string]http.Handler{
-		turnProcedure:   connect.NewUnaryHandler(turnProcedure, turn, options...),
-		placeProcedure:  connect.NewUnaryHandler(placeProcedure, place, options...),
-		reportProcedure: connect.NewUnaryHandler(reportProcedure, report, options...),
+		transferProcedure: connect.NewUnaryHandler(transferProcedure, transfer, options...),
+		placeProcedure:    connect.NewUnaryHandler(placeProcedure, place, options...),
+		reportProcedure:   connect.NewUnaryHandler(reportProcedure, report, options...),
 	}
 }
 
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -14,145 +14,146 @@
 )
 
 const (
-	// targetFirst is the time in which callers want a first token.
-	targetFirst = 1500 * time.Millisecond
-	// tokenReadTime is how long an engine reads one token of a prompt beside
-	// running generations, tokenMakeTime how long it makes one.
-	tokenReadTime = 143 * time.Microsecond
-	tokenMakeTime = 9 * time.Millisecond
-	// reportLag is the most that a report takes.
-	reportLag = 60 * time.Millisecond
-	playFor   = 30 * time.Second
-	playStep  = 10 * time.Millisecond
+	// firstTokenTarget is the time in which callers expect the first token.
+	firstTokenTarget = 1500 * time.Millisecond
+	// prefillTimePerToken and decodeTimePerToken are an engine's times for one token of a prompt,
+	// beside running generations, and for one of the output.
+	prefillTimePerToken = 143 * time.Microsecond
+	decodeTimePerToken  = 9 * time.Millisecond
+	// maxReportDelay is the maximum delivery time of a load report.
+	maxReportDelay = 60 * time.Millisecond
+	simulatedTime  = 30 * time.Second
+	simulationStep = 10 * time.Millisecond
 )
 
-// load is what callers ask for and what becomes of the engines.
-type load struct {
+// workload describes the requests and the changes of the engines.
+type workload struct {
 	instances, engines, zones int
-	perSecond                 float64
-	// replaced is how many engines are replaced by new and empty ones each 3 s.
+	requestsPerSecond         float64
+	// replaced is the number of engines replaced by new and empty ones every 3 s.
 	replaced int
-	// burst multiplies the requests of the seconds 10 to 13.
+	// burst multiplies the request rate from second 10 to second 13.
 	burst float64
 	// skew is the share of the requests that come from the first zone.
 	skew float64
-	// planned has the planner place; else each instance places by its own load.
+	// planned makes the planner place requests; otherwise each instance places by its own load.
 	planned bool
 }
 
-// generation is one that runs.
-type generation struct {
-	by, tokens  int
-	engine      string
-	first, ends time.Time
-	place       balancer.Place
+// runningGeneration is a generation that an engine runs.
+type runningGeneration struct {
+	instance, tokens int
+	engine           string
+	firstToken, end  time.Time
+	place            balancer.Place
 }
 
-// outcome is what callers got.
-type outcome struct {
-	requests, late, refused, foreign, preempted int
+// result counts the outcomes of requests.
+type result struct {
+	requests, late, refused, crossZone, preempted int
 }
 
-// player plays a load on the decisions of the planner: no sockets, no real time.
-type player struct {
-	load
-	t       *testing.T
-	rng     *rand.Rand
-	now     time.Time
-	plan    one
-	alone   []*balancer.Balancer
-	list    []dialect.Server
-	made    int
-	runs    []generation
-	free    map[string]time.Time
-	reports []struct {
+// simulation applies a workload to the planner's decisions, without sockets and in simulated time.
+type simulation struct {
+	workload
+	t              *testing.T
+	rng            *rand.Rand
+	now            time.Time
+	planner        testInstance
+	localBalancers []*balancer.Balancer
+	engineList     []dialect.Server
+	engineCount    int
+	running        []runningGeneration
+	prefillFreeAt  map[string]time.Time
+	reports        []struct {
 		at time.Time
 		Report
 	}
 	sequences []int64
-	scores    []map[string]score
-	got       outcome
+	scores    []map[string]groupScore
+	result    result
 }
 
-func play(t *testing.T, l load) outcome {
-	p := &player{load: l, t: t, rng: rand.New(rand.NewPCG(7, 7)), now: start, free: map[string]time.Time{}, sequences: make([]int64, l.instances)}
-	p.plan = startWith(t, "a", "k", nil, func(o *Options) { o.Now = func() time.Time { return p.now } })
+func simulate(t *testing.T, l workload) result {
+	p := &simulation{workload: l, t: t, rng: rand.New(rand.NewPCG(7, 7)), now: start, prefillFreeAt: map[string]time.Time{}, sequences: make([]int64, l.instances)}
+	p.planner = startWithOptions(t, "a", "k", nil, func(o *Options) { o.Now = func() time.Time { return p.now } })
 	for range l.instances {
-		p.scores = append(p.scores, map[string]score{})
-		p.alone = append(p.alone, balancer.New(balancer.Bounds{ColdOverage: 1, ColdSlack: 1}, p.rng, nil))
+		p.scores = append(p.scores, map[string]groupScore{})
+		p.localBalancers = append(p.localBalancers, balancer.New(balancer.Bounds{ColdOverage: 1, ColdSlack: 1}, p.rng, nil))
 	}
-	p.list = make([]dialect.Server, l.engines)
-	for i := range p.list {
-		p.renew(i)
+	p.engineList = make([]dialect.Server, l.engines)
+	for i := range p.engineList {
+		p.replaceEngine(i)
 	}
-	p.listed()
-	for step := time.Duration(0); step < playFor; step += playStep {
+	p.publishEngines()
+	for step := time.Duration(0); step < simulatedTime; step += simulationStep {
 		p.now = start.Add(step)
 		if p.replaced > 0 && step%(3*time.Second) == 0 {
 			for range p.replaced {
-				p.renew(p.rng.IntN(l.engines))
+				p.replaceEngine(p.rng.IntN(l.engines))
 			}
-			p.listed()
+			p.publishEngines()
 		}
-		p.end()
-		p.report(step)
-		rate := p.perSecond
+		p.finishGenerations()
+		p.deliverReports(step)
+		rate := p.requestsPerSecond
 		if p.burst > 0 && step >= 10*time.Second && step < 13*time.Second {
 			rate *= p.burst
 		}
-		for rate *= playStep.Seconds(); rate > 0; rate-- {
+		for rate *= simulationStep.Seconds(); rate > 0; rate-- {
 			if p.rng.Float64() < rate {
-				p.request()
+				p.placeRequest()
 			}
 		}
 	}
-	return p.got
+	return p.result
 }
 
-// renew replaces an engine by a new one.
-func (p *player) renew(i int) {
-	p.made++
-	p.list[i] = dialect.Server{ID: fmt.Sprint("e", p.made), Service: "llm", Zone: fmt.Sprint("zone-", i%p.zones), Slots: 24}
+// replaceEngine replaces an engine by a new one.
+func (p *simulation) replaceEngine(i int) {
+	p.engineCount++
+	p.engineList[i] = dialect.Server{ID: fmt.Sprint("e", p.engineCount), Service: "llm", Zone: fmt.Sprint("zone-", i%p.zones), Slots: 24}
 }
 
-func (p *player) listed() {
-	version, _ := p.plan.opts.State.Version(observed.Servers)
-	p.plan.opts.State.ReplaceServers(p.now, version+1, p.list)
+func (p *simulation) publishEngines() {
+	version, _ := p.planner.opts.State.Version(observed.Servers)
+	p.planner.opts.State.ReplaceServers(p.now, version+1, p.engineList)
 }
 
-// end ends generations that are over.
-func (p *player) end() {
-	kept := p.runs[:0]
-	for _, g := range p.runs {
-		if p.now.Before(g.ends) {
+// finishGenerations ends generations whose time is over.
+func (p *simulation) finishGenerations() {
+	kept := p.running[:0]
+	for _, g := range p.running {
+		if p.now.Before(g.end) {
 			kept = append(kept, g)
 			continue
 		}
 		if !p.planned {
-			p.alone[g.by].Done(g.place)
+			p.localBalancers[g.instance].Done(g.place)
 		}
 	}
-	p.runs = kept
+	p.running = kept
 }
 
-// report has instances report in turn, and what was reported arrive.
-func (p *player) report(step time.Duration) {
+// deliverReports sends the reports that are due, staggered by instance, and delivers those that
+// arrive.
+func (p *simulation) deliverReports(step time.Duration) {
 	loads := make([]map[string]balancer.Load, p.instances)
-	for _, g := range p.runs {
-		if loads[g.by] == nil {
-			loads[g.by] = map[string]balancer.Load{}
+	for _, g := range p.running {
+		if loads[g.instance] == nil {
+			loads[g.instance] = map[string]balancer.Load{}
 		}
-		loads[g.by][g.engine] = loads[g.by][g.engine].Plus(balancer.Load{Running: 1, Tokens: g.tokens})
+		loads[g.instance][g.engine] = loads[g.instance][g.engine].Plus(balancer.Load{Running: 1, Tokens: g.tokens})
 	}
 	for i := range p.instances {
-		if (step+time.Duration(i)*playStep)%reportGap != 0 {
+		if (step+time.Duration(i)*simulationStep)%minReportInterval != 0 {
 			continue
 		}
 		p.sequences[i]++
 		p.reports = append(p.reports, struct {
 			at time.Time
 			Report
-		}{p.now.Add(time.Duration(p.rng.Int64N(int64(reportLag)))), Report{By: fmt.Sprint("i", i), Started: 1, Sequence: p.sequences[i], Loads: loads[i]}})
+		}{p.now.Add(time.Duration(p.rng.Int64N(int64(maxReportDelay)))), Report{Instance: fmt.Sprint("i", i), Started: 1, Sequence: p.sequences[i], Loads: loads[i]}})
 	}
 	later := p.reports[:0]
 	for _, r := range p.reports {
@@ -160,14 +161,14 @@
 			later = append(later, r)
 			continue
 		}
-		p.plan.loads.Take(p.now, r.Report)
+		p.planner.loads.Apply(p.now, r.Report)
 	}
 	p.reports = later
 }
 
-// request places one generation and notes what its caller gets.
-func (p *player) request() {
-	p.got.requests++
+// placeRequest places one generation and counts its outcome.
+func (p *simulation) placeRequest() {
+	p.result.requests++
 	by := p.rng.IntN(p.instances)
 	if p.rng.Float64() < p.skew {
 		by -= by % p.zones
@@ -177,85 +178,84 @@
 	if p.rng.IntN(2) == 0 {
 		output = 8
 	}
-	g := generation{by: by, tokens: prompt + output}
+	g := runningGeneration{instance: by, tokens: prompt + output}
 	if p.planned {
-		p.plan.opts.Self, p.plan.scores = fmt.Sprint("i", by), p.scores[by]
-		id, err := p.plan.Place(p.t.Context(), Placing{Request: fmt.Sprint(p.got.requests), Service: "llm", Zone: zone, Prompt: prompt, Need: g.tokens, Within: targetFirst.Milliseconds()})
+		p.planner.opts.Self, p.planner.scores = fmt.Sprint("i", by), p.scores[by]
+		id, err := p.planner.Place(p.t.Context(), Placing{Request: fmt.Sprint(p.result.requests), Service: "llm", Zone: zone, Prompt: prompt, Need: g.tokens, Within: firstTokenTarget.Milliseconds()})
 		if err != nil {
-			p.got.refused++
+			p.result.refused++
 			return
 		}
 		g.engine = id
 	} else {
-		service, err := p.plan.engines("llm")
+		service, err := p.planner.engines("llm")
 		require.NoError(p.t, err)
-		picked, ok := p.alone[by].Pick(p.now, balancer.Request{Service: service, Zone: zone, Tokens: g.tokens, Prompt: prompt}, p.plan.opts.State.Servers("llm")).(balancer.Picked)
+		picked, ok := p.localBalancers[by].Pick(p.now, balancer.Request{Service: service, Zone: zone, Tokens: g.tokens, Prompt: prompt}, p.planner.opts.State.Servers("llm")).(balancer.Picked)
 		if !ok {
-			p.got.refused++
+			p.result.refused++
 			return
 		}
 		g.engine, g.place = picked.Place.Server.ID, picked.Place
 	}
-	if server, ok := p.plan.opts.State.Server(g.engine); ok && server.Zone != zone {
-		p.got.foreign++
+	if server, ok := p.planner.opts.State.Server(g.engine); ok && server.Zone != zone {
+		p.result.crossZone++
 	}
-	if p.free[g.engine].Before(p.now) {
-		p.free[g.engine] = p.now
+	if p.prefillFreeAt[g.engine].Before(p.now) {
+		p.prefillFreeAt[g.engine] = p.now
 	}
-	p.free[g.engine] = p.free[g.engine].Add(time.Duration(prompt) * tokenReadTime)
-	g.first = p.free[g.engine]
-	g.ends = g.first.Add(time.Duration(output) * tokenMakeTime)
+	p.prefillFreeAt[g.engine] = p.prefillFreeAt[g.engine].Add(time.Duration(prompt) * prefillTimePerToken)
+	g.firstToken = p.prefillFreeAt[g.engine]
+	g.end = g.firstToken.Add(time.Duration(output) * decodeTimePerToken)
 	used := g.tokens
-	for _, other := range p.runs {
+	for _, other := range p.running {
 		if other.engine == g.engine {
 			used += other.tokens
 		}
 	}
 	if used > 34000 {
-		p.got.preempted++
+		p.result.preempted++
 	}
-	if g.first.Sub(p.now) > targetFirst {
-		p.got.late++
+	if g.firstToken.Sub(p.now) > firstTokenTarget {
+		p.result.late++
 	}
-	p.runs = append(p.runs, g)
+	p.running = append(p.running, g)
 }
 
-// Callers get their first tokens in time under bursts, with all of them in one
-// zone, with long and short generations mixed and engines that come and go.
-func TestFirstTokensAreOnTime(t *testing.T) {
-	small := load{instances: 7, engines: 12, zones: 3, perSecond: 11, replaced: 2, planned: true}
-	large := load{instances: 295, engines: 97, zones: 5, perSecond: 127, replaced: 16, planned: true}
-	with := func(l load, change func(*load)) load { change(&l); return l }
+// Guards against late first tokens under bursts, with all callers in one zone, with long and short
+// generations mixed, and while engines are replaced.
+func TestFirstTokensInTime(t *testing.T) {
+	small := workload{instances: 7, engines: 12, zones: 3, requestsPerSecond: 11, replaced: 2, planned: true}
+	large := workload{instances: 295, engines: 97, zones: 5, requestsPerSecond: 127, replaced: 16, planned: true}
+	with := func(l workload, change func(*workload)) workload { change(&l); return l }
 	tests := map[string]struct {
-		load
-		late, refused, foreign, preempted float64
+		workload
+		late, refused, crossZone, preempted float64
 	}{
-		"small":            {small, 0.01, 0, 1, 0},
-		"small, burst":     {with(small, func(l *load) { l.burst = 2 }), 0.02, 0, 1, 0},
-		"small, one zone":  {with(small, func(l *load) { l.skew = 1 }), 0.01, 0, 1, 0},
-		"hundreds":         {large, 0.01, 0, 0.1, 0},
-		"hundreds, burst":  {with(large, func(l *load) { l.burst = 2.5 }), 0.03, 0.03, 0.6, 0.01},
-		"hundreds, skewed": {with(large, func(l *load) { l.skew = 0.5 }), 0.01, 0, 0.5, 0},
-		"all in one zone":  {with(large, func(l *load) { l.skew = 1 }), 0.03, 0, 0.9, 0},
+		"small":           {small, 0.01, 0, 1, 0},
+		"small, burst":    {with(small, func(l *workload) { l.burst = 2 }), 0.02, 0, 1, 0},
+		"small, one zone": {with(small, func(l *workload) { l.skew = 1 }), 0.01, 0, 1, 0},
+		"large":           {large, 0.01, 0, 0.1, 0},
+		"large, burst":    {with(large, func(l *workload) { l.burst = 2.5 }), 0.03, 0.03, 0.6, 0.01},
+		"large, skewed":   {with(large, func(l *workload) { l.skew = 0.5 }), 0.01, 0, 0.5, 0},
+		"large, one zone": {with(large, func(l *workload) { l.skew = 1 }), 0.03, 0, 0.9, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := play(t, tt.load)
+			got := simulate(t, tt.workload)
 			t.Logf("%+v", got)
 			n := float64(got.requests)
 			require.LessOrEqual(t, float64(got.late)/n, tt.late, "late")
 			require.LessOrEqual(t, float64(got.refused)/n, tt.refused, "refused")
-			require.LessOrEqual(t, float64(got.foreign)/n, tt.foreign, "to other zones")
-			require.LessOrEqual(t, float64(got.preempted)/n, tt.preempted, "beyond an engine's memory")
+			require.LessOrEqual(t, float64(got.crossZone)/n, tt.crossZone, "cross-zone")
+			require.LessOrEqual(t, float64(got.preempted)/n, tt.preempted, "preempted")
 		})
 	}
 }
 
-// Guards against queues in which everybody is late: with twice the load that the
-// engines can read, those that are served get their first token in time, and the
-// others are refused at once.
-func TestSaturationRefusesAtOnce(t *testing.T) {
-	got := play(t, load{instances: 78, engines: 20, zones: 4, perSecond: 90, planned: true})
+// Guards against queues in which every request is late. At twice the load that the engines can
+// prefill, accepted requests get their first token in time and the others are refused at once.
+func TestOverloadRefusesAtOnce(t *testing.T) {
+	got := simulate(t, workload{instances: 78, engines: 20, zones: 4, requestsPerSecond: 90, planned: true})
 	t.Logf("%+v", got)
 	served := got.requests - got.refused
 	require.LessOrEqual(t, got.late, served/20)
@@ -263,14 +263,14 @@
 	require.LessOrEqual(t, got.preempted, served/20)
 }
 
-// Guards against a plan that is no better than placing by one's own load alone, as
-// instances do that no planner answers.
-func TestPlanBeatsPlacingAlone(t *testing.T) {
-	l := load{instances: 295, engines: 97, zones: 5, perSecond: 127, replaced: 16}
-	alone := play(t, l)
+// Guards against a planner that is no better than placing by an instance's own load, the fallback
+// of instances that reach no planner.
+func TestPlannerBeatsLocalPlacement(t *testing.T) {
+	l := workload{instances: 295, engines: 97, zones: 5, requestsPerSecond: 127, replaced: 16}
+	local := simulate(t, l)
 	l.planned = true
-	planned := play(t, l)
-	t.Logf("alone %+v, planned %+v", alone, planned)
-	require.Less(t, 4*(planned.late+planned.refused), alone.late+alone.refused)
-	require.Less(t, 4*planned.preempted, alone.preempted+1)
+	planned := simulate(t, l)
+	t.Logf("local %+v, planned %+v", local, planned)
+	require.Less(t, 4*(planned.late+planned.refused), local.late+local.refused)
+	require.Less(t, 4*planned.preempted, local.preempted+1)
 }
--- a/internal/planner/loads.go
+++ b/internal/planner/loads.go
@@ -10,114 +10,112 @@
 )
 
 const (
-	// reportSettles is how long after an assignment its instance's next report
-	// surely has it: the answer takes some milliseconds, and loads are read when
-	// they are reported.
-	reportSettles = 200 * time.Millisecond
-	// assignmentTTL is how long an assignment counts that no report follows.
+	// reportSettleTime is the time after an assignment from which the next report of its instance
+	// includes it: the placement response takes a few milliseconds, and reports hold the load at
+	// the time of sending.
+	reportSettleTime = 200 * time.Millisecond
+	// assignmentTTL is how long an assignment counts if no report follows.
 	assignmentTTL = 2 * time.Second
-	// reportTTL is how long a report counts that none follows.
-	reportTTL = 2*reportEvery + time.Second
+	// reportTTL is how long a report counts if no other follows.
+	reportTTL = 2*unchangedReportInterval + time.Second
 )
 
-// Report is what one instance has on the engines that the receiver plans for.
+// Report is the load of one instance on the engines that the receiver plans for.
 type Report struct {
-	By string `json:"by"`
+	Instance string `json:"by"`
 	// Started and Sequence order the reports of an instance.
 	Started  int64                    `json:"started"`
 	Sequence int64                    `json:"sequence"`
 	Loads    map[string]balancer.Load `json:"loads,omitempty"`
 }
 
-// assignment is the load of a generation that was given to an instance.
+// assignment is the load of a generation that was assigned to an instance.
 type assignment struct {
-	engine string
-	load   balancer.Load
-	by     string
-	at     time.Time
+	engine   string
+	load     balancer.Load
+	instance string
+	at       time.Time
 }
 
-type reported struct {
+type receivedReport struct {
 	Report
 	at time.Time
 }
 
-// Loads adds up what instances have reported and what was assigned to them since.
-// It is safe for concurrent use.
+// Loads adds up the loads that instances reported and the assignments since. It is safe for
+// concurrent use.
 type Loads struct {
 	mu       sync.Mutex
-	reports  map[string]reported
+	reports  map[string]receivedReport
 	assigned []assignment
-	// sum is by engine, as of the last change.
-	sum   map[string]balancer.Load
-	stale bool
-	swept time.Time
-	// runs reports whether an instance runs.
-	runs func(id string) bool
+	// totals holds the load of each engine as of the last change.
+	totals    map[string]balancer.Load
+	stale     bool
+	lastSweep time.Time
+	// isAlive reports whether an instance is alive.
+	isAlive func(id string) bool
 }
 
-// NewLoads returns loads of which nothing is known. Runs reports whether an
-// instance runs: what others had is over.
-func NewLoads(runs func(id string) bool) *Loads {
-	return &Loads{reports: map[string]reported{}, runs: runs}
+// NewLoads returns empty loads. Reports of instances for which isAlive is false are dropped.
+func NewLoads(isAlive func(id string) bool) *Loads {
+	return &Loads{reports: map[string]receivedReport{}, isAlive: isAlive}
 }
 
-// Assign counts a load until its instance reports it.
-func (l *Loads) Assign(now time.Time, by, engine string, tokens int) {
+// Assign counts the load of an assignment until its instance reports it.
+func (l *Loads) Assign(now time.Time, instance, engine string, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.assigned = append(l.assigned, assignment{engine: engine, load: balancer.Load{Running: 1, Tokens: tokens}, by: by, at: now})
+	l.assigned = append(l.assigned, assignment{engine: engine, load: balancer.Load{Running: 1, Tokens: tokens}, instance: instance, at: now})
 	l.stale = true
 }
 
-// Take takes over a report, unless a later one is known, and drops the assignments
-// that it has.
-func (l *Loads) Take(now time.Time, r Report) {
+// Apply stores a report unless a later one is current, and drops the assignments that it includes.
+func (l *Loads) Apply(now time.Time, r Report) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known, ok := l.reports[r.By]
-	if ok && (r.Started < known.Started || r.Started == known.Started && r.Sequence <= known.Sequence) {
+	current, ok := l.reports[r.Instance]
+	if ok && (r.Started < current.Started || r.Started == current.Started && r.Sequence <= current.Sequence) {
 		return
 	}
-	l.reports[r.By] = reported{r, now}
+	l.reports[r.Instance] = receivedReport{r, now}
 	l.assigned = slices.DeleteFunc(l.assigned, func(a assignment) bool {
-		return a.by == r.By && now.Sub(a.at) >= reportSettles
+		return a.instance == r.Instance && now.Sub(a.at) >= reportSettleTime
 	})
 	l.stale = true
 }
 
-// On returns the load of an engine.
-func (l *Loads) On(now time.Time, engine string) balancer.Load {
+// ForEngine returns the load of an engine.
+func (l *Loads) ForEngine(now time.Time, engine string) balancer.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sweep(now)
+	l.removeExpired(now)
 	if l.stale {
-		l.add()
+		l.recompute()
 	}
-	return l.sum[engine]
+	return l.totals[engine]
 }
 
-func (l *Loads) add() {
-	l.sum = map[string]balancer.Load{}
+func (l *Loads) recompute() {
+	l.totals = map[string]balancer.Load{}
 	for _, r := range l.reports {
 		for id, load := range r.Loads {
-			l.sum[id] = l.sum[id].Plus(load)
+			l.totals[id] = l.totals[id].Plus(load)
 		}
 	}
 	for _, a := range l.assigned {
-		l.sum[a.engine] = l.sum[a.engine].Plus(a.load)
+		l.totals[a.engine] = l.totals[a.engine].Plus(a.load)
 	}
 	l.stale = false
 }
 
-// sweep drops what wasn't followed up in time.
-func (l *Loads) sweep(now time.Time) {
-	if now.Sub(l.swept) < reportSettles/2 {
+// removeExpired drops expired assignments and reports, and reports of instances that are down.
+func (l *Loads) removeExpired(now time.Time) {
+	if now.Sub(l.lastSweep) < reportSettleTime/2 {
 		return
 	}
-	l.swept = now
+	l.lastSweep = now
 	before := len(l.assigned) + len(l.reports)
 	l.assigned = slices.DeleteFunc(l.assigned, func(a assignment) bool { return now.Sub(a.at) >= assignmentTTL })
-	maps.DeleteFunc(l.reports, func(_ string, r reported) bool { return now.Sub(r.at) >= reportTTL || !l.runs(r.By) })
+	maps.DeleteFunc(l.reports, func(_ string, r receivedReport) bool { return now.Sub(r.at) >= reportTTL || !l.isAlive(r.Instance) })
 	l.stale = l.stale || before != len(l.assigned)+len(l.reports)
 }
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -11,11 +11,11 @@
 	"pollenspindle.example/pollenspindle/internal/routes"
 )
 
-// usualRest is what a generation of which nothing else is known is expected to
-// make yet, in tokens: half of a usual one.
-const usualRest = 450
+// defaultRemainingTokens is the expected remaining output of a generation about which nothing else
+// is known: half of a typical output.
+const defaultRemainingTokens = 450
 
-// engines returns the service of engines of this name.
+// engines returns the service with this name if it is served by model engines.
 func (p *Planner) engines(name string) (*routes.Service, error) {
 	table := p.opts.State.Table()
 	if table == nil {
@@ -28,11 +28,11 @@
 	return service, nil
 }
 
-// begin chooses the engine that a generation begins on.
-func (p *Planner) begin(r Placing) (Placed, error) {
+// chooseEngine assigns an engine to a new generation.
+func (p *Planner) chooseEngine(r Placing) (PlacementResponse, error) {
 	service, err := p.engines(r.Service)
 	if err != nil {
-		return Placed{}, err
+		return PlacementResponse{}, err
 	}
 	excluded := map[string]bool{}
 	for _, id := range r.Excluded {
@@ -46,93 +46,96 @@
 			engines = g.engines
 		}
 	}
-	choice := p.plan.Pick(now, balancer.Request{
+	choice := p.loadBalancer.Pick(now, balancer.Request{
 		Service: service, Zone: r.Zone, Tokens: r.Need, Prompt: r.Prompt, Excluded: excluded,
 		Instances: p.opts.Table.Count(now), Whole: true, Anyway: r.Anyway,
 	}, engines)
 	picked, ok := choice.(balancer.Picked)
 	if _, full := choice.(balancer.Full); full && r.Need <= service.Engine.MemoryTokens {
-		return Placed{}, ErrFull
+		return PlacementResponse{}, ErrFull
 	}
 	if !ok {
-		return Placed{}, ErrUnavailable
+		return PlacementResponse{}, ErrUnavailable
 	}
-	p.plan.Done(picked.Place)
-	if within := time.Duration(r.Within) * time.Millisecond; within > 0 && p.plan.ReadWait(now, picked.Place.Server.ID) > within {
-		p.plan.ReleasePrompt(picked.Place)
-		return Placed{}, ErrFull
+	p.loadBalancer.Done(picked.Place)
+	if maxWait := time.Duration(r.Within) * time.Millisecond; maxWait > 0 && p.loadBalancer.ReadWait(now, picked.Place.Server.ID) > maxWait {
+		p.loadBalancer.ReleasePrompt(picked.Place)
+		return PlacementResponse{}, ErrFull
 	}
 	if r.Most > 0 && picked.Score > r.Most {
-		p.plan.ReleasePrompt(picked.Place)
-		return Placed{Score: picked.Score}, nil
+		p.loadBalancer.ReleasePrompt(picked.Place)
+		return PlacementResponse{Score: picked.Score}, nil
 	}
 	p.loads.Assign(now, r.By, picked.Place.Server.ID, r.Need)
-	return Placed{Engine: picked.Place.Server.ID, Score: picked.Score}, nil
+	return PlacementResponse{Engine: picked.Place.Server.ID, Score: picked.Score}, nil
 }
 
-// scheduleCopy plans a copy: where to, and when.
+// scheduleCopy waits until the slots of an engine's copies are assigned and returns the target and
+// the start of one.
 func (p *Planner) scheduleCopy(ctx context.Context, l Leaving) (Turn, error) {
 	service, err := p.engines(l.Service)
 	if err != nil {
 		return Turn{}, err
 	}
 	now := p.opts.Now()
-	decided := p.schedule.Add(now, Copy{Run: l.Run, By: l.By, From: l.Engine, Tokens: l.Tokens})
-	if objectapi.Pause(ctx, decided.Sub(now)) != nil {
+	decideAt := p.schedule.Add(now, Copy{GenerationID: l.Run, Instance: l.By, Source: l.Engine, Tokens: l.Tokens})
+	if objectapi.Pause(ctx, decideAt.Sub(now)) != nil {
 		return Turn{}, ErrUnavailable
 	}
 	now = p.opts.Now()
-	booked, ok := p.schedule.Turn(now, l.Engine, l.Run, &room{p: p, now: now, service: service, leaving: l})
+	slot, ok := p.schedule.Slot(now, l.Engine, l.Run, &targetFinder{p: p, now: now, service: service, leaving: l})
 	if !ok {
 		return Turn{}, ErrUnavailable
 	}
-	wait := max(0, booked.At.Sub(now))
-	p.opts.Log.Info().Str("request", l.Run).Str("from", l.Engine).Str("to", booked.To).Int("tokens", l.Tokens).
-		Dur("wait", wait).Dur("takes", booked.Takes).Msg("turn given")
-	return Turn{WaitMillis: wait.Milliseconds(), To: booked.To}, nil
+	wait := max(0, slot.Start.Sub(now))
+	p.opts.Log.Info().Str("request", l.Run).Str("from", l.Engine).Str("to", slot.Target).Int("tokens", l.Tokens).
+		Dur("wait", wait).Dur("takes", slot.Duration).Msg("turn given")
+	return Turn{WaitMillis: wait.Milliseconds(), To: slot.Target}, nil
 }
 
-// room knows which engines have room for the copies of one that leaves.
-type room struct {
-	p       *Planner
-	now     time.Time
-	service *routes.Service
-	leaving Leaving
-	found   map[string]observed.Server
+// targetFinder finds engines with free capacity for the copies from an engine that shuts down.
+type targetFinder struct {
+	p          *Planner
+	now        time.Time
+	service    *routes.Service
+	leaving    Leaving
+	candidates map[string]observed.Server
 }
 
-// For returns the engines with room, the freest first: those of the group, whose
-// loads are known, or else any.
-func (r *room) For(c Copy) []Target {
+// Candidates returns the engines with free capacity, best first. Engines of the group, whose loads
+// are known, come before all others.
+func (r *targetFinder) Candidates(c Copy) []Target {
 	all := r.p.opts.State.Servers(r.service.Name)
-	free := r.free(c, r.p.groupEngines(r.service.Name, r.leaving.Zone, r.leaving.Engine))
+	free := r.freeEngines(c, r.p.groupEngines(r.service.Name, r.leaving.Zone, r.leaving.Engine))
 	if len(free) == 0 {
-		free = r.free(c, all)
+		free = r.freeEngines(c, all)
 	}
-	r.found = map[string]observed.Server{}
+	r.candidates = map[string]observed.Server{}
 	targets := make([]Target, 0, len(free))
 	for _, server := range free {
-		r.found[server.ID] = server
-		targets = append(targets, Target{ID: server.ID, Takes: migration.CopyTime(*r.service.Engine, c.Tokens, server.Zone != r.leaving.Zone)})
+		r.candidates[server.ID] = server
+		targets = append(targets, Target{ID: server.ID, Duration: migration.CopyTime(*r.service.Engine, c.Tokens, server.Zone != r.leaving.Zone)})
 	}
 	return targets
 }
 
-func (r *room) free(c Copy, engines []observed.Server) []observed.Server {
-	return r.p.plan.Free(r.now, balancer.Request{
-		Service: r.service, Zone: r.leaving.Zone, Tokens: r.need(c), Excluded: map[string]bool{r.leaving.Engine: true},
+func (r *targetFinder) freeEngines(c Copy, engines []observed.Server) []observed.Server {
+	return r.p.loadBalancer.Free(r.now, balancer.Request{
+		Service: r.service, Zone: r.leaving.Zone, Tokens: r.requiredTokens(c), Excluded: map[string]bool{r.leaving.Engine: true},
 		Instances: r.p.opts.Table.Count(r.now),
 	}, engines)
 }
 
-// need is the memory that a copy is expected to need: what the asker says, or
-// for others of the same engine a little more than they have now.
-func (r *room) need(c Copy) int {
-	if c.Run == r.leaving.Run {
+// requiredTokens returns the expected memory demand of a copy: the requester's estimate, or for
+// other copies from the same engine their current size and a default.
+func (r *targetFinder) requiredTokens(c Copy) int {
+	if c.GenerationID == r.leaving.Run {
 		return r.leaving.Need
 	}
-	return c.Tokens + usualRest
+	return c.Tokens + defaultRemainingTokens
 }
 
-// Take counts a copy on the engine that it goes to.
-func (r *room) Take(c Copy, t Target) { r.p.loads.Assign(r.now, c.By, t.ID, r.need(c)) }
+// Reserve counts a copy on its target engine.
+func (r *targetFinder) Reserve(c Copy, t Target) {
+	r.p.loads.Assign(r.now, c.Instance, t.ID, r.requiredTokens(c))
+}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,17 +1,16 @@
-// Package planner has one instance plan for a group of model engines: which
-// engine a generation begins on, and when a generation that leaves its engine
-// is copied, and to which.
+// Package planner assigns generations to model engines. For each group of engines one instance
+// plans which engine a generation starts on, and when and to which engine a generation is migrated
+// if its engine shuts down.
 //
-// Instances report what they have on the engines of a group to the one among them
-// that plans for it, found by hashing, which adds what it has assigned since. It
-// holds no right: an instance that can't reach it asks the next one, or decides by
-// itself.
+// Instances send load reports for the engines of a group to the instance that plans for it, which
+// is found by hashing. The planner adds the assignments that no report includes yet. Planning needs
+// no lock: an instance that can't reach the planner asks the next one, or decides by itself.
 //
 // # Usage
 //
 //	p := planner.New(planner.Options{...})
-//	engine, ok := p.Place(ctx, planner.Placing{...})
-//	turn, err := p.Ask(ctx, planner.Leaving{...})
+//	engine, err := p.Place(ctx, planner.PlacementRequest{...})
+//	slot, err := p.RequestTransfer(ctx, planner.TransferRequest{...})
 package planner
 
 import (
@@ -33,80 +32,80 @@
 )
 
 const (
-	turnProcedure   = "/pollenspindle.planner.v1.Planner/Turn"
-	placeProcedure  = "/pollenspindle.planner.v1.Planner/Place"
-	reportProcedure = "/pollenspindle.planner.v1.Planner/Report"
-	// turnTimeout bounds the call for a turn: its answer takes gather and two
-	// ways, and an engine that leaves stays for one and a half seconds.
-	turnTimeout = 150 * time.Millisecond
-	// placeTimeout bounds the call for an engine, which takes some
-	// milliseconds: a prompt is read in a few hundred.
+	transferProcedure = "/pollenspindle.planner.v1.Planner/Turn"
+	placeProcedure    = "/pollenspindle.planner.v1.Planner/Place"
+	reportProcedure   = "/pollenspindle.planner.v1.Planner/Report"
+	// transferTimeout limits the request for a transfer slot. The response takes collectWindow and
+	// a round trip, and an engine stays up for 1.5 s after its shutdown notice.
+	transferTimeout = 150 * time.Millisecond
+	// placeTimeout limits a placement request. It takes a few milliseconds; a prompt's prefill
+	// takes a few hundred.
 	placeTimeout = 60 * time.Millisecond
 	// plannerBackoff is how long a planner that didn't answer isn't asked again.
 	plannerBackoff = time.Second
-	// maxGroups is how many groups are asked for room, maxOwners how many
-	// instances for a plan of one group.
-	maxGroups = 3
-	maxOwners = 2
+	// maxGroups is how many groups are asked for a placement, maxPlanners how many instances are
+	// asked to plan for one group.
+	maxGroups   = 3
+	maxPlanners = 2
 )
 
-// ErrUnavailable means that no plan was to be had; the asker goes on by itself.
-var ErrUnavailable = merry.Sentinel("no plan to be had")
+// ErrUnavailable means that no plan is available; the caller decides by itself.
+var ErrUnavailable = merry.Sentinel("no plan available")
 
-// ErrFull means that no engine has room now.
-var ErrFull = merry.Sentinel("no engine has room")
+// ErrFull means that no engine has free capacity.
+var ErrFull = merry.Sentinel("no engine has free capacity")
 
-// Leaving is a generation whose engine leaves.
+// Leaving requests a transfer slot for a generation whose engine shuts down.
 type Leaving struct {
 	Run     string `json:"run"`
 	Service string `json:"service"`
-	// By is the instance that asks.
+	// Instance is the ID of the requesting instance.
 	By string `json:"by"`
-	// Engine is the id of the engine that leaves, Zone where it stands.
+	// Engine is the ID of the engine that shuts down, Zone its availability zone.
 	Engine string `json:"engine"`
 	Zone   string `json:"zone"`
-	// Tokens are in memory now, Need is what the generation is expected to need.
+	// Tokens is the current size of the KV cache, RequiredTokens its expected final size.
 	Tokens int `json:"tokens"`
 	Need   int `json:"need"`
 }
 
-// Turn is when a generation is copied, and to which engine.
+// Turn tells when a generation is copied, and to which engine.
 type Turn struct {
 	WaitMillis int64  `json:"waitMillis"`
 	To         string `json:"to"`
 }
 
-// Wait returns how long the asker waits before it begins to copy.
+// Wait returns how long to wait before the copy starts.
 func (t Turn) Wait() time.Duration { return time.Duration(t.WaitMillis) * time.Millisecond }
 
-// Placing is a generation that is to begin.
+// Placing requests an engine for a new generation.
 type Placing struct {
 	Request string `json:"request"`
 	Service string `json:"service"`
-	// By is the instance that asks.
+	// Instance is the ID of the requesting instance.
 	By string `json:"by"`
-	// Group is the group of engines that is planned for.
+	// Group is the key of the engine group to place on.
 	Group string `json:"group"`
 	Zone  string `json:"zone"`
-	// Prompt is to be read, Need the memory that the generation is expected to
-	// need in all, in tokens.
+	// PromptTokens is the length of the prompt, RequiredTokens the expected memory demand of the
+	// whole generation.
 	Prompt int `json:"prompt"`
 	Need   int `json:"need"`
-	// Most is the score above which it isn't placed, 0 for none: the asker has
-	// other groups to ask.
+	// MaxScore is the score above which no engine is assigned because the requester has other
+	// groups to ask; 0 means no limit.
 	Most float64 `json:"most,omitempty"`
-	// Within is the time in milliseconds in which the first token is wanted, 0 for
-	// no such time: a generation that would begin later is refused.
+	// MaxPrefillWaitMillis limits how long the generation waits for the prefill of earlier prompts;
+	// beyond it the request is refused. 0 means no limit.
 	Within int64 `json:"within,omitempty"`
-	// Anyway has it placed on the least loaded engine where all are full.
+	// Force assigns the lowest loaded engine if all are full.
 	Anyway bool `json:"anyway,omitempty"`
-	// Excluded are engines that it must not begin on.
+	// Excluded are the IDs of engines that must not be assigned.
 	Excluded []string `json:"excluded,omitempty"`
 }
 
-// Placed is the id of the engine that a generation begins on, or none where the
-// score of the best is above what the asker wants, and that score.
-type Placed struct {
+// PlacementResponse holds the ID of the assigned engine and its score. The ID is empty if the best
+// score exceeds the requested maximum.
+type PlacementResponse struct {
 	Engine string  `json:"engine"`
 	Score  float64 `json:"score"`
 }
@@ -117,158 +116,158 @@
 	Table *membership.Table
 	Key   peer.Key
 	State *observed.State
-	// Bounds are the deployment's limits on cold servers.
+	// ColdLimits limits the request rate of cold servers.
 	Bounds balancer.Bounds
-	// Own returns what this instance has on the servers.
+	// OwnLoads returns this instance's load on each server.
 	Own func() map[string]balancer.Load
-	// Changed has an entry after that has changed.
+	// LoadChanged signals a change of this instance's load.
 	Changed <-chan struct{}
-	// Failures returns how often a server failed this instance lately.
+	// Failures returns the decayed number of recent failures of a server.
 	Failures func(now time.Time, id string) float64
 	Log      zerolog.Logger
 	Now      func() time.Time
 }
 
-// Planner asks the instance that plans, and answers where it is this one. It is
-// safe for concurrent use.
+// Planner requests plans from the planning instance, or makes them if it is this one. It is safe
+// for concurrent use.
 type Planner struct {
-	opts     Options
-	schedule *Schedule
-	loads    *Loads
-	plan     *balancer.Balancer
-	caller   *peerrpc.Caller
+	opts         Options
+	schedule     *Schedule
+	loads        *Loads
+	loadBalancer *balancer.Balancer
+	rpc          *peerrpc.Caller
 
 	mu sync.Mutex
-	// backoff are planners that didn't answer, and until when they aren't asked.
+	// backoff holds the planners that didn't answer, and until when they aren't asked.
 	backoff map[string]time.Time
-	// scores are by group.
-	scores map[string]score
-	// grouped are by service.
-	grouped map[string]grouped
+	// scores holds the last score of each group.
+	scores map[string]groupScore
+	// groupCache holds the groups of each service.
+	groupCache map[string]serviceGroups
 }
 
 // New returns a planner.
 func New(opts Options) *Planner {
 	p := &Planner{
-		opts: opts, schedule: NewSchedule(), loads: NewLoads(running(opts.Table)), caller: peerrpc.NewCaller(opts.Key, opts.Self, turnTimeout),
-		backoff: map[string]time.Time{}, scores: map[string]score{}, grouped: map[string]grouped{},
+		opts: opts, schedule: NewSchedule(), loads: NewLoads(isAlive(opts.Table)), rpc: peerrpc.NewCaller(opts.Key, opts.Self, transferTimeout),
+		backoff: map[string]time.Time{}, scores: map[string]groupScore{}, groupCache: map[string]serviceGroups{},
 	}
-	p.plan = balancer.New(opts.Bounds, rand.New(rand.NewPCG(rand.Uint64(), 3)), p.loads.On)
-	p.plan.HearFailures(opts.Failures)
+	p.loadBalancer = balancer.New(opts.Bounds, rand.New(rand.NewPCG(rand.Uint64(), 3)), p.loads.ForEngine)
+	p.loadBalancer.HearFailures(opts.Failures)
 	return p
 }
 
-// running reports of an instance whether it isn't known to be down.
-func running(table *membership.Table) func(id string) bool {
+// isAlive returns a function that reports whether an instance isn't known to be down.
+func isAlive(table *membership.Table) func(id string) bool {
 	return func(id string) bool {
 		r, ok := table.Get(id)
 		return !ok || !r.Down
 	}
 }
 
-// Ask gets the turn of a copy from the instance that plans for the group of the
-// engine that leaves.
+// Ask requests a transfer slot from the instance that plans for the group of the engine that shuts
+// down.
 func (p *Planner) Ask(ctx context.Context, l Leaving) (Turn, error) {
 	l.By = p.opts.Self
-	address, ok := p.planner(p.keyOf(l.Service, l.Zone, l.Engine), 0)
+	address, ok := p.plannerAddress(p.groupKeyOf(l.Service, l.Zone, l.Engine), 0)
 	if !ok {
 		return Turn{}, ErrUnavailable
 	}
 	if address == "" {
 		return p.scheduleCopy(ctx, l)
 	}
-	ctx, cancel := context.WithTimeout(ctx, turnTimeout)
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	client := connect.NewClient[Leaving, Turn](p.caller.HTTP, "http://"+address+turnProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[Leaving, Turn](p.rpc.HTTP, "http://"+address+transferProcedure, peerrpc.ClientOptions()...)
 	req := connect.NewRequest(&l)
-	p.caller.Sign(p.opts.Now(), req.Header(), turnProcedure)
+	p.rpc.Sign(p.opts.Now(), req.Header(), transferProcedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
-		return Turn{}, p.failed(address, err)
+		return Turn{}, p.noteFailure(address, err)
 	}
 	return *res.Msg, nil
 }
 
-// Place gets the engine that a generation begins on. Where the engines of one
-// group are busy or full, those of the next are asked for; where all are, the
-// generation waits at the least loaded engine of the least busy group.
+// Place returns the engine that a generation starts on. If the engines of one group are busy or
+// full, the next group is asked. If all groups are, the generation queues at the lowest loaded
+// engine of the lowest busy group.
 func (p *Planner) Place(ctx context.Context, r Placing) (string, error) {
 	r.By = p.opts.Self
 	all, _ := p.groups(r.Service)
-	groups := p.inOrder(p.opts.Now(), all, r.Zone, r.Request)
+	groups := p.sortedGroups(p.opts.Now(), all, r.Zone, r.Request)
 	groups = groups[:min(len(groups), maxGroups)]
 	if len(groups) > 1 {
 		r.Most = busyScore
 	}
-	least, leastScore, err := "", float64(fullScore), ErrUnavailable
+	lowest, lowestScore, err := "", float64(fullScore), ErrUnavailable
 	for _, g := range groups {
 		r.Group = g.key
-		placed, failure := p.placeIn(ctx, r)
-		if failure == nil && placed.Engine != "" {
-			p.noteScore(g.key, p.opts.Now(), placed.Score)
-			return placed.Engine, nil
+		res, failure := p.placeIn(ctx, r)
+		if failure == nil && res.Engine != "" {
+			p.recordScore(g.key, p.opts.Now(), res.Score)
+			return res.Engine, nil
 		}
 		if failure != nil {
-			placed.Score = fullScore
+			res.Score = fullScore
 		}
-		p.noteScore(g.key, p.opts.Now(), placed.Score)
-		if failure == nil && placed.Score < leastScore {
-			least, leastScore = g.key, placed.Score
+		p.recordScore(g.key, p.opts.Now(), res.Score)
+		if failure == nil && res.Score < lowestScore {
+			lowest, lowestScore = g.key, res.Score
 		}
 		if failure != nil && !errors.Is(err, ErrFull) {
 			err = failure
 		}
 	}
 	switch {
-	case least != "":
-		r.Group, r.Most = least, 0
+	case lowest != "":
+		r.Group, r.Most = lowest, 0
 	case errors.Is(err, ErrFull):
 		r.Group, r.Most, r.Anyway = groups[0].key, 0, true
 	default:
 		return "", err
 	}
-	placed, err := p.placeIn(ctx, r)
-	return placed.Engine, err
+	res, err := p.placeIn(ctx, r)
+	return res.Engine, err
 }
 
-// fullScore is the score of a group without room or without a planner.
+// fullScore is the score of a group without capacity or without a reachable planner.
 const fullScore = 10
 
-// placeIn asks for an engine of one group. Where the instance that plans for it
-// doesn't answer, the next one is asked, once.
-func (p *Planner) placeIn(ctx context.Context, r Placing) (Placed, error) {
-	for owner := range maxOwners {
-		address, ok := p.planner(r.Group, owner)
+// placeIn requests an engine of one group. If its planner doesn't answer, the next instance is
+// asked, once.
+func (p *Planner) placeIn(ctx context.Context, r Placing) (PlacementResponse, error) {
+	for candidate := range maxPlanners {
+		address, ok := p.plannerAddress(r.Group, candidate)
 		if !ok {
 			continue
 		}
-		placed, err := p.placeAt(ctx, address, r)
+		res, err := p.placeAt(ctx, address, r)
 		if err == nil || errors.Is(err, ErrFull) {
-			return placed, err
+			return res, err
 		}
 	}
-	return Placed{}, ErrUnavailable
+	return PlacementResponse{}, ErrUnavailable
 }
 
-func (p *Planner) placeAt(ctx context.Context, address string, r Placing) (Placed, error) {
+func (p *Planner) placeAt(ctx context.Context, address string, r Placing) (PlacementResponse, error) {
 	if address == "" {
-		return p.begin(r)
+		return p.chooseEngine(r)
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	client := connect.NewClient[Placing, Placed](p.caller.HTTP, "http://"+address+placeProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[Placing, PlacementResponse](p.rpc.HTTP, "http://"+address+placeProcedure, peerrpc.ClientOptions()...)
 	req := connect.NewRequest(&r)
-	p.caller.Sign(p.opts.Now(), req.Header(), placeProcedure)
+	p.rpc.Sign(p.opts.Now(), req.Header(), placeProcedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
-		return Placed{}, p.failed(address, err)
+		return PlacementResponse{}, p.noteFailure(address, err)
 	}
 	return *res.Msg, nil
 }
 
-// planner returns the address of the instance that plans for a key, nothing for
-// this one, and false while it isn't to be asked. The first owner is 0.
-func (p *Planner) planner(key string, owner int) (string, bool) {
+// plannerAddress returns the address of the instance that plans for a key. It is empty for this
+// instance; ok is false during the backoff of the planner. Owners count from 0.
+func (p *Planner) plannerAddress(key string, owner int) (string, bool) {
 	now := p.opts.Now()
 	owners := p.opts.Table.Owners(key, owner+1)
 	if len(owners) <= owner {
@@ -283,16 +282,16 @@
 	return address, !now.Before(p.backoff[address])
 }
 
-// failed notes that a planner didn't answer: it isn't asked for a while, and on a
-// new connection afterwards, as the kept one may be what is lost.
-func (p *Planner) failed(address string, err error) error {
+// noteFailure starts the backoff of a planner that didn't answer and closes its connection, since
+// the connection may be what failed.
+func (p *Planner) noteFailure(address string, err error) error {
 	if connect.CodeOf(err) == connect.CodeResourceExhausted {
 		return merry.Wrap(ErrFull, merry.WithCause(err))
 	}
 	p.mu.Lock()
 	p.backoff[address] = p.opts.Now().Add(plannerBackoff)
 	p.mu.Unlock()
-	p.caller.Drop()
+	p.rpc.Drop()
 	p.opts.Log.Info().Str("peer", address).Err(err).Msg("planner doesn't answer")
 	return merry.Wrap(ErrUnavailable, merry.WithCause(err))
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -21,14 +21,14 @@
 	"pollenspindle.example/pollenspindle/internal/routes"
 )
 
-// one is an instance's planner, with the address where others reach it.
-type one struct {
+// testInstance is an instance's planner and its peer address.
+type testInstance struct {
 	*Planner
 	table   *membership.Table
 	address string
 }
 
-func ready(id, address string) membership.Record {
+func readyRecord(id, address string) membership.Record {
 	return membership.Record{ID: id, Peer: address, Zone: "zone-0", Started: 1, Status: membership.Status{Ready: true}}
 }
 
@@ -40,17 +40,17 @@
 	return out
 }
 
-func startOne(t *testing.T, id, secret string, engines []dialect.Server) one {
+func startInstance(t *testing.T, id, secret string, engines []dialect.Server) testInstance {
 	t.Helper()
-	return startFailing(t, id, secret, engines, func(time.Time, string) float64 { return 0 })
+	return startWithFailures(t, id, secret, engines, func(time.Time, string) float64 { return 0 })
 }
 
-func startFailing(t *testing.T, id, secret string, engines []dialect.Server, failures func(time.Time, string) float64) one {
+func startWithFailures(t *testing.T, id, secret string, engines []dialect.Server, failures func(time.Time, string) float64) testInstance {
 	t.Helper()
-	return startWith(t, id, secret, engines, func(o *Options) { o.Failures = failures })
+	return startWithOptions(t, id, secret, engines, func(o *Options) { o.Failures = failures })
 }
 
-func startWith(t *testing.T, id, secret string, engines []dialect.Server, change func(*Options)) one {
+func startWithOptions(t *testing.T, id, secret string, engines []dialect.Server, configure func(*Options)) testInstance {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -61,13 +61,13 @@
 		Name: "llm", Engine: &routes.Engine{Slots: 24, MemoryTokens: 34000, TokenBytes: 163840, LinkMbps: 24000, Moves: true, TokensPerEvent: 4},
 	}}}, nil)
 	state.ReplaceServers(time.Now(), 1, engines)
-	table := membership.NewTable(ready(id, address))
+	table := membership.NewTable(readyRecord(id, address))
 	opts := Options{
 		Self: id, Table: table, Key: key, State: state, Bounds: balancer.Bounds{ColdOverage: 1.5, ColdSlack: 5},
 		Own: func() map[string]balancer.Load { return nil }, Failures: func(time.Time, string) float64 { return 0 },
 		Log: zerolog.Nop(), Now: time.Now,
 	}
-	change(&opts)
+	configure(&opts)
 	p := New(opts)
 	mux := http.NewServeMux()
 	for path, handler := range p.Handlers() {
@@ -75,87 +75,86 @@
 	}
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	go func() { _ = server.Serve(l) }()
-	t.Cleanup(func() { p.caller.Drop(); _ = server.Close() })
-	return one{p, table, address}
+	t.Cleanup(func() { p.rpc.Drop(); _ = server.Close() })
+	return testInstance{p, table, address}
 }
 
-// Two instances place generations in turn, each knowing nothing of the other's.
-// Whichever plans, no engine gets a second prompt before each has one.
-func TestInstancesShareOnePlan(t *testing.T) {
-	a, b := startOne(t, "a", "k", engineList(12)), startOne(t, "b", "k", engineList(12))
+// Two instances place generations in slot and don't know of each other's. Whichever plans, no
+// engine gets a second prompt before each has one.
+func TestInstancesShareOnePlanner(t *testing.T) {
+	a, b := startInstance(t, "a", "k", engineList(12)), startInstance(t, "b", "k", engineList(12))
 	now := time.Now()
 	a.table.Merge(now, b.table.All(now))
 	b.table.Merge(now, a.table.All(now))
-	per := map[string]int{}
+	perEngine := map[string]int{}
 	for i := range 12 {
-		asker := []one{a, b}[i%2]
-		id, err := asker.Place(t.Context(), Placing{Request: fmt.Sprint(i), Service: "llm", Zone: fmt.Sprintf("zone-%d", i%3), Prompt: 3000, Need: 4000})
+		requester := []testInstance{a, b}[i%2]
+		id, err := requester.Place(t.Context(), Placing{Request: fmt.Sprint(i), Service: "llm", Zone: fmt.Sprintf("zone-%d", i%3), Prompt: 3000, Need: 4000})
 		require.NoError(t, err)
-		per[id]++
+		perEngine[id]++
 	}
-	require.Len(t, per, 12)
+	require.Len(t, perEngine, 12)
 }
 
-// An engine has crashed, and the streams of the instance that plans broke off:
-// it plans nothing there while the platform still lists it.
-func TestCrashedEngineIsNotPlannedFor(t *testing.T) {
-	a := startFailing(t, "a", "k", engineList(3), func(_ time.Time, id string) float64 {
+// An engine has crashed and the streams of the planning instance broke. The planner assigns nothing
+// to it while the platform still lists it.
+func TestCrashedEngineGetsNoAssignments(t *testing.T) {
+	a := startWithFailures(t, "a", "k", engineList(3), func(_ time.Time, id string) float64 {
 		return map[string]float64{"e0": 2}[id]
 	})
 	for i := range 6 {
 		id, err := a.Place(t.Context(), Placing{Request: fmt.Sprint(i), Service: "llm", Zone: "zone-0", Prompt: 3000, Need: 400})
 		require.NoError(t, err)
 		require.NotEqual(t, "e0", id)
-		turn, err := a.Ask(t.Context(), Leaving{Run: fmt.Sprint(i), Service: "llm", Engine: "e1", Zone: "zone-1", Tokens: 3000, Need: 400})
+		slot, err := a.Ask(t.Context(), Leaving{Run: fmt.Sprint(i), Service: "llm", Engine: "e1", Zone: "zone-1", Tokens: 3000, Need: 400})
 		require.NoError(t, err)
-		require.Equal(t, "e2", turn.To)
+		require.Equal(t, "e2", slot.To)
 	}
 }
 
-// Eight generations of an engine that leaves, from two instances: each gets a
-// turn of its own at the link, to engines of its zone, none to the one that
-// leaves.
+// Two instances migrate eight generations of an engine that shuts down. Each gets a transfer slot
+// of its own, to engines of the same zone and never to the source.
 func TestInstancesShareALink(t *testing.T) {
-	a, b := startOne(t, "a", "k", engineList(12)), startOne(t, "b", "k", engineList(12))
+	a, b := startInstance(t, "a", "k", engineList(12)), startInstance(t, "b", "k", engineList(12))
 	now := time.Now()
 	a.table.Merge(now, b.table.All(now))
 	b.table.Merge(now, a.table.All(now))
-	turns := make(chan Turn, 8)
+	slots := make(chan Turn, 8)
 	for i := range 8 {
 		go func() {
-			turn, err := []one{a, b}[i%2].Ask(context.Background(), Leaving{
+			slot, err := []testInstance{a, b}[i%2].Ask(context.Background(), Leaving{
 				Run: fmt.Sprint(i), Service: "llm", Engine: "e0", Zone: "zone-0", Tokens: 3000, Need: 4000,
 			})
 			if err != nil {
-				turn.To = err.Error()
+				slot.To = err.Error()
 			}
-			turns <- turn
+			slots <- slot
 		}()
 	}
 	waits, targets := map[int64]bool{}, map[string]int{}
 	for range 8 {
-		turn := <-turns
-		require.Contains(t, []string{"e3", "e6", "e9"}, turn.To)
-		targets[turn.To]++
-		// A copy of 3,000 tokens takes 176 ms here.
-		waits[(turn.WaitMillis+88)/176] = true
+		slot := <-slots
+		require.Contains(t, []string{"e3", "e6", "e9"}, slot.To)
+		targets[slot.To]++
+		// A copy of 3,000 tokens takes 176 ms with this link.
+		waits[(slot.WaitMillis+88)/176] = true
 	}
 	require.Len(t, waits, 8)
 	require.Len(t, targets, 3)
 }
 
-// The instance that plans is dead, or doesn't believe the asker: the asker
-// learns so at once and decides by itself, and doesn't ask again for a while.
-func TestPlannerThatCannotBeAsked(t *testing.T) {
+// The planner is down, or rejects the requester's signature. The requester gets the error at once,
+// decides by itself and doesn't ask again during the backoff.
+func TestUnreachablePlanner(t *testing.T) {
 	tests := map[string]func(t *testing.T) string{
-		"dead":     func(*testing.T) string { return "127.0.0.1:1" },
-		"stranger": func(t *testing.T) string { return startOne(t, "x", "s", engineList(3)).address },
+		"down":      func(*testing.T) string { return "127.0.0.1:1" },
+		"wrong key": func(t *testing.T) string { return startInstance(t, "x", "s", engineList(3)).address },
 	}
 	for name, address := range tests {
 		t.Run(name, func(t *testing.T) {
-			a := startOne(t, "a", "k", engineList(3))
+			a := startInstance(t, "a", "k", engineList(3))
 			a.table.Set(time.Now(), membership.Status{})
-			a.table.Merge(time.Now(), []membership.Record{ready("x", address(t))})
+			a.table.Merge(time.Now(), []membership.Record{readyRecord("x", address(t))})
 			for range 3 {
 				_, err := a.Place(t.Context(), Placing{Request: "1", Service: "llm", Prompt: 3000, Need: 4000})
 				require.ErrorIs(t, err, ErrUnavailable)
@@ -165,7 +164,7 @@
 	}
 }
 
-func TestPlaceWithoutRoom(t *testing.T) {
+func TestPlaceWithoutCapacity(t *testing.T) {
 	tests := map[string]struct {
 		engines  int
 		excluded []string
@@ -179,7 +178,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			a := startOne(t, "a", "k", engineList(tt.engines))
+			a := startInstance(t, "a", "k", engineList(tt.engines))
 			_, err := a.Place(t.Context(), Placing{Request: "1", Service: tt.service, Need: tt.need, Excluded: tt.excluded})
 			require.ErrorIs(t, err, ErrUnavailable)
 			_, err = a.Ask(t.Context(), Leaving{Run: "1", Service: tt.service, Engine: "e0", Need: tt.need})
--- a/internal/planner/reports.go
+++ b/internal/planner/reports.go
@@ -14,29 +14,27 @@
 )
 
 const (
-	// reportGap is the least time between two reports, so that changes in quick
-	// succession travel together. Loads that only grew are reported after growGap,
-	// as the planner counts what it assigned, and those that didn't change after
-	// reportEvery.
-	reportGap   = 150 * time.Millisecond
-	growGap     = time.Second
-	reportEvery = 4 * time.Second
-	// reportTimeout bounds one report.
+	// minReportInterval is the minimum time between two reports and batches changes in quick
+	// succession. Loads that only grew are reported after growthReportInterval, since the planner
+	// counts its own assignments; unchanged loads after unchangedReportInterval.
+	minReportInterval       = 150 * time.Millisecond
+	growthReportInterval    = time.Second
+	unchangedReportInterval = 4 * time.Second
+	// reportTimeout limits the sending of one report.
 	reportTimeout = 300 * time.Millisecond
 )
 
-// sent is what a planner was last told.
-type sent struct {
+// sentReport is the last report sent to a planner.
+type sentReport struct {
 	loads map[string]balancer.Load
 	at    time.Time
 }
 
-// Run reports what this instance has on the engines to the instances that plan
-// for them, until ctx ends.
+// Run sends this instance's loads on engines to the instances that plan for them, until ctx ends.
 func (p *Planner) Run(ctx context.Context) {
-	last := map[string]sent{}
+	last := map[string]sentReport{}
 	sequence := int64(0)
-	ticker := time.NewTicker(growGap)
+	ticker := time.NewTicker(growthReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -46,48 +44,48 @@
 		case <-ticker.C:
 		}
 		now := p.opts.Now()
-		due := p.loadsByPlanner()
+		byAddress := p.loadsByPlanner()
 		for address := range last {
-			if _, ok := due[address]; !ok {
-				due[address] = nil
+			if _, ok := byAddress[address]; !ok {
+				byAddress[address] = nil
 			}
 		}
-		for address, loads := range due {
+		for address, loads := range byAddress {
 			if !reportDue(now, last[address], loads) {
 				continue
 			}
 			sequence++
-			r := Report{By: p.opts.Self, Started: p.opts.Table.Self().Started, Sequence: sequence, Loads: loads}
-			if !p.report(ctx, now, address, r) {
+			r := Report{Instance: p.opts.Self, Started: p.opts.Table.Self().Started, Sequence: sequence, Loads: loads}
+			if !p.sendReport(ctx, now, address, r) {
 				continue
 			}
-			last[address] = sent{loads, now}
+			last[address] = sentReport{loads, now}
 			if len(loads) == 0 {
 				delete(last, address)
 			}
 		}
-		if objectapi.Pause(ctx, reportGap) != nil {
+		if objectapi.Pause(ctx, minReportInterval) != nil {
 			return
 		}
 	}
 }
 
-// reportDue reports whether a planner is to be told of these loads.
-func reportDue(now time.Time, last sent, loads map[string]balancer.Load) bool {
+// reportDue reports whether these loads have to be sent to a planner now.
+func reportDue(now time.Time, last sentReport, loads map[string]balancer.Load) bool {
 	age := now.Sub(last.at)
 	if maps.Equal(last.loads, loads) {
-		return len(loads) > 0 && age >= reportEvery
+		return len(loads) > 0 && age >= unchangedReportInterval
 	}
 	for id, before := range last.loads {
 		if loads[id].Running < before.Running {
 			return true
 		}
 	}
-	return age >= growGap
+	return age >= growthReportInterval
 }
 
-// loadsByPlanner divides this instance's loads by the instances that plan for
-// their engines; the empty address is this one.
+// loadsByPlanner groups this instance's loads by the address of the planner; an empty address is
+// this instance.
 func (p *Planner) loadsByPlanner() map[string]map[string]balancer.Load {
 	out := map[string]map[string]balancer.Load{}
 	for id, load := range p.opts.Own() {
@@ -98,7 +96,7 @@
 		if _, err := p.engines(server.Service); err != nil {
 			continue
 		}
-		address, ok := p.planner(p.keyOf(server.Service, server.Zone, id), 0)
+		address, ok := p.plannerAddress(p.groupKeyOf(server.Service, server.Zone, id), 0)
 		if !ok {
 			continue
 		}
@@ -110,27 +108,27 @@
 	return out
 }
 
-func (p *Planner) report(ctx context.Context, now time.Time, address string, r Report) bool {
+func (p *Planner) sendReport(ctx context.Context, now time.Time, address string, r Report) bool {
 	if address == "" {
-		p.loads.Take(now, r)
+		p.loads.Apply(now, r)
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	client := connect.NewClient[Report, Reported](p.caller.HTTP, "http://"+address+reportProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[Report, ReportResponse](p.rpc.HTTP, "http://"+address+reportProcedure, peerrpc.ClientOptions()...)
 	req := connect.NewRequest(&r)
-	p.caller.Sign(now, req.Header(), reportProcedure)
+	p.rpc.Sign(now, req.Header(), reportProcedure)
 	if _, err := client.CallUnary(ctx, req); err != nil {
-		_ = p.failed(address, err)
+		_ = p.noteFailure(address, err)
 		return false
 	}
 	return true
 }
 
-// Reported is the answer to a [Report].
-type Reported struct{}
+// ReportResponse is the response to a [Report].
+type ReportResponse struct{}
 
-// groupEngines returns the engines that the group of an engine has.
+// groupEngines returns the engines in the group of an engine.
 func (p *Planner) groupEngines(service, zone, id string) []observed.Server {
 	groups, l := p.groups(service)
 	key := groupKey(l, service, zone, id)
--- a/internal/planner/schedule.go
+++ b/internal/planner/schedule.go
@@ -8,131 +8,129 @@
 )
 
 const (
-	// gather is how long asks for one link are collected before their order is
-	// decided: instances hear that an engine leaves within some milliseconds of
-	// each other. It is a tenth of a usual copy.
-	gather = 20 * time.Millisecond
-	// aboutSame is how much sooner a copy must be at one engine than at another
-	// to be sent there in spite of less room: a quarter of a usual copy.
-	aboutSame = 50 * time.Millisecond
-	// forgetAfter is when the plan of a link is dropped. No engine that leaves
-	// stays that long.
-	forgetAfter = 10 * time.Second
+	// collectWindow is how long requests for one link are collected before they are ordered:
+	// instances learn of an engine's shutdown within a few milliseconds of each other. It is a
+	// tenth of a typical copy.
+	collectWindow = 20 * time.Millisecond
+	// minTimeSaved is how much earlier a copy must end on one engine than on another to be sent
+	// there in spite of less free capacity: a quarter of a typical copy.
+	minTimeSaved = 50 * time.Millisecond
+	// slotTTL is when slots and idle links are dropped. No engine stays up that long after its
+	// shutdown notice.
+	slotTTL = 10 * time.Second
 )
 
-// Copy is one copy that is to be given its turn.
+// Copy is the copy of a generation's KV cache that needs a transfer slot.
 type Copy struct {
-	// Run is the id of the generation, By the instance that relays it, From the
-	// engine that it leaves.
-	Run  string
-	By   string
-	From string
-	// Tokens are in memory now.
+	GenerationID string
+	// Instance relays the generation, Source is the engine that it leaves.
+	Instance string
+	Source   string
+	// Tokens is the current size of the KV cache.
 	Tokens int
 }
 
-// Target is an engine that has room for a copy, which takes the links of both
-// for so long.
+// Target is an engine with capacity for a copy, and the time that the copy occupies both links.
 type Target struct {
-	ID    string
-	Takes time.Duration
+	ID       string
+	Duration time.Duration
 }
 
-// Targets knows the engines that have room.
+// Targets finds engines with free capacity for copies.
 type Targets interface {
-	// For returns them, the best first.
-	For(c Copy) []Target
-	// Take counts the copy on the engine that was chosen.
-	Take(c Copy, t Target)
+	// Candidates returns the engines with capacity, best first.
+	Candidates(c Copy) []Target
+	// Reserve counts the copy on the chosen engine.
+	Reserve(c Copy, t Target)
 }
 
-// Booked is the turn of a copy: when it begins, and to which engine it goes.
-type Booked struct {
-	At    time.Time
-	To    string
-	Takes time.Duration
+// TransferSlot tells when a copy starts, to which engine it goes and how long it takes.
+type TransferSlot struct {
+	Start    time.Time
+	Target   string
+	Duration time.Duration
 }
 
-// link is the plan of one engine's link.
+// link is the schedule of one engine's network link.
 type link struct {
-	// free is when the copies planned so far are over.
-	free time.Time
-	// waiting are asks whose order is decided at decide.
-	waiting []Copy
-	decide  time.Time
-	used    time.Time
+	// freeAt is the end of the last scheduled copy.
+	freeAt time.Time
+	// pending holds the requests that are ordered at decideAt.
+	pending  []Copy
+	decideAt time.Time
+	lastUsed time.Time
 }
 
-// Schedule plans the links of engines. It is safe for concurrent use.
+// Schedule assigns transfer slots on the links of engines. It is safe for concurrent use.
 type Schedule struct {
-	mu     sync.Mutex
-	links  map[string]*link
-	booked map[string]Booked
+	mu    sync.Mutex
+	links map[string]*link
+	slots map[string]TransferSlot
 }
 
-// NewSchedule returns an empty plan.
+// NewSchedule returns an empty schedule.
 func NewSchedule() *Schedule {
-	return &Schedule{links: map[string]*link{}, booked: map[string]Booked{}}
+	return &Schedule{links: map[string]*link{}, slots: map[string]TransferSlot{}}
 }
 
-// Add notes that a copy is wanted and returns when its turn is decided.
+// Add adds a copy and returns the time at which its slot is assigned.
 func (s *Schedule) Add(now time.Time, c Copy) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forget(now)
-	delete(s.booked, c.Run)
-	from := s.link(now, c.From)
-	if len(from.waiting) == 0 {
-		from.decide = now.Add(gather)
+	s.removeExpired(now)
+	delete(s.slots, c.GenerationID)
+	from := s.link(now, c.Source)
+	if len(from.pending) == 0 {
+		from.decideAt = now.Add(collectWindow)
 	}
-	from.waiting = append(from.waiting, c)
-	return from.decide
+	from.pending = append(from.pending, c)
+	return from.decideAt
 }
 
-// Turn returns the turn of a copy that was added, or false where no engine has
-// room for it. The first call after the turns of an engine's copies are due
-// decides all of them.
-func (s *Schedule) Turn(now time.Time, from, run string, targets Targets) (Booked, bool) {
+// Slot returns the slot of a copy that was added, or false if no engine has capacity for it. The
+// first call after the end of the collection window assigns the slots of all copies from the
+// engine.
+func (s *Schedule) Slot(now time.Time, source, generationID string, targets Targets) (TransferSlot, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle(now, s.link(now, from), targets)
-	b, ok := s.booked[run]
+	s.assignSlots(now, s.link(now, source), targets)
+	b, ok := s.slots[generationID]
 	return b, ok
 }
 
-// settle decides the order of the asks that have been collected.
+// assignSlots orders the pending copies of a link and assigns their slots.
 //
-// In turn, each generation stands still for a few milliseconds; all at once, each
-// would be stopped behind the whole copies of all others. The smallest go first,
-// as most are saved so where not all can be.
-func (s *Schedule) settle(now time.Time, from *link, targets Targets) {
-	if len(from.waiting) == 0 || now.Before(from.decide) {
+// One after the other, each copy pauses its generation for a few milliseconds; in parallel, each
+// generation would be stopped until all the other copies are done. The smallest copies go first,
+// which saves the most generations if not all can be.
+func (s *Schedule) assignSlots(now time.Time, from *link, targets Targets) {
+	if len(from.pending) == 0 || now.Before(from.decideAt) {
 		return
 	}
-	slices.SortStableFunc(from.waiting, func(a, b Copy) int {
-		return cmp.Or(cmp.Compare(a.Tokens, b.Tokens), cmp.Compare(a.Run, b.Run))
+	slices.SortStableFunc(from.pending, func(a, b Copy) int {
+		return cmp.Or(cmp.Compare(a.Tokens, b.Tokens), cmp.Compare(a.GenerationID, b.GenerationID))
 	})
-	for _, c := range from.waiting {
-		if t, ok := s.soonest(now, from, targets.For(c)); ok {
-			targets.Take(c, t)
-			at := s.begin(now, from, t)
-			from.free, s.link(now, t.ID).free = at.Add(t.Takes), at.Add(t.Takes)
-			s.booked[c.Run] = Booked{At: at, To: t.ID, Takes: t.Takes}
+	for _, c := range from.pending {
+		if t, ok := s.earliestTarget(now, from, targets.Candidates(c)); ok {
+			targets.Reserve(c, t)
+			at := s.earliestStart(now, from, t)
+			from.freeAt, s.link(now, t.ID).freeAt = at.Add(t.Duration), at.Add(t.Duration)
+			s.slots[c.GenerationID] = TransferSlot{Start: at, Target: t.ID, Duration: t.Duration}
 		}
 	}
-	from.waiting = nil
+	from.pending = nil
 }
 
-// soonest chooses the target that the copy is at first.
+// earliestTarget chooses the target on which the copy ends first.
 //
-// Chosen by free memory alone, copies of engines that leave together would wait
-// for one engine's link while others stand idle.
-func (s *Schedule) soonest(now time.Time, from *link, targets []Target) (Target, bool) {
+// By free memory alone, copies from engines that shut down together would wait for one engine's
+// link while others are idle.
+func (s *Schedule) earliestTarget(now time.Time, from *link, targets []Target) (Target, bool) {
 	best := -1
 	var end time.Time
 	for i, t := range targets {
-		at := s.begin(now, from, t).Add(t.Takes)
-		if best < 0 || at.Before(end.Add(-aboutSame)) {
+		at := s.earliestStart(now, from, t).Add(t.Duration)
+		if best < 0 || at.Before(end.Add(-minTimeSaved)) {
 			best, end = i, at
 		}
 	}
@@ -142,12 +140,12 @@
 	return targets[best], true
 }
 
-// begin is when a copy to a target can begin: when both links are free.
-func (s *Schedule) begin(now time.Time, from *link, t Target) time.Time {
+// earliestStart returns when both links of a copy are free.
+func (s *Schedule) earliestStart(now time.Time, from *link, t Target) time.Time {
 	at := now
 	for _, l := range []*link{from, s.link(now, t.ID)} {
-		if l.free.After(at) {
-			at = l.free
+		if l.freeAt.After(at) {
+			at = l.freeAt
 		}
 	}
 	return at
@@ -159,19 +157,19 @@
 		l = &link{}
 		s.links[engine] = l
 	}
-	l.used = now
+	l.lastUsed = now
 	return l
 }
 
-func (s *Schedule) forget(now time.Time) {
+func (s *Schedule) removeExpired(now time.Time) {
 	for id, l := range s.links {
-		if now.Sub(l.used) > forgetAfter {
+		if now.Sub(l.lastUsed) > slotTTL {
 			delete(s.links, id)
 		}
 	}
-	for id, b := range s.booked {
-		if now.Sub(b.At) > forgetAfter {
-			delete(s.booked, id)
+	for id, b := range s.slots {
+		if now.Sub(b.Start) > slotTTL {
+			delete(s.slots, id)
 		}
 	}
 }
