--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,15 +1,14 @@
-// Package balancer chooses the backend server for a request. It holds no
-// sockets and starts no goroutines; the present time is an argument.
+// Package balancer chooses the backend server for a request. It holds no sockets and starts no
+// goroutines; the present time is an argument.
 //
-// It is for instances that each see their own requests at once and those of the
-// others some hundred milliseconds late. The harms it prevents: an engine whose
-// memory fills while others stand free, a cold server that gets more than it
-// bears, requests that go on to a server that fails them, and a herd of
-// instances on the server that looked best in the same report.
+// Each instance knows its own requests at once and those of the others some hundred milliseconds
+// late. The balancer prevents that an engine's memory fills while others have capacity, that a cold
+// server gets more requests than it can take, that requests keep going to a failing server, and
+// that all instances send to the server with the lowest load in the same report.
 //
 // # Usage
 //
-//	b := balancer.New(balancer.Bounds{ColdOverage: 1.5, ColdSlack: 5}, rng)
+//	b := balancer.New(balancer.Bounds{ColdOverage: 1.5, ColdSlack: 5}, rng, nil)
 //	choice := b.Pick(now, balancer.Request{...}, candidates)
 //	if picked, ok := choice.(balancer.Picked); ok {
 //		defer b.Done(picked.Place)
@@ -29,89 +28,88 @@
 )
 
 const (
-	// zoneCost is what another availability zone weighs, as a share of a
-	// server. It keeps bytes in a zone while its servers are about as free as
-	// others, and gives way before a caller would wait.
-	zoneCost = 0.12
-	// noise spreads instances that see the same loads: about one request of a
-	// dozen on a server.
-	noise = 0.04
-	// slotWeight is what a full batch weighs beside full memory: it makes
-	// tokens slower, while full memory preempts.
+	// crossZoneCost is the cost of another availability zone, as a share of a server's capacity. It
+	// keeps traffic within a zone while the zone's servers are about as free as others, but not if
+	// callers would have to wait.
+	crossZoneCost = 0.12
+	// scoreNoise spreads instances that see the same loads: about one request of a dozen on a
+	// server.
+	scoreNoise = 0.04
+	// slotWeight is the weight of a full batch relative to full memory: a full batch makes tokens
+	// slower, full memory causes preemption.
 	slotWeight = 0.5
-	// failureCost is what a recent failure weighs, and failureHalf the time in
-	// which it counts half. A server that fails twice in a second gets
-	// requests only when all others are full; after some seconds it is tried.
-	failureCost = 0.8
-	failureHalf = 1500 * time.Millisecond
-	maxFailures = 4.0
-	// fullMemory is up to what share of its memory an engine takes requests,
-	// by what they are expected to need. Outputs end early about as often as
-	// late, so that a little more than all of it seldom preempts.
-	fullMemory = 1.1
-	// waitingMemory is the same where requests may wait.
-	waitingMemory = 1.6
-	// fullQueue is how many times its slots a plain server takes: beyond, what
-	// waits there would be late at its usual service time.
-	fullQueue = 3.0
-	// readRate is how many tokens of prompts an engine reads in a second
-	// between the steps of its running generations: first tokens of prompts of
-	// 3,000 tokens came after 0.4 s on engines with nothing to read before.
-	readRate = 7000.0
-	// memoryCost is what memory in use weighs beside a second of waiting: more
-	// generations at once make each some hundredths slower. Above scarce, where
-	// outputs longer than expected preempt others, scarceCost is added.
-	memoryCost = 0.3
-	scarce     = 0.8
-	scarceCost = 4.0
+	// failureCost is the cost of a recent failure, which halves every failureHalfLife. A server
+	// that fails twice within a second gets requests only if all others are full; after some
+	// seconds it is tried again.
+	failureCost     = 0.8
+	failureHalfLife = 1500 * time.Millisecond
+	maxFailures     = 4.0
+	// maxMemoryShare is the limit on an engine's expected memory demand, as a share of its memory.
+	// Outputs are shorter than expected about as often as longer, so slightly more than the full
+	// memory seldom causes preemption.
+	maxMemoryShare = 1.1
+	// maxForcedMemoryShare is the same limit for requests that may queue.
+	maxForcedMemoryShare = 1.6
+	// maxQueueFactor limits the requests on a plain server, as a multiple of its slots. At the
+	// usual service time, requests queued beyond it would be late.
+	maxQueueFactor = 3.0
+	// prefillRate is the number of prompt tokens that an engine processes per second between the
+	// decode steps of its running generations: for prompts of 3,000 tokens, an engine without other
+	// prompts returns the first token after 0.4 s.
+	prefillRate = 7000.0
+	// memoryCost is the cost of used memory relative to a second of waiting: each further
+	// generation slows the others by some hundredths. Above highMemoryShare, where outputs longer
+	// than expected preempt others, highMemoryCost is added.
+	memoryCost      = 0.3
+	highMemoryShare = 0.8
+	highMemoryCost  = 4.0
 )
 
-// Bounds are the deployment's limits on cold servers.
+// Bounds limits the request rate of cold servers.
 type Bounds struct {
-	// ColdOverage multiplies what a cold server declares to bear, ColdSlack is
-	// added, in requests a second.
+	// ColdOverage multiplies the rate that a cold server declares; ColdSlack, in requests per
+	// second, is added to it.
 	ColdOverage float64
 	ColdSlack   float64
 }
 
-// Request is what is to be placed.
+// Request is a request to be placed.
 type Request struct {
 	Service *routes.Service
-	// Zone is where the bytes come from.
+	// Zone is the availability zone of the caller's data.
 	Zone string
-	// Tokens is the memory that the request is expected to need, Prompt how
-	// much of it is to be read first.
+	// Tokens is the expected memory demand, PromptTokens the part of it that needs prefill.
 	Tokens int
 	Prompt int
-	// Excluded are servers by id that aren't to be chosen.
+	// Excluded holds the IDs of servers that must not be chosen.
 	Excluded map[string]bool
-	// Instances is how many instances share the limits of cold servers.
+	// Instances is the number of instances that share the limits of cold servers.
 	Instances int
-	// Whole has all servers compared, however many there are.
+	// CompareAll compares all servers, however many there are.
 	Whole bool
-	// Anyway has servers chosen that are full, up to a bound: the request waits.
+	// Force permits full servers up to a higher limit, where the request queues.
 	Anyway bool
-	// Repeatable requests may be sent again, and try servers that have failed.
+	// Retryable requests may be sent again, and so may be sent to servers that have failed.
 	Repeatable bool
-	// Spread, if not 0, spreads requests over all servers with room, by this
-	// key, in place of choosing the freest.
+	// SpreadKey, if not 0, spreads requests by this key over all servers with capacity, instead of
+	// choosing the freest.
 	Spread uint64
 }
 
 // Choice is [Picked], [Full] or [None].
 type Choice interface{ choice() }
 
-// Picked is the chosen server; its load is counted until [Balancer.Done].
+// Picked holds the chosen server; its load is counted until [Balancer.Done].
 type Picked struct {
 	Place Place
-	// Score is what the choice came to, for logs: 0 is free, 1 full.
+	// Score is the score of the choice, for logs: 0 is free, 1 is full.
 	Score float64
 }
 
-// Full means that servers are there, and all have as much as they bear.
+// Full means that servers are available, but all are at their limit.
 type Full struct{}
 
-// None means that no server is there to be used.
+// None means that no server is available.
 type None struct{}
 
 func (Picked) choice() {}
@@ -120,87 +118,86 @@
 
 // Balancer places the requests of one instance. It is safe for concurrent use.
 type Balancer struct {
-	bounds Bounds
-	mu     sync.Mutex
-	rng    *rand.Rand
-	own    map[string]*server
-	// others, if set, returns what other instances have put on a server.
-	others func(now time.Time, id string) Load
-	// heard, if set, returns failures that were seen elsewhere.
-	heard func(now time.Time, id string) float64
-	// avoid, if set, reports servers that are to be left alone.
-	avoid func(now time.Time, id string, repeatable bool) bool
-	// changed has an entry after the own load has changed. It holds one: a reader
-	// that is behind looks at the newest load anyway.
+	coldLimits Bounds
+	mu         sync.Mutex
+	rng        *rand.Rand
+	own        map[string]*serverState
+	// othersLoad, if set, returns the load of other instances on a server.
+	othersLoad func(now time.Time, id string) Load
+	// externalFailures, if set, returns failures that were counted elsewhere.
+	externalFailures func(now time.Time, id string) float64
+	// shouldAvoid, if set, reports whether a server should be avoided.
+	shouldAvoid func(now time.Time, id string, repeatable bool) bool
+	// changed signals a change of the own load. Its buffer holds one signal: a slow reader reads
+	// the latest load in any case.
 	changed chan struct{}
 }
 
-// New returns a balancer. Others returns what other instances have put on a server;
-// nil means that this is not known.
-func New(bounds Bounds, rng *rand.Rand, others func(now time.Time, id string) Load) *Balancer {
-	return &Balancer{bounds: bounds, rng: rng, own: map[string]*server{}, others: others, changed: make(chan struct{}, 1)}
+// New returns a balancer. othersLoad returns the load of other instances on a server; nil means
+// that it isn't known.
+func New(bounds Bounds, rng *rand.Rand, othersLoad func(now time.Time, id string) Load) *Balancer {
+	return &Balancer{coldLimits: bounds, rng: rng, own: map[string]*serverState{}, othersLoad: othersLoad, changed: make(chan struct{}, 1)}
 }
 
-// Pick chooses among servers and counts the load on the one chosen.
+// Pick chooses a server and counts the load on it.
 func (b *Balancer) Pick(now time.Time, r Request, servers []observed.Server) Choice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	choice := b.pick(now, r, b.sample(r, servers))
-	if _, ok := choice.(Picked); !ok && len(servers) > wholeList {
+	if _, ok := choice.(Picked); !ok && len(servers) > compareAllLimit {
 		choice = b.pick(now, r, servers)
 	}
 	if picked, ok := choice.(Picked); ok {
-		b.count(now, picked.Place)
+		b.addLoad(now, picked.Place)
 	}
 	return choice
 }
 
 const (
-	// wholeList is up to how many servers all are compared. sampleNear and
-	// sampleFar are how many are drawn from longer lists, in the caller's zone
-	// and elsewhere.
+	// compareAllLimit is the number of servers up to which all are compared. From longer lists,
+	// sameZoneSample servers are sampled in the caller's zone and otherZoneSample elsewhere.
 	//
-	// Instances that know only their own load would otherwise choose alike; the
-	// freest of a few drawn at random is nearly as free.
-	wholeList  = 16
-	sampleNear = 3
-	sampleFar  = 1
+	// Instances that know only their own load would otherwise choose alike; the freest server of a
+	// small random sample is nearly as free as the freest of all.
+	compareAllLimit = 16
+	sameZoneSample  = 3
+	otherZoneSample = 1
 )
 
 // sample draws a few servers from a long list.
 func (b *Balancer) sample(r Request, servers []observed.Server) []observed.Server {
-	if len(servers) <= wholeList || r.Whole || r.Spread != 0 {
+	if len(servers) <= compareAllLimit || r.Whole || r.Spread != 0 {
 		return servers
 	}
-	out := make([]observed.Server, 0, sampleNear+sampleFar)
-	near, far := sampleNear, sampleFar
+	out := make([]observed.Server, 0, sameZoneSample+otherZoneSample)
+	sameZone, otherZone := sameZoneSample, otherZoneSample
 	for _, i := range b.rng.Perm(len(servers)) {
 		s := servers[i]
-		left := &far
+		remaining := &otherZone
 		if s.Zone == r.Zone {
-			left = &near
+			remaining = &sameZone
 		}
-		if *left == 0 || r.Excluded[s.ID] {
+		if *remaining == 0 || r.Excluded[s.ID] {
 			continue
 		}
-		*left--
+		*remaining--
 		out = append(out, s)
 	}
 	return out
 }
 
-// pick chooses among servers.
+// pick chooses the server with the lowest score.
 func (b *Balancer) pick(now time.Time, r Request, servers []observed.Server) Choice {
 	best, bestScore := -1, math.Inf(1)
 	usable := 0
 	for i := range servers {
 		s := &servers[i]
-		if r.Excluded[s.ID] || !b.bearsCold(now, r, s) {
+		if r.Excluded[s.ID] || !b.admitsCold(now, r, s) {
 			continue
 		}
 		usable++
-		load := b.load(now, r, s)
-		if load > limitFor(r) {
+		load := b.utilization(now, r, s)
+		if load > requestLimit(r) {
 			continue
 		}
 		score := b.score(now, r, s, load)
@@ -217,8 +214,7 @@
 	return Picked{Place: Place{Server: servers[best], Tokens: r.Tokens, Prompt: r.Prompt}, Score: bestScore}
 }
 
-// Free returns the servers that have room for a request, the best first. It
-// counts nothing.
+// Free returns the servers with capacity for a request, best first. It doesn't count any load.
 func (b *Balancer) Free(now time.Time, r Request, servers []observed.Server) []observed.Server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -229,10 +225,10 @@
 	var all []scored
 	for i := range servers {
 		s := &servers[i]
-		if r.Excluded[s.ID] || !b.bearsCold(now, r, s) {
+		if r.Excluded[s.ID] || !b.admitsCold(now, r, s) {
 			continue
 		}
-		if load := b.load(now, r, s); load <= limit(r.Service) {
+		if load := b.utilization(now, r, s); load <= serviceLimit(r.Service) {
 			all = append(all, scored{*s, b.score(now, r, s, load)})
 		}
 	}
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -14,12 +14,12 @@
 )
 
 var (
-	start   = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
-	plain   = &routes.Service{Name: "desk"}
-	engines = &routes.Service{Name: "llm", ColdPerSecond: 38, Engine: &routes.Engine{Slots: 24, MemoryTokens: 34000}}
+	start         = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
+	plainService  = &routes.Service{Name: "desk"}
+	engineService = &routes.Service{Name: "llm", ColdPerSecond: 38, Engine: &routes.Engine{Slots: 24, MemoryTokens: 34000}}
 )
 
-func alone(time.Time, string) Load { return Load{} }
+func noOthersLoad(time.Time, string) Load { return Load{} }
 
 func newBalancer(others func(time.Time, string) Load) *Balancer {
 	return New(Bounds{ColdOverage: 1.5, ColdSlack: 5}, rand.New(rand.NewPCG(1, 2)), others)
@@ -33,40 +33,40 @@
 	return out
 }
 
-func picked(t *testing.T, c Choice) Place {
+func requirePicked(t *testing.T, c Choice) Place {
 	t.Helper()
 	require.IsType(t, Picked{}, c)
 	return c.(Picked).Place
 }
 
-// One instance places a burst of long and short generations at once. No engine
-// may get more memory than it has while another stands free, or it preempts in
-// the middle of streams; when all are full the rest is refused at once.
-func TestBurstFillsNoEngineBeforeOthers(t *testing.T) {
-	b, list, rng := newBalancer(alone), servers(12, 24), rand.New(rand.NewPCG(3, 4))
+// One instance places a burst of long and short generations at once. No engine may get more memory
+// demand than it has memory while another has capacity, since it would preempt running streams.
+// When all are full, the remaining requests are refused at once.
+func TestBurstFillsEnginesEvenly(t *testing.T) {
+	b, list, rng := newBalancer(noOthersLoad), servers(12, 24), rand.New(rand.NewPCG(3, 4))
 	used, refused := map[string]int{}, 0
 	for range 200 {
 		tokens := []int{2300, 6500}[rng.IntN(2)]
-		switch c := b.Pick(start, Request{Service: engines, Zone: "zone-0", Tokens: tokens}, list).(type) {
+		switch c := b.Pick(start, Request{Service: engineService, Zone: "zone-0", Tokens: tokens}, list).(type) {
 		case Picked:
 			used[c.Place.Server.ID] += tokens
 		case Full:
 			refused++
 		case None:
-			t.Fatal("servers are there")
+			t.Fatal("no server available")
 		}
 	}
-	least, most := 1<<30, 0
+	lowest, highest := 1<<30, 0
 	for _, s := range list {
-		least, most = min(least, used[s.ID]), max(most, used[s.ID])
+		lowest, highest = min(lowest, used[s.ID]), max(highest, used[s.ID])
 	}
-	require.LessOrEqual(t, float64(most), fullMemory*34000)
-	require.Greater(t, least, most/2)
+	require.LessOrEqual(t, float64(highest), maxMemoryShare*34000)
+	require.Greater(t, lowest, highest/2)
 	require.Positive(t, refused)
 }
 
-// The loads of other instances count, though they come late: a server that
-// they have filled gets nothing more from here.
+// The loads of other instances count, even though they are known late: a server that they have
+// filled gets no more requests.
 func TestOthersLoadCounts(t *testing.T) {
 	b := newBalancer(func(_ time.Time, id string) Load {
 		if id == "s0" {
@@ -75,49 +75,49 @@
 		return Load{}
 	})
 	for range 4 {
-		require.NotEqual(t, "s0", picked(t, b.Pick(start, Request{Service: engines, Tokens: 3000}, servers(3, 24))).Server.ID)
+		require.NotEqual(t, "s0", requirePicked(t, b.Pick(start, Request{Service: engineService, Tokens: 3000}, servers(3, 24))).Server.ID)
 	}
 }
 
-// One server of three answers nothing any more while its health is good. After
-// each failure it gets less, and when it is well again it gets its part.
-func TestFailingServerIsAvoidedForAWhile(t *testing.T) {
-	b, list := newBalancer(alone), servers(3, 6)
+// One server of three fails all requests while its health check passes. After each failure it gets
+// fewer requests; when it recovers it gets its share again.
+func TestFailingServerIsAvoidedTemporarily(t *testing.T) {
+	b, list := newBalancer(noOthersLoad), servers(3, 6)
 	b.Failed(start, "s0")
 	for range 6 {
-		place := picked(t, b.Pick(start, Request{Service: plain, Zone: "zone-0"}, list))
+		place := requirePicked(t, b.Pick(start, Request{Service: plainService, Zone: "zone-0"}, list))
 		require.NotEqual(t, "s0", place.Server.ID)
 		b.Done(place)
 	}
-	later := start.Add(10 * failureHalf)
-	require.Equal(t, "s0", picked(t, b.Pick(later, Request{Service: plain, Zone: "zone-0"}, list)).Server.ID)
+	later := start.Add(10 * failureHalfLife)
+	require.Equal(t, "s0", requirePicked(t, b.Pick(later, Request{Service: plainService, Zone: "zone-0"}, list)).Server.ID)
 }
 
-// A zone's servers come back cold while seven instances hold requests for
-// them. All together may send no more in any second than a cold server bears.
-func TestColdServerGetsNoMoreThanItBears(t *testing.T) {
+// The servers of a zone return cold while seven instances hold requests for them. All instances
+// together may send no more per second than a cold server can take.
+func TestColdServerRateLimit(t *testing.T) {
 	const instances = 7
 	list := servers(1, 1000)
 	list[0].ColdUntil = start.Add(time.Minute)
 	var sent []time.Time
 	all := make([]*Balancer, instances)
 	for i := range all {
-		all[i] = newBalancer(alone)
+		all[i] = newBalancer(noOthersLoad)
 	}
-	big := &routes.Service{Name: "llm", ColdPerSecond: 38, Engine: &routes.Engine{Slots: 1000, MemoryTokens: 1 << 30}}
+	largeService := &routes.Service{Name: "llm", ColdPerSecond: 38, Engine: &routes.Engine{Slots: 1000, MemoryTokens: 1 << 30}}
 	for ms := range 5000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		for i, b := range all {
 			if (ms+i)%5 != 0 {
 				continue
 			}
-			if c, ok := b.Pick(now, Request{Service: big, Instances: instances}, list).(Picked); ok {
+			if c, ok := b.Pick(now, Request{Service: largeService, Instances: instances}, list).(Picked); ok {
 				sent = append(sent, now)
 				b.Done(c.Place)
 			}
 		}
 	}
-	most := 0
+	highest := 0
 	for i := range sent {
 		n := 0
 		for _, at := range sent[i:] {
@@ -125,16 +125,16 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	require.LessOrEqual(t, most, 38*3/2+5)
+	require.LessOrEqual(t, highest, 38*3/2+5)
 	require.Greater(t, len(sent), 5*15)
 }
 
-// Seven instances look for room for the generations of two engines that leave,
-// none seeing what the others choose. Taking the freest engine all would meet
-// at one link and at the next engine that leaves.
-func TestMovedGenerationsSpread(t *testing.T) {
+// Seven instances choose targets for the generations of two engines that shut down, and don't see
+// each other's choices. If all chose the freest engine, their copies would share one link and lose
+// again when that engine shuts down.
+func TestMigratedGenerationsSpread(t *testing.T) {
 	list := servers(10, 24)
 	loads := func(_ time.Time, id string) Load {
 		if id == "s0" {
@@ -142,21 +142,21 @@
 		}
 		return Load{Running: 3, Tokens: 11000}
 	}
-	per := map[string]int{}
+	perServer := map[string]int{}
 	for i := range uint64(14) {
 		b := newBalancer(loads)
-		r := Request{Service: engines, Zone: "zone-0", Tokens: 4000, Spread: i*0x9e3779b97f4a7c15 + 1}
-		per[picked(t, b.Pick(start, r, list)).Server.ID]++
+		r := Request{Service: engineService, Zone: "zone-0", Tokens: 4000, Spread: i*0x9e3779b97f4a7c15 + 1}
+		perServer[requirePicked(t, b.Pick(start, r, list)).Server.ID]++
 	}
-	most := 0
-	for _, n := range per {
-		most = max(most, n)
+	highest := 0
+	for _, n := range perServer {
+		highest = max(highest, n)
 	}
-	require.LessOrEqual(t, most, 6)
-	require.GreaterOrEqual(t, len(per), 4)
+	require.LessOrEqual(t, highest, 6)
+	require.GreaterOrEqual(t, len(perServer), 4)
 }
 
-func TestChoiceWithoutRoom(t *testing.T) {
+func TestChoiceWithoutCapacity(t *testing.T) {
 	tests := map[string]struct {
 		list     []observed.Server
 		excluded map[string]bool
@@ -169,28 +169,27 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := newBalancer(alone).Pick(start, Request{Service: engines, Tokens: tt.tokens, Excluded: tt.excluded}, tt.list)
+			c := newBalancer(noOthersLoad).Pick(start, Request{Service: engineService, Tokens: tt.tokens, Excluded: tt.excluded}, tt.list)
 			require.IsType(t, tt.want, c)
 		})
 	}
 }
 
-// BenchmarkPick shows what a choice costs at the size designed for.
+// BenchmarkPick measures the cost of a choice among 2,000 servers.
 func BenchmarkPick(b *testing.B) {
-	bal, list := newBalancer(alone), servers(2000, 24)
+	bal, list := newBalancer(noOthersLoad), servers(2000, 24)
 	for b.Loop() {
-		if c, ok := bal.Pick(start, Request{Service: engines, Tokens: 3000, Instances: 350}, list).(Picked); ok {
+		if c, ok := bal.Pick(start, Request{Service: engineService, Tokens: 3000, Instances: 350}, list).(Picked); ok {
 			bal.Done(c.Place)
 		}
 	}
 }
 
-// Two engines of twelve are new and empty, the others hold generations. For
-// four seconds, eleven prompts a second come. Chosen by free memory, all go to
-// the two new ones, and callers wait there for seconds for the first token while
-// ten engines read nothing.
-func TestNewEngineIsNotFlooded(t *testing.T) {
-	const perSecond, seconds, prompt, onTime = 11, 4, 3000, 800 * time.Millisecond
+// Two engines of twelve are new and empty; the others run generations. Eleven prompts per second
+// arrive for four seconds. Chosen by free memory, all would go to the two new engines and wait
+// seconds for the first token, while ten engines have no prefill to do.
+func TestNewEngineIsNotOverloaded(t *testing.T) {
+	const perSecond, seconds, prompt, maxWait = 11, 4, 3000, 800 * time.Millisecond
 	list := servers(12, 24)
 	b := newBalancer(func(_ time.Time, id string) Load {
 		if id == "s0" || id == "s1" {
@@ -198,17 +197,17 @@
 		}
 		return Load{Running: 5, Tokens: 20000}
 	})
-	free, late := map[string]time.Time{}, 0
+	prefillEnd, late := map[string]time.Time{}, 0
 	for i := range perSecond * seconds {
 		now := start.Add(time.Duration(i) * time.Second / perSecond)
-		r := Request{Service: engines, Zone: list[i%3].Zone, Tokens: 4000, Prompt: prompt, Instances: 1}
-		place := picked(t, b.Pick(now, r, list))
+		r := Request{Service: engineService, Zone: list[i%3].Zone, Tokens: 4000, Prompt: prompt, Instances: 1}
+		place := requirePicked(t, b.Pick(now, r, list))
 		begin := now
-		if at := free[place.Server.ID]; at.After(begin) {
+		if at := prefillEnd[place.Server.ID]; at.After(begin) {
 			begin = at
 		}
-		free[place.Server.ID] = begin.Add(prompt * time.Second / readRate)
-		if free[place.Server.ID].Sub(now) > onTime {
+		prefillEnd[place.Server.ID] = begin.Add(prompt * time.Second / prefillRate)
+		if prefillEnd[place.Server.ID].Sub(now) > maxWait {
 			late++
 		}
 	}
--- a/internal/balancer/cold.go
+++ b/internal/balancer/cold.go
@@ -6,31 +6,30 @@
 	"pollenspindle.example/pollenspindle/internal/observed"
 )
 
-// bearsCold reports whether a server that is cold may get one more request.
+// admitsCold reports whether a cold server may get one more request.
 //
-// The rate that a cold server declares holds for all instances together, also
-// those that can't see each other: each keeps to its share by the number of
-// instances known lately.
-func (b *Balancer) bearsCold(now time.Time, r Request, s *observed.Server) bool {
+// The rate that a cold server declares holds for all instances together, even if they can't reach
+// each other: each instance uses its share by the last known number of instances.
+func (b *Balancer) admitsCold(now time.Time, r Request, s *observed.Server) bool {
 	if !now.Before(s.ColdUntil) || r.Service.ColdPerSecond <= 0 {
 		return true
 	}
-	share := (r.Service.ColdPerSecond*b.bounds.ColdOverage + b.bounds.ColdSlack) / float64(max(1, r.Instances))
+	share := (r.Service.ColdPerSecond*b.coldLimits.ColdOverage + b.coldLimits.ColdSlack) / float64(max(1, r.Instances))
 	window := time.Second
 	if share < 1 {
 		window = time.Duration(float64(time.Second) / share)
 	}
 	own, ok := b.own[s.ID]
-	if !ok || now.Sub(own.coldSince) >= window {
+	if !ok || now.Sub(own.coldWindowStart) >= window {
 		return true
 	}
-	// A window that slides over two counted ones holds at most twice a half.
-	return own.coldSent < max(1, int(share/2))
+	// A sliding window overlaps two counted windows, so it holds at most twice half the share.
+	return own.coldCount < max(1, int(share/2))
 }
 
-func (b *Balancer) countCold(now time.Time, own *server) {
-	if now.Sub(own.coldSince) >= time.Second {
-		own.coldSince, own.coldSent = now, 0
+func (b *Balancer) countCold(now time.Time, own *serverState) {
+	if now.Sub(own.coldWindowStart) >= time.Second {
+		own.coldWindowStart, own.coldCount = now, 0
 	}
-	own.coldSent++
+	own.coldCount++
 }
--- a/internal/balancer/load.go
+++ b/internal/balancer/load.go
@@ -6,7 +6,7 @@
 	"pollenspindle.example/pollenspindle/internal/observed"
 )
 
-// Load is what was put on one backend server.
+// Load is the load on one backend server.
 type Load struct {
 	Running int `json:"running"`
 	Tokens  int `json:"tokens"`
@@ -21,23 +21,23 @@
 type Place struct {
 	Server observed.Server
 	Tokens int
-	// Prompt is how many tokens the server reads before it begins.
+	// PromptTokens is the number of tokens that need prefill.
 	Prompt int
 }
 
-type server struct {
+type serverState struct {
 	running, tokens int
 	failures        float64
 	failedAt        time.Time
-	// coldSince and coldSent count what was sent in the present second.
-	coldSince time.Time
-	coldSent  int
-	used      time.Time
-	// readUntil is when the prompts sent so far will have been read.
-	readUntil time.Time
+	// coldWindowStart and coldCount count the requests of the current window.
+	coldWindowStart time.Time
+	coldCount       int
+	lastUsed        time.Time
+	// prefillUntil is the expected end of the prefill of all prompts sent so far.
+	prefillUntil time.Time
 }
 
-// Changed has an entry after this instance's load on the servers has changed.
+// Changed returns a channel that signals changes of this instance's load on the servers.
 func (b *Balancer) Changed() <-chan struct{} { return b.changed }
 
 func (b *Balancer) signal() {
@@ -47,43 +47,43 @@
 	}
 }
 
-// count puts the load of a request on its server.
-func (b *Balancer) count(now time.Time, p Place) {
+// addLoad adds the load of a request to its server.
+func (b *Balancer) addLoad(now time.Time, p Place) {
 	b.signal()
-	own := b.server(now, p.Server.ID)
+	own := b.state(now, p.Server.ID)
 	own.running++
 	own.tokens += p.Tokens
-	if now.After(own.readUntil) {
-		own.readUntil = now
+	if now.After(own.prefillUntil) {
+		own.prefillUntil = now
 	}
-	own.readUntil = own.readUntil.Add(readTime(p.Prompt))
+	own.prefillUntil = own.prefillUntil.Add(prefillTime(p.Prompt))
 	if now.Before(p.Server.ColdUntil) {
 		b.countCold(now, own)
 	}
 }
 
-// readTime is how long an engine reads a prompt.
-func readTime(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / readRate * float64(time.Second))
+// prefillTime returns the time that an engine takes for the prefill of a prompt.
+func prefillTime(tokens int) time.Duration {
+	return time.Duration(float64(tokens) / prefillRate * float64(time.Second))
 }
 
-func (b *Balancer) server(now time.Time, id string) *server {
+func (b *Balancer) state(now time.Time, id string) *serverState {
 	own, ok := b.own[id]
 	if !ok {
-		own = &server{}
+		own = &serverState{}
 		b.own[id] = own
-		b.forget(now)
+		b.removeUnused(now)
 	}
-	own.used = now
+	own.lastUsed = now
 	return own
 }
 
-// keepUnused is for how long a server that got nothing is remembered.
-const keepUnused = time.Minute
+// unusedTTL is how long the state of an unused server is kept.
+const unusedTTL = time.Minute
 
-func (b *Balancer) forget(now time.Time) {
+func (b *Balancer) removeUnused(now time.Time) {
 	for id, s := range b.own {
-		if s.running == 0 && !s.used.IsZero() && now.Sub(s.used) > keepUnused {
+		if s.running == 0 && !s.lastUsed.IsZero() && now.Sub(s.lastUsed) > unusedTTL {
 			delete(b.own, id)
 		}
 	}
@@ -93,10 +93,10 @@
 func (b *Balancer) Reserve(now time.Time, p Place) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.count(now, p)
+	b.addLoad(now, p)
 }
 
-// Done takes the load of a request off its server.
+// Done removes the load of a request from its server.
 func (b *Balancer) Done(p Place) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -107,24 +107,24 @@
 	}
 }
 
-// ReadWait returns how long an engine is expected to read the prompts that it was
-// sent.
+// ReadWait returns how long an engine is expected to take for the prefill of the prompts sent to
+// it.
 func (b *Balancer) ReadWait(now time.Time, id string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return time.Duration(b.wait(now, id) * float64(time.Second))
+	return time.Duration(b.prefillSeconds(now, id) * float64(time.Second))
 }
 
-// ReleasePrompt takes back the reading time of a request that isn't sent.
+// ReleasePrompt subtracts the prefill time of a request that isn't sent.
 func (b *Balancer) ReleasePrompt(p Place) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if own, ok := b.own[p.Server.ID]; ok {
-		own.readUntil = own.readUntil.Add(-readTime(p.Prompt))
+		own.prefillUntil = own.prefillUntil.Add(-prefillTime(p.Prompt))
 	}
 }
 
-// On returns what this instance has put on one server.
+// On returns the load of this instance on one server.
 func (b *Balancer) On(id string) Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,7 +135,7 @@
 	return Load{Running: own.running, Tokens: own.tokens}
 }
 
-// Load returns what this instance has put on the servers.
+// Load returns the load of this instance on all servers that it uses.
 func (b *Balancer) Load() map[string]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balancer/score.go
+++ b/internal/balancer/score.go
@@ -10,85 +10,84 @@
 	"pollenspindle.example/pollenspindle/internal/routes"
 )
 
-// score is what a server weighs for a request; the least is chosen.
+// score returns the score of a server for a request; the lowest is chosen.
 func (b *Balancer) score(now time.Time, r Request, s *observed.Server, load float64) float64 {
 	if r.Spread != 0 {
-		return spread(r, s, load+b.failures(now, s.ID)*failureCost+b.avoided(now, r, s.ID))
+		return spreadScore(r, s, load+b.recentFailures(now, s.ID)*failureCost+b.avoidPenalty(now, r, s.ID))
 	}
-	score := b.rng.Float64()*noise + b.failures(now, s.ID)*failureCost + b.avoided(now, r, s.ID)
+	score := b.rng.Float64()*scoreNoise + b.recentFailures(now, s.ID)*failureCost + b.avoidPenalty(now, r, s.ID)
 	if r.Service.Engine != nil {
-		score += b.wait(now, s.ID) + load*memoryCost + max(0, load-scarce)*scarceCost
+		score += b.prefillSeconds(now, s.ID) + load*memoryCost + max(0, load-highMemoryShare)*highMemoryCost
 	} else {
 		score += load
 	}
 	if s.Zone != r.Zone {
-		score += zoneCost
+		score += crossZoneCost
 	}
 	return score
 }
 
-// wait returns how many seconds an engine is expected to read the prompts that
-// it was sent before.
+// prefillSeconds returns the expected time in seconds until an engine has finished the prefill of
+// the prompts sent to it.
 //
-// The freest engine by memory is often a new one, which would get every prompt;
-// how long it reads is known from what it was sent.
-func (b *Balancer) wait(now time.Time, id string) float64 {
+// The engine with the most free memory is often a new one, which would get every prompt; its
+// prefill queue is known from the prompts sent to it.
+func (b *Balancer) prefillSeconds(now time.Time, id string) float64 {
 	own, ok := b.own[id]
 	if !ok {
 		return 0
 	}
-	return max(0, own.readUntil.Sub(now).Seconds())
+	return max(0, own.prefillUntil.Sub(now).Seconds())
 }
 
 const (
-	// farRoom is what a server in another zone counts for where memory is to
-	// be copied to it: the copy takes twice as long.
-	farRoom = 0.1
-	// leastRoom lets a nearly full server be chosen when there is no other.
-	leastRoom = 0.01
+	// crossZoneWeight is the weight of a server in another zone when a KV cache has to be copied to
+	// it: the copy takes twice as long.
+	crossZoneWeight = 0.1
+	// minFreeShare allows choosing a nearly full server if there is no other.
+	minFreeShare = 0.01
 )
 
-// spread draws a server for a key, with the free room of each as its weight
-// (weighted rendezvous hashing).
+// spreadScore chooses a server for a key, weighted by free capacity (weighted rendezvous hashing).
 //
-// Generations of a leaving engine are moved by instances that don't see each
-// other's choices, and must not all choose the freest engine.
-func spread(r Request, s *observed.Server, load float64) float64 {
-	room := max(leastRoom, 1-load)
+// Instances that migrate the generations of a leaving engine don't see each other's choices, and
+// must not all choose the freest engine.
+func spreadScore(r Request, s *observed.Server, load float64) float64 {
+	weight := max(minFreeShare, 1-load)
 	if s.Zone != r.Zone {
-		room *= farRoom
+		weight *= crossZoneWeight
 	}
 	hash := xxhash.Sum64String(s.ID) ^ r.Spread
 	hash ^= hash >> 31
 	hash *= 0x9e3779b97f4a7c15
 	hash ^= hash >> 29
 	u := (float64(hash>>11) + 0.5) / (1 << 53)
-	return -math.Log(u) / room
+	return -math.Log(u) / weight
 }
 
-func limitFor(r Request) float64 {
+func requestLimit(r Request) float64 {
 	if r.Anyway && r.Service.Engine != nil {
-		return waitingMemory
+		return maxForcedMemoryShare
 	}
-	return limit(r.Service)
+	return serviceLimit(r.Service)
 }
 
-func limit(s *routes.Service) float64 {
+func serviceLimit(s *routes.Service) float64 {
 	if s.Engine != nil {
-		return fullMemory
+		return maxMemoryShare
 	}
-	return fullQueue
+	return maxQueueFactor
 }
 
-// load returns how full a server would be with the request, 1 for full.
-func (b *Balancer) load(now time.Time, r Request, s *observed.Server) float64 {
+// utilization returns how full a server would be with the request; 1 is full.
+func (b *Balancer) utilization(now time.Time, r Request, s *observed.Server) float64 {
 	var running, tokens int
 	if own, ok := b.own[s.ID]; ok {
 		running, tokens = own.running, own.tokens
 	}
 	var others Load
-	if b.others != nil {
-		others = b.others(now, s.ID)
+	if b.othersLoad != nil {
+		others = b.othersLoad(now, s.ID)
 	}
 	running += others.Running + 1
 	tokens += others.Tokens + r.Tokens
