--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -10,52 +10,50 @@
 )
 
 const (
-	// affine is the number of candidates taken from the prefix's place on the
-	// ring, and strangers that taken from anywhere. Two affine ones let a hot
-	// prefix spread over two caches; strangers find room when all around the
-	// prefix's place is full. Together they bound the messages of a request.
-	affine    = 2
-	strangers = 2
-	// MaxCandidates bounds the servers a request is offered to.
-	MaxCandidates = affine + strangers
-	// viewFor is how long what an owner said of its server's load counts.
-	// Loads change within a few token intervals, so it is only a hint.
-	viewFor = 2 * time.Second
-	// fullPermille is the load at which a server is offered work only after
-	// the others.
+	// maxAffine is the number of candidates taken from the position of the prefix on the ring,
+	// maxRandom the number taken from random positions. Two affine candidates let a hot prefix
+	// spread over two caches; random ones find capacity when all servers around the prefix's
+	// position are full. Together they limit the messages of a request.
+	maxAffine = 2
+	maxRandom = 2
+	// MaxCandidates limits the servers that a request is offered to.
+	MaxCandidates = maxAffine + maxRandom
+	// viewTTL is how long a load reported by a server's owner is used. Loads change within a few
+	// token intervals, so it is only a hint.
+	viewTTL = 2 * time.Second
+	// fullPermille is the load from which a server is offered work only after the others.
 	fullPermille = 1000
-	// affinityBonus is how much fuller, in permille, the affine server may be
-	// than a stranger and still go first. A cached prefix saves the prefill,
-	// about a fifth of a usual request.
+	// affinityBonus is how much more load, in permille, an affine server may have than a random one
+	// and still go first. A cached prefix saves the prefill, about a fifth of a typical request.
 	affinityBonus = 250
-	// farPenalty puts a server of another zone behind one of the own zone at
-	// about the same load: a millisecond's difference is worth little.
-	farPenalty = 30
-	// avoidPenalty puts a zone in which an attempt has just failed last.
+	// crossZonePenalty ranks a server of another zone behind one of the own zone at about the same
+	// load. It is small because the zones differ by a millisecond only.
+	crossZonePenalty = 30
+	// avoidPenalty ranks servers last whose zone had a failed attempt of the request.
 	avoidPenalty = 4 * fullPermille
 )
 
-// View is what an instance knows of a server from the answers of its owner.
+// View is the state of a server as its owner reported it in responses.
 type View struct {
-	// LoadPermille is the share of its limit that the server had in use.
+	// LoadPermille is the used share of the server's limit.
 	LoadPermille int
-	// At is when that was learned.
+	// ObservedAt is the time of the response.
 	At time.Time
-	// RetryAt is when a server that refused may be asked again.
+	// RetryAt is when a server that refused a request may be asked again.
 	RetryAt time.Time
 }
 
-// Views holds the View of each server by name.
+// Views holds the view of each server by name.
 type Views map[string]View
 
-// Ask is the part of a request that placement looks at.
+// Ask is the part of a request that placement considers.
 type Ask struct {
-	// Hash is the place of the request's prefix on the ring.
+	// Hash is the position of the request's prefix on the ring.
 	Hash uint64
-	// Zone is the availability zone of the asking instance.
+	// Zone is the availability zone of the requesting instance.
 	Zone    string
 	Request *permit.Request
-	// Takes reports whether the configuration lets a server take new work.
+	// Accepts reports whether the configuration lets a server accept new work.
 	Takes func(*pollenspindle.Server) bool
 }
 
@@ -64,8 +62,8 @@
 	score  int
 }
 
-// Choose returns the servers to offer a request to, best first, at most
-// [MaxCandidates]. It is empty when no server may take the request.
+// Choose returns the servers to offer a request to, best first, at most [MaxCandidates]. It is
+// empty if no server may take the request.
 func Choose(now time.Time, r *Ring, a Ask, views Views, rng *rand.Rand) []*pollenspindle.Server {
 	var found [MaxCandidates]candidate
 	n := 0
@@ -74,7 +72,7 @@
 			if n >= limit {
 				return false
 			}
-			if !a.admits(s) || known(found[:n], s) {
+			if !a.admits(s) || contains(found[:n], s) {
 				return true
 			}
 			found[n] = candidate{server: s, score: a.score(now, s, views) - bonus}
@@ -82,12 +80,12 @@
 			return n < limit
 		}
 	}
-	r.Walk(a.Hash, collect(affine, affinityBonus))
-	if r.Len() > affine {
-		// A stranger is drawn by a walk from a random place, once each, so
-		// that two strangers are not neighbours of one another.
-		for i := range strangers {
-			r.Walk(rng.Uint64(), collect(min(affine+i+1, MaxCandidates), 0))
+	r.Walk(a.Hash, collect(maxAffine, affinityBonus))
+	if r.Len() > maxAffine {
+		// Each random candidate is found by its own walk from a random position, so that two of
+		// them aren't neighbors on the ring.
+		for i := range maxRandom {
+			r.Walk(rng.Uint64(), collect(min(maxAffine+i+1, MaxCandidates), 0))
 		}
 	}
 	slices.SortStableFunc(found[:n], func(x, y candidate) int { return x.score - y.score })
@@ -98,7 +96,7 @@
 	return servers
 }
 
-func known(found []candidate, s *pollenspindle.Server) bool {
+func contains(found []candidate, s *pollenspindle.Server) bool {
 	return slices.ContainsFunc(found, func(c candidate) bool { return c.server == s })
 }
 
@@ -106,17 +104,17 @@
 	return a.Takes(s) && !slices.Contains(a.Request.ExcludeServers, s.Name)
 }
 
-// score is lower for better servers, in permille of load.
+// score returns the score of a server, in permille of load; lower is better.
 func (a *Ask) score(now time.Time, s *pollenspindle.Server, views Views) int {
 	score := 0
-	if v, ok := views[s.Name]; ok && now.Sub(v.At) < viewFor {
+	if v, ok := views[s.Name]; ok && now.Sub(v.At) < viewTTL {
 		score = v.LoadPermille
 		if now.Before(v.RetryAt) {
 			score += fullPermille
 		}
 	}
 	if s.Zone != a.Zone {
-		score += farPenalty
+		score += crossZonePenalty
 	}
 	if slices.Contains(a.Request.AvoidZones, s.Zone) {
 		score += avoidPenalty
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestSamePrefixMeetsOnTheSameServers(t *testing.T) {
+func TestSamePrefixGetsTheSameServers(t *testing.T) {
 	ring := placement.NewRing(servers(12))
 	for hash := range uint64(50) {
 		h := hash * 0x9e3779b97f4a7c15
@@ -41,9 +41,9 @@
 	}
 }
 
-func TestPrefixesStayWhenAServerLeaves(t *testing.T) {
-	// One of twelve servers leaves. Prefixes whose place was elsewhere must
-	// keep it, or every cache would be cold at once.
+func TestPrefixesKeepTheirServerWhenAnotherLeaves(t *testing.T) {
+	// One of twelve servers leaves. Prefixes of the other servers must stay there, or every cache
+	// would be cold at once.
 	all := servers(12)
 	before, after := placement.NewRing(all), placement.NewRing(all[1:])
 	first := func(r *placement.Ring, h uint64) (s *pollenspindle.Server) {
@@ -77,29 +77,29 @@
 		change func(a *placement.Ask)
 		check  func(t *testing.T, got []*pollenspindle.Server)
 	}{
-		"a full affine server goes last": {
+		"full affine server goes last": {
 			views: placement.Views{affine[0].Name: {LoadPermille: 1400, At: now}},
 			check: func(t *testing.T, got []*pollenspindle.Server) { require.Same(t, affine[0], got[len(got)-1]) },
 		},
-		"an old view does not count": {
+		"old view is ignored": {
 			views: placement.Views{affine[0].Name: {LoadPermille: 1400, At: now.Add(-time.Minute)}},
 			check: func(t *testing.T, got []*pollenspindle.Server) { require.ElementsMatch(t, affine, got[:2]) },
 		},
-		"a server that refused waits its time": {
+		"server before its retry time goes last": {
 			views: placement.Views{affine[0].Name: {LoadPermille: 0, At: now, RetryAt: now.Add(time.Second)}},
 			check: func(t *testing.T, got []*pollenspindle.Server) { require.Same(t, affine[0], got[len(got)-1]) },
 		},
-		"a tried server is left out": {
+		"tried server is excluded": {
 			change: func(a *placement.Ask) { a.Request.ExcludeServers = []string{affine[0].Name} },
 			check:  func(t *testing.T, got []*pollenspindle.Server) { require.NotContains(t, got, affine[0]) },
 		},
-		"the zone that failed goes last": {
+		"failed zone goes last": {
 			change: func(a *placement.Ask) { a.Request.AvoidZones = []string{affine[0].Zone} },
 			check: func(t *testing.T, got []*pollenspindle.Server) {
 				require.NotEqual(t, affine[0].Zone, got[0].Zone)
 			},
 		},
-		"a zone taken out gets nothing": {
+		"drained zone gets nothing": {
 			change: func(a *placement.Ask) {
 				a.Takes = func(s *pollenspindle.Server) bool { return s.Zone != "zone-1" }
 			},
@@ -110,7 +110,7 @@
 				}
 			},
 		},
-		"nothing takes work": {
+		"no server accepts work": {
 			change: func(a *placement.Ask) { a.Takes = func(*pollenspindle.Server) bool { return false } },
 			check:  func(t *testing.T, got []*pollenspindle.Server) { require.Empty(t, got) },
 		},
@@ -127,9 +127,8 @@
 }
 
 func TestSkewedPrefixesSpreadByLoad(t *testing.T) {
-	// Half of all requests share one prefix. The servers at its place fill
-	// up; bounded load must send the rest on, so that none gets far more than
-	// its share.
+	// Half of all requests share one prefix and fill the servers at its position. Bounded load must
+	// send the others elsewhere, so that no server gets far more than its share.
 	const n, limit = 12, 40
 	all := servers(n)
 	ring := placement.NewRing(all)
--- a/internal/placement/prefixes_test.go
+++ b/internal/placement/prefixes_test.go
@@ -8,20 +8,20 @@
 	"pollenspindle.example/pollenspindle/internal/placement"
 )
 
-func TestSharedPrefixIsTheLongestThatOthersHad(t *testing.T) {
+func TestSharedReturnsTheLongestCommonPrefix(t *testing.T) {
 	type request struct {
 		hashes      []uint64
 		fingerprint uint64
 		want        uint64
 	}
 	tests := map[string][]request{
-		"a template and texts of their own": {
+		"template with different texts": {
 			{[]uint64{1, 2, 30}, 100, 1}, {[]uint64{1, 2, 31}, 101, 2}, {[]uint64{1, 2, 32}, 102, 2},
 		},
-		"a conversation that grows": {
+		"growing conversation": {
 			{[]uint64{1, 2}, 100, 1}, {[]uint64{1, 2, 3}, 101, 2}, {[]uint64{1, 2, 3, 4}, 102, 3},
 		},
-		"a repeated request stays in its group": {
+		"repeated request keeps its group": {
 			{[]uint64{1, 2, 30}, 100, 1}, {[]uint64{1, 2, 31}, 101, 2}, {[]uint64{1, 2, 31}, 101, 2}, {[]uint64{1, 2, 31}, 101, 2},
 		},
 		"nothing shared": {{[]uint64{1, 2}, 100, 1}, {[]uint64{5, 6}, 101, 5}},
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestPrefixesInUseOutliveAFloodOfOthers(t *testing.T) {
+func TestUsedPrefixesOutliveUnusedOnes(t *testing.T) {
 	p := placement.NewPrefixes()
 	p.Shared([]uint64{1, 2}, 1)
 	for i := uint64(1); i < 100_000; i++ {
--- a/internal/placement/ring.go
+++ b/internal/placement/ring.go
@@ -1,15 +1,14 @@
 // Package placement chooses the backend servers that a request is offered to.
 //
-// It is for many interchangeable servers of which each keeps the prompt
-// prefixes it has seen lately. Requests that share a prefix should meet on the
-// same server, but a warm cache never justifies an overloaded server, a slow
-// one, or one in another region while one nearby has room. Asking all servers
-// would cost 2,000 messages for each request; a few candidates cost one or two.
+// It is made for many interchangeable servers that cache recent prompt prefixes. Requests with a
+// common prefix should reach the same server, but a warm cache never justifies an overloaded or
+// slow server, or one in another region while a nearby server has capacity. Asking all servers
+// would take 2,000 messages for each request; asking a few candidates takes one or two.
 //
 // # Usage
 //
 //	ring := placement.NewRing(servers)          // once for each configuration
-//	order := placement.Choose(now, ring, ask, views, rng)
+//	candidates := placement.Choose(now, ring, ask, views, rng)
 //	// ask the owners in this order
 package placement
 
@@ -22,10 +21,9 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// pointsPerServer is the number of points of a server on the ring. With 32 the
-// share of prefixes of the busiest of a dozen servers is some 1.4 times the
-// mean, which bounded load evens out; more points cost memory for each change
-// of the configuration.
+// pointsPerServer is the number of points of a server on the ring. With 32, the busiest of a dozen
+// servers gets about 1.4 times the mean share of prefixes, which bounded load evens out; more
+// points cost memory for each change of the configuration.
 const pointsPerServer = 32
 
 type point struct {
@@ -33,9 +31,9 @@
 	server int32
 }
 
-// Ring is a consistent-hash ring over the servers of one model or service in
-// one region. It is built once for a version of the configuration and not
-// changed, so a lookup costs the same for a dozen servers and for 2,000.
+// Ring is a consistent-hash ring over the servers of one model or service in one region. It is
+// built once per configuration version and immutable, so a lookup costs the same for a dozen
+// servers and for 2,000.
 type Ring struct {
 	servers []*pollenspindle.Server
 	points  []point
@@ -56,7 +54,7 @@
 		case a.hash > b.hash:
 			return 1
 		}
-		// Equal hashes keep one order on every instance.
+		// Equal hashes have the same order on every instance.
 		return int(a.server - b.server)
 	})
 	return r
@@ -67,8 +65,8 @@
 	return len(r.servers)
 }
 
-// Walk calls visit with distinct servers in the order of the ring from hash
-// on, until visit returns false or all were visited.
+// Walk calls visit with distinct servers in ring order, starting at hash, until visit returns false
+// or all servers have been visited.
 func (r *Ring) Walk(hash uint64, visit func(*pollenspindle.Server) bool) {
 	if len(r.points) == 0 {
 		return
@@ -99,8 +97,8 @@
 	}
 }
 
-// maxDistinct bounds a walk. It is far more than the candidates of a request,
-// so that a zone taken out or a few excluded servers do not end it early.
+// maxDistinct limits the servers of one walk. It is far more than the candidates of a request, so
+// that a drained zone or a few excluded servers don't end the walk early.
 const maxDistinct = 64
 
 func hashPoint(name string, n int) uint64 {
