--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -8,8 +8,7 @@
 	"pollenspindle.example/pollenspindle/internal/eventstream"
 )
 
-// BenchmarkNext measures the cost of one token in this layer, without the
-// socket.
+// BenchmarkNext measures the cost of one token in the stream reader, without the socket.
 func BenchmarkNext(b *testing.B) {
 	var input bytes.Buffer
 	const tokens = 1000
--- a/internal/engine/chunk.go
+++ b/internal/engine/chunk.go
@@ -5,21 +5,21 @@
 	"github.com/tidwall/gjson"
 )
 
-// parseChunk fills the text and finish reason of ev from ev.Data.
+// parseChunk sets the text and the finish reason of ev from ev.Data.
 //
-// It runs for each token and looks at the fields in place: decoding the chunk
-// into structs was more than half of what the relay allocated for a token.
+// It runs for each token and reads the fields in place: decoding chunks into structs caused more
+// than half of the relay's allocations per token.
 func parseChunk(ev *Event) error {
 	chunk := gjson.Parse(ev.Data)
 	if !gjson.Valid(ev.Data) || !chunk.IsObject() {
-		return badChunk("is no JSON object")
+		return chunkError("is not a JSON object")
 	}
 	choices := chunk.Get("choices")
 	if choices.Type == gjson.Null {
 		return nil
 	}
 	if !choices.IsArray() {
-		return badChunk("has choices that are no list")
+		return chunkError("has choices that are not an array")
 	}
 	choice := choices.Get("0")
 	if choice.Type == gjson.Null {
@@ -27,20 +27,20 @@
 	}
 	delta := choice.Get("delta")
 	if !choice.IsObject() || (delta.Type != gjson.Null && !delta.IsObject()) {
-		return badChunk("has a choice that is no object")
+		return chunkError("has a choice that is not an object")
 	}
 	content, text, finish := delta.Get("content"), choice.Get("text"), choice.Get("finish_reason")
-	if !isText(content) || !isText(text) || !isText(finish) {
-		return badChunk("has a text that is no string")
+	if !isStringOrNull(content) || !isStringOrNull(text) || !isStringOrNull(finish) {
+		return chunkError("has a text that is not a string")
 	}
 	ev.Text = content.Str + text.Str
 	ev.FinishReason = finish.Str
 	return nil
 }
 
-// isText reports whether a field is a string, null or missing.
-func isText(r gjson.Result) bool { return r.Type == gjson.String || r.Type == gjson.Null }
+// isStringOrNull reports whether a field is a string, null or missing.
+func isStringOrNull(r gjson.Result) bool { return r.Type == gjson.String || r.Type == gjson.Null }
 
-func badChunk(problem string) error {
+func chunkError(problem string) error {
 	return merry.Wrap(ErrBadAnswer, merry.AppendMessagef("chunk %s", problem))
 }
--- a/internal/engine/chunk_test.go
+++ b/internal/engine/chunk_test.go
@@ -14,21 +14,21 @@
 		finish string
 		err    error
 	}{
-		"chat":        {data: `{"choices":[{"delta":{"content":"a \u00e9"},"finish_reason":null}]}`, text: "a é"},
-		"completion":  {data: `{"choices":[{"text":"b","finish_reason":"length"}]}`, text: "b", finish: "length"},
-		"no choices":  {data: `{"usage":{"total_tokens":3},"choices":[]}`},
-		"no choice":   {data: `{"choices":null}`},
-		"null choice": {data: `{"choices":[null]}`},
-		"null delta":  {data: `{"choices":[{"delta":null,"text":null}]}`},
-		"cut":         {data: `{"choices":[{"text":"b`, err: ErrBadAnswer},
-		"more behind": {data: `{"choices":[]}{}`, err: ErrBadAnswer},
-		"no object":   {data: `[]`, err: ErrBadAnswer},
-		"no list":     {data: `{"choices":{"0":{"text":"b"}}}`, err: ErrBadAnswer},
-		"odd choice":  {data: `{"choices":["b"]}`, err: ErrBadAnswer},
-		"odd delta":   {data: `{"choices":[{"delta":"b"}]}`, err: ErrBadAnswer},
-		"odd text":    {data: `{"choices":[{"text":7}]}`, err: ErrBadAnswer},
-		"odd content": {data: `{"choices":[{"delta":{"content":{}}}]}`, err: ErrBadAnswer},
-		"odd reason":  {data: `{"choices":[{"finish_reason":true}]}`, err: ErrBadAnswer},
+		"chat":                       {data: `{"choices":[{"delta":{"content":"a \u00e9"},"finish_reason":null}]}`, text: "a é"},
+		"completion":                 {data: `{"choices":[{"text":"b","finish_reason":"length"}]}`, text: "b", finish: "length"},
+		"no choices":                 {data: `{"usage":{"total_tokens":3},"choices":[]}`},
+		"null choices":               {data: `{"choices":null}`},
+		"null choice":                {data: `{"choices":[null]}`},
+		"null delta":                 {data: `{"choices":[{"delta":null,"text":null}]}`},
+		"truncated":                  {data: `{"choices":[{"text":"b`, err: ErrBadAnswer},
+		"trailing data":              {data: `{"choices":[]}{}`, err: ErrBadAnswer},
+		"not an object":              {data: `[]`, err: ErrBadAnswer},
+		"choices not an array":       {data: `{"choices":{"0":{"text":"b"}}}`, err: ErrBadAnswer},
+		"choice not an object":       {data: `{"choices":["b"]}`, err: ErrBadAnswer},
+		"delta not an object":        {data: `{"choices":[{"delta":"b"}]}`, err: ErrBadAnswer},
+		"text not a string":          {data: `{"choices":[{"text":7}]}`, err: ErrBadAnswer},
+		"content not a string":       {data: `{"choices":[{"delta":{"content":{}}}]}`, err: ErrBadAnswer},
+		"finish reason not a string": {data: `{"choices":[{"finish_reason":true}]}`, err: ErrBadAnswer},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -18,7 +18,7 @@
 	standin "pollenspindle.example/pollenspindle/internal/standin/engine"
 )
 
-const body = `{"model":"glide-7b","stream":true,"max_tokens":40,"messages":[{"role":"user","content":"briefing for the club at Gahanga"}]}`
+const requestBody = `{"model":"glide-7b","stream":true,"max_tokens":40,"messages":[{"role":"user","content":"briefing for the club at Gahanga"}]}`
 
 // startEngine runs an engine stand-in until the test ends.
 func startEngine(t *testing.T, change func(*standin.Options)) string {
@@ -55,7 +55,7 @@
 	return ctx
 }
 
-// readAll reads until the end or an error.
+// readAll reads until the end of the stream or an error.
 func readAll(s *engine.Stream) (string, int64, error) {
 	var text strings.Builder
 	for {
@@ -67,10 +67,10 @@
 	}
 }
 
-func TestGenerationIsWholeAndResumable(t *testing.T) {
+func TestGenerationIsCompleteAndResumable(t *testing.T) {
 	address := startEngine(t, nil)
 	c, ctx := newClient(t), testContext(t)
-	s, err := c.Start(ctx, address, engine.Request{ID: "r1", Body: []byte(body)})
+	s, err := c.Start(ctx, address, engine.Request{ID: "r1", Body: []byte(requestBody)})
 	require.NoError(t, err)
 	text, last, err := readAll(s)
 	require.ErrorIs(t, err, io.EOF)
@@ -91,15 +91,13 @@
 	require.Equal(t, s.Incarnation(), resumed.Incarnation())
 }
 
-// The caller's stream breaks because the engine dies and comes back.
-// The engine dies after some tokens, its connection closes without the end
-// marker, and the new start knows nothing of the generation.
-// Nothing may be joined to what the caller has, so both must be told apart from
-// a whole answer.
-func TestEngineThatRestartsCutsAndForgets(t *testing.T) {
+// The engine crashes after some tokens and restarts. Its connection closes without the end marker,
+// and the restarted engine doesn't know the generation. Nothing may be appended to what the caller
+// has, so both cases must differ from a complete response.
+func TestEngineRestartLosesGenerations(t *testing.T) {
 	address := startEngine(t, func(o *standin.Options) { o.TimeScale = 1 })
 	c, ctx := newClient(t), testContext(t)
-	s, err := c.Start(ctx, address, engine.Request{ID: "r1", Body: []byte(body)})
+	s, err := c.Start(ctx, address, engine.Request{ID: "r1", Body: []byte(requestBody)})
 	require.NoError(t, err)
 	defer s.Close()
 	_, err = s.Next()
@@ -119,7 +117,7 @@
 func TestCancelFreesMemory(t *testing.T) {
 	address := startEngine(t, func(o *standin.Options) { o.TimeScale = 1; o.ReportLag = 0 })
 	c, ctx := newClient(t), testContext(t)
-	s, err := c.Start(ctx, address, engine.Request{ID: "r1", Body: []byte(body)})
+	s, err := c.Start(ctx, address, engine.Request{ID: "r1", Body: []byte(requestBody)})
 	require.NoError(t, err)
 	defer s.Close()
 	_, err = s.Next()
@@ -134,7 +132,7 @@
 	}, 20*time.Second, 10*time.Millisecond)
 }
 
-func TestOrdersWithOldFencingNumber(t *testing.T) {
+func TestCommandWithStaleFencingToken(t *testing.T) {
 	tests := map[string]struct {
 		checks bool
 		err    error
@@ -159,8 +157,8 @@
 	}
 }
 
-// answer serves one connection at a time with a fixed text and then closes it.
-func answer(t *testing.T, text string) string {
+// serveResponse accepts one connection at a time, sends a fixed response and closes it.
+func serveResponse(t *testing.T, text string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -186,25 +184,25 @@
 		return "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n" + strings.Join(append(headers, ""), "\r\n") + "\r\n"
 	}
 	tests := map[string]struct {
-		answer  string
-		kind    error
-		refusal *engine.Refusal
+		response string
+		kind     error
+		refusal  *engine.Refusal
 	}{
-		"full":              {answer: head("429 Too Many Requests", "Retry-After: 3"), kind: engine.ErrRefused, refusal: &engine.Refusal{Status: 429, Overload: true, RetryAfter: 3 * time.Second}},
-		"cold":              {answer: head("503 Service Unavailable", "X-Not-Run: true"), kind: engine.ErrRefused, refusal: &engine.Refusal{Status: 503}},
-		"503 without claim": {answer: head("503 Service Unavailable"), kind: engine.ErrLost},
-		"500":               {answer: head("500 Internal Server Error"), kind: engine.ErrLost},
-		"bad request":       {answer: head("400 Bad Request"), kind: engine.ErrBadRequest},
-		"no model":          {answer: head("404 Not Found"), kind: engine.ErrUnknownModel},
-		"closed unanswered": {answer: "", kind: engine.ErrLost},
-		"half a header":     {answer: "HTTP/1.1 200 OK\r\nContent-Ty", kind: engine.ErrLost},
-		"another's answer":  {answer: head("200 OK", "X-Request-Id: r0"), kind: engine.ErrLost},
-		"no HTTP":           {answer: "hello\r\n\r\n", kind: engine.ErrLost},
+		"full":                        {response: head("429 Too Many Requests", "Retry-After: 3"), kind: engine.ErrRefused, refusal: &engine.Refusal{Status: 429, Overload: true, RetryAfter: 3 * time.Second}},
+		"cold":                        {response: head("503 Service Unavailable", "X-Not-Run: true"), kind: engine.ErrRefused, refusal: &engine.Refusal{Status: 503}},
+		"503 without X-Not-Run":       {response: head("503 Service Unavailable"), kind: engine.ErrLost},
+		"500":                         {response: head("500 Internal Server Error"), kind: engine.ErrLost},
+		"bad request":                 {response: head("400 Bad Request"), kind: engine.ErrBadRequest},
+		"unknown model":               {response: head("404 Not Found"), kind: engine.ErrUnknownModel},
+		"closed without response":     {response: "", kind: engine.ErrLost},
+		"truncated header":            {response: "HTTP/1.1 200 OK\r\nContent-Ty", kind: engine.ErrLost},
+		"response to another request": {response: head("200 OK", "X-Request-Id: r0"), kind: engine.ErrLost},
+		"not HTTP":                    {response: "hello\r\n\r\n", kind: engine.ErrLost},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			c, ctx := newClient(t), testContext(t)
-			_, err := c.Start(ctx, answer(t, tt.answer), engine.Request{ID: "r1", Body: []byte(body)})
+			_, err := c.Start(ctx, serveResponse(t, tt.response), engine.Request{ID: "r1", Body: []byte(requestBody)})
 			require.ErrorIs(t, err, tt.kind)
 			var refusal *engine.Refusal
 			if errors.As(err, &refusal) {
@@ -214,22 +212,21 @@
 			}
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		address := ln.Addr().String()
 		ln.Close()
-		_, err = newClient(t).Start(testContext(t), address, engine.Request{ID: "r1", Body: []byte(body)})
+		_, err = newClient(t).Start(testContext(t), address, engine.Request{ID: "r1", Body: []byte(requestBody)})
 		require.ErrorIs(t, err, engine.ErrNotSent)
 		require.NotErrorIs(t, err, engine.ErrLost)
 	})
 }
 
-// The caller waits for an answer that never begins.
-// The engine accepts the connection and says nothing, as on a link that went
-// silent; then the caller's patience ends.
-// The call must return, and as lost, since the engine may be running it.
-func TestCancelledWhileEngineIsSilent(t *testing.T) {
+// The engine accepts the connection and never responds, as on a link that went silent; then the
+// caller cancels. The call must return and report an unknown outcome, since the engine may run the
+// request.
+func TestCancelWhileEngineIsSilent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -240,12 +237,12 @@
 			return
 		}
 		defer conn.Close()
-		// The first byte has come, so the request has been sent.
+		// The first byte has arrived, so the request has been sent.
 		_, _ = conn.Read(make([]byte, 1))
 		cancel()
 		_, _ = io.Copy(io.Discard, conn)
 	}()
-	_, err = newClient(t).Start(ctx, ln.Addr().String(), engine.Request{ID: "r1", Body: []byte(body)})
+	_, err = newClient(t).Start(ctx, ln.Addr().String(), engine.Request{ID: "r1", Body: []byte(requestBody)})
 	require.ErrorIs(t, err, engine.ErrLost)
 	require.ErrorIs(t, err, context.Canceled)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine speaks to model engines: it starts, resumes and cancels
-// generations, reads load reports and cache events and gives orders.
+// Package engine is the client of model engines: it starts, resumes and cancels generations, reads
+// load reports and cache events, and sends engine commands.
 //
 // # Usage
 //
@@ -8,18 +8,18 @@
 //	s, err := c.Start(ctx, "10.0.0.7:8000", engine.Request{ID: "r1", Body: body})
 //	if err != nil {
 //		// ErrNotSent, ErrRefused, ErrBadRequest, ErrUnknownModel: not run.
-//		// ErrLost: it may run.
+//		// ErrUnknownOutcome: it may run.
 //	}
 //	defer s.Close()
 //	for {
 //		ev, err := s.Next()
 //		if err == io.EOF {
-//			break // whole
+//			break // complete
 //		}
-//		if errors.Is(err, engine.ErrStreamCut) {
-//			s, err = c.Resume(ctx, "10.0.0.7:8000", "r1", s.Last())
+//		if errors.Is(err, engine.ErrStreamInterrupted) {
+//			s, err = c.Resume(ctx, "10.0.0.7:8000", "r1", s.LastPosition(), false)
 //		}
-//		// pass ev on
+//		// forward ev
 //	}
 package engine
 
@@ -41,39 +41,39 @@
 	"pollenspindle.example/pollenspindle/internal/httpclient"
 )
 
-// The headers that engines use beside the usual ones.
+// Headers specific to engines.
 const (
 	HeaderRequestID   = "X-Request-Id"
 	HeaderIncarnation = "X-Engine-Incarnation"
 	HeaderNotRun      = "X-Not-Run"
 )
 
-// Options are the limits of a [Client].
+// Options configures a [Client].
 type Options struct {
 	HTTP httpclient.Options
-	// Loads counts what load reports cost; it may be nil.
+	// LoadMeter counts the cost of load reports; it may be nil.
 	Loads *control.Meter
 }
 
-// Client calls model engines. It is safe for use by several goroutines.
+// Client calls model engines. It is safe for concurrent use.
 type Client struct {
-	http  *httpclient.Client
-	loads *control.Meter
-	last  lastLoads
+	http      *httpclient.Client
+	loadMeter *control.Meter
+	loadCache loadCache
 }
 
-// NewClient returns a Client.
+// NewClient returns a client.
 func NewClient(opts Options) *Client {
-	return &Client{http: httpclient.New(opts.HTTP), loads: opts.Loads}
+	return &Client{http: httpclient.New(opts.HTTP), loadMeter: opts.Loads}
 }
 
-// Close closes unused connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.Close() }
 
 // Path is the endpoint of an engine for a kind of generation.
 type Path string
 
-// The endpoints for generations.
+// Endpoints for generations.
 const (
 	PathChat       Path = "/v1/chat/completions"
 	PathCompletion Path = "/v1/completions"
@@ -83,18 +83,16 @@
 type Request struct {
 	// ID is the X-Request-Id, unique per generation.
 	ID string
-	// Path is PathChat if empty.
+	// Path defaults to PathChat.
 	Path Path
-	// Body is the JSON body for the engine, with stream true and, where it is
-	// wanted, priority.
+	// Body is the JSON request body, with stream set to true and, optionally, a priority.
 	Body []byte
 	// FreshConnection opens a new connection.
 	FreshConnection bool
 }
 
-// Start starts a generation. It returns when the engine has answered with the
-// response headers; the time to wait for them is bounded by ctx, which also
-// ends the stream.
+// Start starts a generation. It returns when the engine has sent the response headers. ctx limits
+// the wait for them and also ends the stream.
 func (c *Client) Start(ctx context.Context, address string, req Request) (*Stream, error) {
 	path := req.Path
 	if path == "" {
@@ -105,7 +103,7 @@
 	r.SetBody(req.Body)
 	r.Header.SetContentTypeBytes([]byte("application/json"))
 	r.Header.Set(HeaderRequestID, req.ID)
-	trace(ctx, r)
+	injectTraceContext(ctx, r)
 	resp, err := c.http.Do(ctx, address, r, httpclient.Call{Stream: true, FreshConnection: req.FreshConnection})
 	if err != nil {
 		return nil, callError(err)
@@ -117,13 +115,13 @@
 	return newStream(resp, req.ID, 0)
 }
 
-// Resume goes on reading a generation after the position after. A probe passes
-// fresh, so that it doesn't meet another silent connection.
+// Resume continues reading a generation after the given position. Probes set fresh to open a new
+// connection, since a kept one may be silent too.
 func (c *Client) Resume(ctx context.Context, address, requestID string, after int64, fresh bool) (*Stream, error) {
 	path := "/v1/streams/" + url.PathEscape(requestID) + "?after=" + strconv.FormatInt(after, 10)
 	r := newRequest(http.MethodGet, address, path)
 	defer protocol.ReleaseRequest(r)
-	trace(ctx, r)
+	injectTraceContext(ctx, r)
 	resp, err := c.http.Do(ctx, address, r, httpclient.Call{Stream: true, FreshConnection: fresh})
 	if err != nil {
 		return nil, callError(err)
@@ -140,12 +138,11 @@
 	}
 }
 
-// Cancel ends a generation and frees its memory. Cancelling an unknown one
-// succeeds.
+// Cancel ends a generation and frees its memory. Cancelling an unknown generation succeeds.
 func (c *Client) Cancel(ctx context.Context, address, requestID string) error {
 	r := newRequest(http.MethodDelete, address, "/v1/streams/"+url.PathEscape(requestID))
 	defer protocol.ReleaseRequest(r)
-	// A cancel mostly follows trouble with a connection, so it takes a new one.
+	// A cancellation mostly follows a connection problem, so it uses a new connection.
 	resp, err := c.http.Do(ctx, address, r, httpclient.Call{FreshConnection: true})
 	if err != nil {
 		return callError(err)
@@ -157,15 +154,15 @@
 	return nil
 }
 
-// newStream checks that the answer is to this request.
+// newStream checks that the response belongs to this request.
 //
-// An answer that comes late on a connection used before would be read as the
-// next request's, and a caller would get another's words. The engine names the
-// request in its answer, so a crossed one is found before its first token.
+// A late response on a reused connection would be read as the response to the next request, and a
+// caller would get another caller's text. The engine puts the request ID into its response, so a
+// mismatch is found before the first token.
 func newStream(resp *httpclient.Response, requestID string, after int64) (*Stream, error) {
 	if got := resp.Header.Get(HeaderRequestID); got != "" && got != requestID {
 		resp.Close()
-		return nil, merry.Wrap(ErrLost, merry.AppendMessage("answer to another request"))
+		return nil, merry.Wrap(ErrLost, merry.AppendMessage("response to another request"))
 	}
 	return &Stream{
 		resp:        resp,
@@ -176,8 +173,8 @@
 	}, nil
 }
 
-// trace sends the identity of the span in ctx along, as W3C trace context.
-func trace(ctx context.Context, r *protocol.Request) {
+// injectTraceContext adds the span context of ctx to a request as a W3C trace context.
+func injectTraceContext(ctx context.Context, r *protocol.Request) {
 	carrier := propagation.MapCarrier{}
 	propagation.TraceContext{}.Inject(ctx, carrier)
 	for name, value := range carrier {
@@ -200,7 +197,7 @@
 	return merry.Wrap(ErrLost, merry.WithCause(err))
 }
 
-// statusError turns an answer that is no success into this layer's error.
+// statusError converts a failure status to an error of this package.
 func statusError(resp *httpclient.Response) error {
 	status := resp.StatusCode()
 	switch {
@@ -213,7 +210,7 @@
 	case status == http.StatusBadRequest:
 		return merry.Wrap(ErrBadRequest)
 	default:
-		// Any other answer doesn't say whether the request has run.
+		// Other statuses don't tell whether the request has run.
 		return merry.Wrap(ErrLost, merry.AppendMessagef("status %d", status))
 	}
 }
@@ -226,7 +223,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// getJSON reads the JSON answer to a GET into v. Meter counts what that costs.
+// getJSON decodes the JSON response to a GET into v. meter counts the cost.
 func (c *Client) getJSON(ctx context.Context, address, path string, meter *control.Meter, v any) error {
 	r := newRequest(http.MethodGet, address, path)
 	defer protocol.ReleaseRequest(r)
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -7,43 +7,41 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// The kinds of failure of a call to a model engine. They decide what a caller
-// may be told about its request.
+// Errors of calls to model engines. They determine what a caller may be told about its request.
 var (
-	// ErrNotSent means that no byte of the request left for the engine.
+	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = merry.Sentinel("engine: request not sent")
-	// ErrRefused means that the engine refused the request before running it.
-	// errors.As with a *Refusal gives the details.
+	// ErrRefused means that the engine refused the request before running it. errors.As with a
+	// *Refusal gives the details.
 	ErrRefused = merry.Sentinel("engine: request refused")
-	// ErrLost means that the connection failed before the stream began. The
-	// engine may run the request all the same.
-	ErrLost = merry.Sentinel("engine: request lost")
-	// ErrStreamCut means that the stream ended without its last event. The
-	// generation may run on and can be resumed.
-	ErrStreamCut = merry.Sentinel("engine: stream cut")
-	// ErrUnknownStream means that the engine doesn't have the stream to resume,
-	// or no longer.
+	// ErrLost means that the connection failed before the stream began. The engine may run the
+	// request.
+	ErrLost = merry.Sentinel("engine: outcome of the request unknown")
+	// ErrStreamCut means that the stream ended without its last event. The generation may still run
+	// and can be resumed.
+	ErrStreamCut = merry.Sentinel("engine: stream interrupted")
+	// ErrUnknownStream means that the engine doesn't have the stream to resume, or no longer has
+	// it.
 	ErrUnknownStream = merry.Sentinel("engine: unknown stream")
 	// ErrGap means that positions are missing in a stream.
-	ErrGap = merry.Sentinel("engine: gap in stream")
-	// ErrBadRequest means that the engine found the request itself faulty.
+	ErrGap = merry.Sentinel("engine: positions missing in stream")
+	// ErrBadRequest means that the engine rejected the request as invalid.
 	ErrBadRequest = merry.Sentinel("engine: bad request")
-	// ErrUnknownModel means that the engine doesn't have the model loaded.
+	// ErrUnknownModel means that the engine hasn't loaded the model.
 	ErrUnknownModel = merry.Sentinel("engine: model not loaded")
-	// ErrBadAnswer means that the engine's answer can't be understood.
-	ErrBadAnswer = merry.Sentinel("engine: answer not understood")
-	// ErrStaleFencing means that the engine has seen a higher fencing number.
-	ErrStaleFencing = merry.Sentinel("engine: fencing number too old")
+	// ErrBadAnswer means that the engine's response is invalid.
+	ErrBadAnswer = merry.Sentinel("engine: invalid response")
+	// ErrStaleFencing means that the engine has accepted a higher fencing token.
+	ErrStaleFencing = merry.Sentinel("engine: stale fencing token")
 )
 
-// Refusal is the answer of an engine that did not run a request.
+// Refusal is the error of an engine that did not run a request.
 type Refusal struct {
 	// Status is the HTTP status.
 	Status int
-	// Overload is true when the engine is full, and false when it is cold,
-	// starting or leaving.
+	// Overload is true if the engine is full, and false if it is cold, starting or leaving.
 	Overload bool
-	// RetryAfter is when the engine wants to be asked again; 0 if not said.
+	// RetryAfter is the delay requested by the engine; 0 means none.
 	RetryAfter time.Duration
 }
 
@@ -55,14 +53,14 @@
 // Is makes errors.Is(err, ErrRefused) true for a Refusal.
 func (r *Refusal) Is(target error) bool { return target == ErrRefused }
 
-// StaleFencing says which fencing number an engine has seen.
+// StaleFencing holds the highest fencing token that an engine has accepted.
 type StaleFencing struct {
 	Highest int64 `json:"highest"`
 }
 
 // Error implements error.
 func (s *StaleFencing) Error() string {
-	return fmt.Sprintf("engine: fencing number too old, highest seen is %d", s.Highest)
+	return fmt.Sprintf("engine: stale fencing token, highest accepted is %d", s.Highest)
 }
 
 // Is makes errors.Is(err, ErrStaleFencing) true for a StaleFencing.
--- a/internal/engine/loads.go
+++ b/internal/engine/loads.go
@@ -11,116 +11,116 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// keepLoad is how long the last report of an engine is kept to put changes on.
-// It is many periods of load polls; a server that has got another owner is
-// forgotten after it.
-const keepLoad = time.Minute
+// loadCacheTTL is how long the last report of an engine is kept as the base of incremental reports.
+// It is many poll periods; a server that got another owner is dropped after it.
+const loadCacheTTL = time.Minute
 
-// lastLoads holds the last load report of each engine that gives changes, by
-// address. A report names every running request, some 90 bytes each, and most
-// of them stay from one to the next: in full, twice a second, they are half of
-// all bytes that an instance may spend on control, and more.
-type lastLoads struct {
-	mu    sync.Mutex
-	loads map[string]lastLoad
-	swept time.Time
+// loadCache holds, by address, the last load report of each engine that sends incremental reports.
+// A report has about 90 bytes for each running request, most of which are still there in the next
+// one. Full reports twice a second would use more than half of all bytes that an instance may spend
+// on control traffic.
+type loadCache struct {
+	mu        sync.Mutex
+	loads     map[string]cachedLoad
+	lastSweep time.Time
 }
 
-type lastLoad struct {
+type cachedLoad struct {
 	report LoadReport
 	at     time.Time
 }
 
-func (l *lastLoads) get(address string) LoadReport {
+func (l *loadCache) get(address string) LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.loads[address].report
 }
 
-// put keeps a report that changes can be asked for to; others are dropped.
-func (l *lastLoads) put(now time.Time, address string, r LoadReport) {
+// put stores a report that has a tag and so can be the base of an incremental one; other reports
+// are dropped.
+func (l *loadCache) put(now time.Time, address string, r LoadReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.loads == nil {
-		l.loads = map[string]lastLoad{}
+		l.loads = map[string]cachedLoad{}
 	}
 	if r.Tag == "" {
 		delete(l.loads, address)
 	} else {
-		l.loads[address] = lastLoad{report: r, at: now}
+		l.loads[address] = cachedLoad{report: r, at: now}
 	}
-	if now.Sub(l.swept) < keepLoad {
+	if now.Sub(l.lastSweep) < loadCacheTTL {
 		return
 	}
-	l.swept = now
+	l.lastSweep = now
 	for address, last := range l.loads {
-		if now.Sub(last.at) >= keepLoad {
+		if now.Sub(last.at) >= loadCacheTTL {
 			delete(l.loads, address)
 		}
 	}
 }
 
-// loadAnswer is a load report in full or, with After, what has changed since
-// the report with that tag: fields that are left out stay as they were, Ended
-// are the places in its Running of those that have ended, Outputs the tokens
-// of the others in order, and Running those that have started.
-type loadAnswer struct {
+// loadResponse is a full load report or, if After is set, an update of the report with that tag. In
+// an update, missing fields are unchanged, Ended holds the indexes in the base's Running of the
+// generations that ended, Outputs the output tokens of the others in order, and Running the new
+// generations.
+type loadResponse struct {
 	LoadReport
 	After   string `json:"after"`
 	Ended   []int  `json:"ended"`
 	Outputs []int  `json:"outputs"`
 }
 
-// Load reads the load report of an engine. An engine that gives its reports a
-// tag is asked for the changes since the last; one that doesn't know of them,
-// or has forgotten that report, answers in full.
+// Load reads the load report of an engine. If the last report had a tag, an update of it is
+// requested; an engine that doesn't support updates, or no longer has that report, sends a full
+// report.
 func (c *Client) Load(ctx context.Context, address string) (LoadReport, error) {
-	before := c.last.get(address)
+	base := c.loadCache.get(address)
 	path := "/v1/load"
-	if before.Tag != "" {
-		path += "?after=" + url.QueryEscape(before.Tag)
+	if base.Tag != "" {
+		path += "?after=" + url.QueryEscape(base.Tag)
 	}
 	var body json.RawMessage
-	err := c.getJSON(ctx, address, path, c.loads, &body)
+	err := c.getJSON(ctx, address, path, c.loadMeter, &body)
 	if err != nil {
 		return LoadReport{}, err
 	}
 	var report LoadReport
-	c.loads.Run(func() { report, err = decodeLoad(before, body) })
+	c.loadMeter.Run(func() { report, err = decodeLoad(base, body) })
 	if err != nil {
-		c.last.put(time.Now(), address, LoadReport{})
+		c.loadCache.put(time.Now(), address, LoadReport{})
 		return LoadReport{}, merry.Wrap(ErrBadAnswer, merry.WithCause(err))
 	}
-	c.last.put(time.Now(), address, report)
+	c.loadCache.put(time.Now(), address, report)
 	return report, nil
 }
 
-func decodeLoad(before LoadReport, body []byte) (LoadReport, error) {
-	answer := loadAnswer{LoadReport: before}
-	answer.Running = nil
-	if err := json.Unmarshal(body, &answer); err != nil {
+func decodeLoad(base LoadReport, body []byte) (LoadReport, error) {
+	response := loadResponse{LoadReport: base}
+	response.Running = nil
+	if err := json.Unmarshal(body, &response); err != nil {
 		return LoadReport{}, err
 	}
-	if answer.After == "" {
-		if before.Tag == "" {
-			return answer.LoadReport, nil
+	if response.After == "" {
+		if base.Tag == "" {
+			return response.LoadReport, nil
 		}
-		// Fields that a full report leaves out must not stay as they were.
+		// Fields missing from a full report must not keep their previous values.
 		var full LoadReport
 		err := json.Unmarshal(body, &full)
 		return full, err
 	}
-	return answer.on(before)
+	return response.applyTo(base)
 }
 
-// on puts the changes on the report before.
-func (a *loadAnswer) on(before LoadReport) (LoadReport, error) {
-	if a.After != before.Tag || before.Tag == "" {
-		return LoadReport{}, merry.New("changes to another report")
+// applyTo applies an update to its base report.
+func (a *loadResponse) applyTo(base LoadReport) (LoadReport, error) {
+	if a.After != base.Tag || base.Tag == "" {
+		return LoadReport{}, merry.New("update of another report")
 	}
-	running := make([]RunningSequence, 0, len(before.Running)+len(a.Running))
+	running := make([]RunningSequence, 0, len(base.Running)+len(a.Running))
 	ended := 0
-	for i, s := range before.Running {
+	for i, s := range base.Running {
 		if slices.Contains(a.Ended, i) {
 			ended++
 			continue
@@ -128,7 +128,7 @@
 		running = append(running, s)
 	}
 	if ended != len(a.Ended) || len(a.Outputs) != len(running) {
-		return LoadReport{}, merry.New("changes don't fit the report before")
+		return LoadReport{}, merry.New("update doesn't match the previous report")
 	}
 	for i, n := range a.Outputs {
 		running[i].OutputTokens = n
--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -12,31 +12,31 @@
 	"pollenspindle.example/pollenspindle/internal/httpclient"
 )
 
-// LoadState is what an engine says about its readiness.
+// LoadState is the readiness of an engine in its load report.
 type LoadState string
 
-// The states in load reports.
+// States in load reports.
 const (
 	LoadCold    LoadState = "cold"
 	LoadWarm    LoadState = "warm"
 	LoadLeaving LoadState = "leaving"
 )
 
-// LoadReport is an engine's view of its load, late by MeasuredMillisAgo.
+// LoadReport is an engine's load as of MeasuredMillisAgo.
 type LoadReport struct {
 	Incarnation string `json:"incarnation"`
-	// Tag names this report, when the engine can tell the changes to it.
+	// Tag identifies this report if the engine can send updates of it.
 	Tag               string    `json:"tag,omitempty"`
 	MeasuredMillisAgo int64     `json:"measuredMillisAgo"`
 	State             LoadState `json:"state"`
 	// MemoryTokens is the memory for sequences and cached prefixes, in tokens.
 	MemoryTokens int `json:"memoryTokens"`
-	// UsedTokens is the part of it that running sequences hold.
+	// UsedTokens is the memory used by running sequences, in tokens.
 	UsedTokens   int               `json:"usedTokens"`
 	CachedTokens int               `json:"cachedTokens"`
 	Running      []RunningSequence `json:"running"`
 	Waiting      int               `json:"waiting"`
-	// TokenIntervalMillis is the present time between two tokens.
+	// TokenIntervalMillis is the current time between two tokens.
 	TokenIntervalMillis float64 `json:"tokenIntervalMillis"`
 	Preemptions         int64   `json:"preemptions"`
 	AcceptedTotal       int64   `json:"acceptedTotal"`
@@ -51,10 +51,10 @@
 	OutputTokens int    `json:"outputTokens"`
 }
 
-// CacheOp says what happened to a cached prefix.
+// CacheOp is the kind of a cache event.
 type CacheOp string
 
-// The operations in cache events.
+// Operations in cache events.
 const (
 	CacheStored  CacheOp = "stored"
 	CacheEvicted CacheOp = "evicted"
@@ -67,21 +67,21 @@
 	Op         CacheOp `json:"op"`
 }
 
-// CacheEvents is a page of cache events. Missing numbers in Seq are events
-// that were lost: what is known about the cache may then be wrong.
+// CacheEvents is a page of cache events. A gap in Seq means that events were lost and that the
+// known cache state may be wrong.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 	Next   int64        `json:"next"`
 }
 
-// CacheEvents reads the cache events after the number after.
+// CacheEvents returns the cache events with a number greater than after.
 func (c *Client) CacheEvents(ctx context.Context, address string, after int64) (CacheEvents, error) {
 	var events CacheEvents
 	err := c.getJSON(ctx, address, "/v1/cache/events?after="+strconv.FormatInt(after, 10), nil, &events)
 	return events, err
 }
 
-// State is what an engine has loaded.
+// State lists what an engine has loaded.
 type State struct {
 	Incarnation          string         `json:"incarnation"`
 	Role                 string         `json:"role"`
@@ -96,35 +96,35 @@
 	Version string `json:"version"`
 }
 
-// State reads what an engine has loaded.
+// State reads the state of an engine.
 func (c *Client) State(ctx context.Context, address string) (State, error) {
 	var state State
 	err := c.getJSON(ctx, address, "/v1/state", nil, &state)
 	return state, err
 }
 
-// OrderKind is a kind of order.
+// OrderKind is a kind of engine command.
 type OrderKind string
 
-// The kinds of order.
+// Kinds of engine commands.
 const (
 	OrderLoadModel   OrderKind = "loadModel"
 	OrderLoadAdapter OrderKind = "loadAdapter"
 	OrderSetRole     OrderKind = "setRole"
 )
 
-// Order changes what an engine has loaded, or its role.
+// Order is a command that changes what an engine has loaded, or its role.
 type Order struct {
-	// FencingNumber rises with each holder of the right to give orders.
+	// FencingNumber is the fencing token; it increases with each holder of the command lock.
 	FencingNumber int64     `json:"fencingNumber"`
 	Kind          OrderKind `json:"kind"`
 	Name          string    `json:"name"`
 	Version       string    `json:"version,omitempty"`
 }
 
-// Order gives an order and returns the state after it. An engine that checks
-// fencing numbers answers an old one with [ErrStaleFencing]. After [ErrLost]
-// the order may have been carried out: read the state.
+// Order sends a command and returns the state after it. An engine that checks fencing tokens
+// answers an old one with [ErrStaleFencing]. After [ErrLost] the command may have been executed:
+// read the state.
 func (c *Client) Order(ctx context.Context, address string, order Order) (State, error) {
 	body, err := json.Marshal(order)
 	if err != nil {
--- a/internal/engine/sequence.go
+++ b/internal/engine/sequence.go
@@ -2,26 +2,23 @@
 
 import "github.com/ansel1/merry/v2"
 
-// Sequence checks the positions of one generation: each is passed on once and
-// in order.
+// Sequence checks the positions of one generation: each is forwarded once and in order.
 //
-// After a resume, or when an old connection comes back to life, an engine may
-// repeat tokens that were already passed on; the caller would read them twice.
-// A missing position would be read as a whole answer with a hole in it. Since
-// positions are absolute, comparing with the next expected one finds both.
+// After a resume, or when an old connection recovers, an engine may repeat tokens that were already
+// forwarded; the caller would read them twice. A missing position would make an incomplete response
+// look complete. Positions are absolute, so comparing with the next expected one detects both.
 type Sequence struct {
 	last int64
 }
 
-// NewSequence returns a Sequence for a stream whose positions up to after have
-// been passed on.
+// NewSequence returns a sequence for a stream whose positions up to after have been forwarded.
 func NewSequence(after int64) Sequence { return Sequence{last: after} }
 
-// Last returns the last position passed on.
+// Last returns the last position forwarded.
 func (s *Sequence) Last() int64 { return s.last }
 
-// Accept reports whether the token at position is to be passed on. It returns
-// false for a repeated position and [ErrGap] when positions are missing.
+// Accept reports whether the token at position has to be forwarded. It returns false for a repeated
+// position and [ErrGap] if positions are missing.
 func (s *Sequence) Accept(position int64) (bool, error) {
 	switch {
 	case position <= s.last:
--- a/internal/engine/sequence_test.go
+++ b/internal/engine/sequence_test.go
@@ -10,19 +10,19 @@
 	tests := map[string]struct {
 		after     int64
 		positions []int64
-		passed    []int64
+		forwarded []int64
 		gap       bool
 	}{
-		"in order":                  {positions: []int64{1, 2, 3}, passed: []int64{1, 2, 3}},
-		"repeated after a resume":   {after: 2, positions: []int64{1, 2, 3, 3, 4}, passed: []int64{3, 4}},
-		"gap in the middle":         {positions: []int64{1, 3}, passed: []int64{1}, gap: true},
-		"gap at the resume":         {after: 5, positions: []int64{7}, gap: true},
-		"old connection comes back": {positions: []int64{1, 2, 3, 2, 3, 4}, passed: []int64{1, 2, 3, 4}},
+		"in order":                {positions: []int64{1, 2, 3}, forwarded: []int64{1, 2, 3}},
+		"repeated after a resume": {after: 2, positions: []int64{1, 2, 3, 3, 4}, forwarded: []int64{3, 4}},
+		"gap in the middle":       {positions: []int64{1, 3}, forwarded: []int64{1}, gap: true},
+		"gap at the resume":       {after: 5, positions: []int64{7}, gap: true},
+		"old connection recovers": {positions: []int64{1, 2, 3, 2, 3, 4}, forwarded: []int64{1, 2, 3, 4}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := NewSequence(tt.after)
-			var passed []int64
+			var forwarded []int64
 			var err error
 			for _, position := range tt.positions {
 				var fresh bool
@@ -30,10 +30,10 @@
 					break
 				}
 				if fresh {
-					passed = append(passed, position)
+					forwarded = append(forwarded, position)
 				}
 			}
-			require.Equal(t, tt.passed, passed)
+			require.Equal(t, tt.forwarded, forwarded)
 			if tt.gap {
 				require.ErrorIs(t, err, ErrGap)
 			} else {
@@ -43,8 +43,8 @@
 	}
 }
 
-// FuzzSequence checks that whatever positions arrive, those passed on are
-// consecutive from the start.
+// FuzzSequence checks that the forwarded positions are consecutive from the start, whatever
+// positions arrive.
 func FuzzSequence(f *testing.F) {
 	f.Add(int64(0), []byte{1, 2, 3})
 	f.Add(int64(4), []byte{4, 5, 5, 9})
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -10,7 +10,7 @@
 	"pollenspindle.example/pollenspindle/internal/httpclient"
 )
 
-// doneMarker is the data behind the last event of a whole stream.
+// doneMarker is the data after the last event of a complete stream.
 const doneMarker = "[DONE]"
 
 // Event is one token of a generation, or its end.
@@ -19,14 +19,14 @@
 	Position int64
 	// Data is the OpenAI chunk as JSON.
 	Data string
-	// Text is the token's text.
+	// Text is the text of the token.
 	Text string
 	// FinishReason is set in the last event only.
 	FinishReason string
 }
 
-// Stream reads the events of one generation. It is used by one goroutine; only
-// the context it was started with may be cancelled from another.
+// Stream reads the events of one generation. It is not safe for concurrent use; only the context it
+// was started with may be cancelled by another goroutine.
 type Stream struct {
 	resp        *httpclient.Response
 	events      *eventstream.Reader
@@ -36,18 +36,18 @@
 	done        bool
 }
 
-// Incarnation names the start of the engine that runs the generation.
+// Incarnation identifies the start of the engine that runs the generation.
 func (s *Stream) Incarnation() string { return s.incarnation }
 
-// RequestID is the engine's name of the generation.
+// RequestID is the ID of the generation at the engine.
 func (s *Stream) RequestID() string { return s.requestID }
 
-// Last returns the last position that Next returned.
+// Last returns the position of the last event that Next returned.
 func (s *Stream) Last() int64 { return s.sequence.Last() }
 
-// Next waits for the next event. After the last one it returns io.EOF. An end
-// without the last event is [ErrStreamCut]; missing positions are [ErrGap].
-// Repeated positions are dropped.
+// Next waits for the next event. After the last event it returns io.EOF. A stream that ends without
+// its last event returns [ErrStreamCut]; missing positions return [ErrGap]. Repeated positions are
+// skipped.
 func (s *Stream) Next() (Event, error) {
 	for {
 		raw, err := s.events.Next()
@@ -76,7 +76,7 @@
 	}
 }
 
-// Close ends the reading. The generation runs on unless it is cancelled.
+// Close stops reading. The generation keeps running unless it is cancelled.
 func (s *Stream) Close() {
 	if s.done {
 		s.resp.Drain()
--- a/internal/engine/trace_test.go
+++ b/internal/engine/trace_test.go
@@ -13,8 +13,7 @@
 	"pollenspindle.example/pollenspindle/internal/engine"
 )
 
-// The engine's own spans hang under the span of the start, and under that of
-// the resume after it.
+// The engine's own spans must be children of the span of the start or of the resume.
 func TestEngineGetsTheSpan(t *testing.T) {
 	got := make(chan string, 2)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
