--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -1,7 +1,7 @@
-// Package engineorder gives orders to the model engines that this instance
-// owns: to load a version of a model. Each order has a fencing number from the
-// platform, one order at a time goes to an engine, and the engine's state is
-// read before and after. Package order decides when one may go.
+// Package engineorder sends commands to the model engines that this instance owns: to load a
+// version of a model. Each command has a fencing token from the platform, an engine gets one
+// command at a time, and the engine's state is read before and after. Package order decides when a
+// command may be sent.
 //
 // # Usage
 //
@@ -28,119 +28,119 @@
 )
 
 const (
-	// loadSlots is how many loads read from the weight store at the same time,
-	// in the whole fleet. Two keep the store busy while one load begins or ends;
-	// more would not finish sooner, since the rate is the store's.
-	loadSlots = 2
-	// workers bounds the orders of one instance at the same time.
-	workers = loadSlots
-	// waitFor is how long a call waits for its order; the order goes on after
-	// it. It is below the time after which operators' calls end.
-	waitFor = 8 * time.Second
-	// stateTimeout bounds reading an engine's state.
+	// maxConcurrentLoads is the number of loads that read from the weight store at the same time,
+	// in the whole fleet. Two keep the store busy while one load starts or ends; more would not
+	// finish sooner, since the store limits the rate.
+	maxConcurrentLoads = 2
+	// maxConcurrentCommands limits the commands that one instance runs at the same time.
+	maxConcurrentCommands = maxConcurrentLoads
+	// callTimeout is how long a call waits for its command, which continues afterwards. It is
+	// shorter than the timeout of operators' calls.
+	callTimeout = 8 * time.Second
+	// stateTimeout limits the reading of an engine's state.
 	stateTimeout = 2 * time.Second
 )
 
-// Engines reaches model engines; it is *engine.Client.
+// Engines calls model engines; *engine.Client implements it.
 type Engines interface {
 	State(ctx context.Context, address string) (engine.State, error)
 	Order(ctx context.Context, address string, o engine.Order) (engine.State, error)
 }
 
-// Rights says what this instance may do for an engine; it is *member.Member.
+// Rights tells what this instance may do for an engine; *member.Member implements it.
 type Rights interface {
 	Right(now time.Time, s roster.Server) permit.Right
 }
 
-// Options is what a [Giver] needs.
+// Options configures a [Giver].
 type Options struct {
 	Self    string
 	Objects Objects
 	Engines Engines
 	Rights  Rights
 	Config  func() *config.Snapshot
-	// Timing is [order.DefaultTiming] but in tests.
+	// Timing defaults to [order.DefaultTiming]; tests set it.
 	Timing order.Timing
 	Log    zerolog.Logger
 }
 
-// Giver gives orders. It is safe for concurrent use.
+// Giver runs engine commands. It is safe for concurrent use.
 type Giver struct {
 	opts   Options
-	rights *rights
+	locks  *lockStore
 	pool   *ants.Pool
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// running holds the order of each engine that has one.
-	running map[string]*job
+	// running holds the current command of each engine.
+	running map[string]*commandRun
 }
 
-// New returns a giver; Close ends it.
+// New returns a Giver. Close it after use.
 func New(opts Options) (*Giver, error) {
 	if opts.Timing == (order.Timing{}) {
 		opts.Timing = order.DefaultTiming
 	}
-	pool, err := ants.NewPool(workers, ants.WithNonblocking(true))
+	pool, err := ants.NewPool(maxConcurrentCommands, ants.WithNonblocking(true))
 	if err != nil {
-		return nil, merry.Prepend(err, "make pool of orders")
+		return nil, merry.Prepend(err, "create pool for engine commands")
 	}
 	g := &Giver{
-		opts: opts, pool: pool, running: map[string]*job{},
-		rights: &rights{objects: opts.Objects, timing: opts.Timing, holder: opts.Self, seen: map[string]sighting{}},
+		opts: opts, pool: pool, running: map[string]*commandRun{},
+		locks: &lockStore{objects: opts.Objects, timing: opts.Timing, holder: opts.Self, seen: map[string]observedVersion{}},
 	}
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	return g, nil
 }
 
-// Close ends the orders that wait for an answer and frees the pool. What was
-// sent is left open in the platform, so that the next holder waits for it.
+// Close stops waiting for running commands and frees the pool. The locks of commands that were sent
+// stay held in the platform, so that the next holder waits for them.
 func (g *Giver) Close() {
 	g.cancel()
 	g.pool.Release()
 }
 
-// Order asks for a version of a model on an engine.
+// Order asks an engine to load a version of a model.
 type Order struct {
 	Server string
 	Model  string
-	// Version is the declared one if empty.
+	// Version defaults to the declared one.
 	Version string
 }
 
-// Outcome tells what became of an order.
+// Outcome is the result of a command.
 type Outcome struct {
-	// Number is the fencing number; 0 if no order was needed or none given yet.
+	// FencingToken is the token of the command; 0 if no command was needed or none was sent yet.
 	Number int64
 	State  State
 }
 
-// State is how far an order got.
+// State is the progress of a command.
 type State string
 
-// The states of an order.
+// States of a command.
 const (
-	// StateAlready means that the engine had the version without an order.
+	// StateAlready means that the engine had loaded the version before.
 	StateAlready State = "alreadyLoaded"
-	// StateLoaded means that the engine had it after the order.
+	// StateLoaded means that the engine has loaded the version after the command.
 	StateLoaded State = "loaded"
-	// StateLoading means that the order goes on; asking again waits for it.
+	// StateLoading means that the command is still running; repeating the call waits for it.
 	StateLoading State = "loading"
 )
 
-// job is one order under way.
-type job struct {
-	order   Order
-	server  pollenspindle.Server
-	place   roster.Server
-	done    chan struct{}
-	outcome Outcome
-	err     error
+// commandRun is one running command.
+type commandRun struct {
+	command      Order
+	server       pollenspindle.Server
+	rosterServer roster.Server
+	done         chan struct{}
+	outcome      Outcome
+	err          error
 }
 
-// Load gives an order and waits a while for its end. The same order while it
-// is under way waits for that one; another for the same engine is busy.
+// Load runs a command and waits for its end up to callTimeout. If the same command is already
+// running, Load waits for that one; a different command for the same engine fails with *BusyError.
 func (g *Giver) Load(ctx context.Context, o Order) (Outcome, error) {
 	j, err := g.prepare(o)
 	if err != nil {
@@ -150,7 +150,7 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	timer := time.NewTimer(waitFor)
+	timer := time.NewTimer(callTimeout)
 	defer timer.Stop()
 	select {
 	case <-j.done:
@@ -161,8 +161,8 @@
 	return Outcome{State: StateLoading}, nil
 }
 
-// prepare checks the order against the configuration.
-func (g *Giver) prepare(o Order) (*job, error) {
+// prepare validates a command against the configuration.
+func (g *Giver) prepare(o Order) (*commandRun, error) {
 	snap := g.opts.Config()
 	server, ok := snap.Servers[o.Server]
 	if !ok {
@@ -179,33 +179,33 @@
 	if o.Version == "" {
 		o.Version = model.Version
 	}
-	place := roster.Server{Name: server.Name, ColdLimit: server.ColdLimit}
+	rosterServer := roster.Server{Name: server.Name, ColdLimit: server.ColdLimit}
 	if zone, ok := snap.Zones[server.Zone]; ok {
-		place.Region = zone.Region
+		rosterServer.Region = zone.Region
 	}
-	return &job{order: o, server: *server, place: place, done: make(chan struct{})}, nil
+	return &commandRun{command: o, server: *server, rosterServer: rosterServer, done: make(chan struct{})}, nil
 }
 
-// start begins j, or returns the same order if it is under way.
-func (g *Giver) start(j *job) (*job, error) {
+// start starts j, or returns the same command if it is already running.
+func (g *Giver) start(j *commandRun) (*commandRun, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if old, ok := g.running[j.order.Server]; ok {
-		if old.order == j.order {
-			return old, nil
+	if current, ok := g.running[j.command.Server]; ok {
+		if current.command == j.command {
+			return current, nil
 		}
 		return nil, &BusyError{Holder: g.opts.Self, For: g.opts.Timing.RunFor}
 	}
 	err := g.pool.Submit(func() {
 		j.outcome, j.err = g.run(g.ctx, j)
 		g.mu.Lock()
-		delete(g.running, j.order.Server)
+		delete(g.running, j.command.Server)
 		g.mu.Unlock()
 		close(j.done)
 	})
 	if err != nil {
 		return nil, &BusyError{Holder: g.opts.Self, For: g.opts.Timing.SendWithin}
 	}
-	g.running[j.order.Server] = j
+	g.running[j.command.Server] = j
 	return j, nil
 }
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -21,11 +21,11 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// long is for tests in which no time is to run out.
-var long = order.Timing{SendWithin: time.Hour, RunFor: time.Hour}
+// longTiming is for tests in which nothing may time out.
+var longTiming = order.Timing{SendWithin: time.Hour, RunFor: time.Hour}
 
-// platform keeps objects. The next writes of lose take effect without answer,
-// those of drop neither take effect nor are answered.
+// platform is an object store. The next lose writes take effect without a response; the next drop
+// writes neither take effect nor get a response.
 type platform struct {
 	mu         sync.Mutex
 	version    int64
@@ -71,7 +71,7 @@
 	return o, nil
 }
 
-// record returns the object of the engine.
+// record returns the lock record of the engine.
 func (p *platform) record(t *testing.T) order.Record {
 	o, err := p.Get(t.Context(), "fencing", "engine-1")
 	require.NoError(t, err)
@@ -80,23 +80,23 @@
 	return r
 }
 
-// leaveOpen puts an order of another instance there, which has died.
-func (p *platform) leaveOpen(t *testing.T, name string) {
+// addHeldLock adds a lock held by another instance that has crashed.
+func (p *platform) addHeldLock(t *testing.T, name string) {
 	value, err := json.Marshal(order.Record{Token: "other", Holder: "entry-2"})
 	require.NoError(t, err)
 	_, err = p.Create(t.Context(), "fencing", name, value)
 	require.NoError(t, err)
 }
 
-// engines is one engine; orders are what it was given.
+// engines is a single engine that records its commands.
 type engines struct {
-	mu     sync.Mutex
-	state  engine.State
-	orders []engine.Order
-	// err is answered; useless orders have no effect.
-	err     error
-	useless bool
-	hold    chan struct{}
+	mu       sync.Mutex
+	state    engine.State
+	commands []engine.Order
+	// err is returned for each command. If noEffect is set, commands have no effect.
+	err      error
+	noEffect bool
+	hold     chan struct{}
 }
 
 func (e *engines) State(context.Context, string) (engine.State, error) {
@@ -107,7 +107,7 @@
 
 func (e *engines) Order(_ context.Context, _ string, o engine.Order) (engine.State, error) {
 	e.mu.Lock()
-	e.orders = append(e.orders, o)
+	e.commands = append(e.commands, o)
 	hold := e.hold
 	e.mu.Unlock()
 	if hold != nil {
@@ -115,45 +115,45 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.useless {
+	if !e.noEffect {
 		e.state.Models = []engine.ModelVersion{{Name: o.Name, Version: o.Version}}
 	}
 	return e.state, e.err
 }
 
-func (e *engines) given() int {
+func (e *engines) commandCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.orders)
+	return len(e.commands)
 }
 
-// rights is a right that can be lost.
-type rights struct{ role atomic.Int64 }
+// fakeOwnership is an ownership that can be lost.
+type fakeOwnership struct{ role atomic.Int64 }
 
-func (r *rights) Right(time.Time, roster.Server) permit.Right {
+func (r *fakeOwnership) Right(time.Time, roster.Server) permit.Right {
 	return permit.Right{Role: permit.Role(r.role.Load())}
 }
 
 type fixture struct {
-	platform *platform
-	engines  *engines
-	rights   *rights
-	giver    *engineorder.Giver
+	platform  *platform
+	engines   *engines
+	ownership *fakeOwnership
+	giver     *engineorder.Giver
 }
 
 func start(t *testing.T, timing order.Timing, fencing pollenspindle.Fencing) *fixture {
 	t.Helper()
-	f := &fixture{platform: &platform{objects: map[string]objectapi.Object{}}, engines: &engines{}, rights: &rights{}}
-	f.rights.role.Store(int64(permit.RoleOwner))
+	f := &fixture{platform: &platform{objects: map[string]objectapi.Object{}}, engines: &engines{}, ownership: &fakeOwnership{}}
+	f.ownership.role.Store(int64(permit.RoleOwner))
 	cfg := pollenspindle.Config{
-		Models: []pollenspindle.Model{{Name: "briefing", Version: "3", Service: "s"}, {Name: "alien", Service: "other"}},
+		Models: []pollenspindle.Model{{Name: "briefing", Version: "3", Service: "s"}, {Name: "foreign", Service: "other"}},
 	}
 	for _, name := range []string{"engine-1", "engine-2", "engine-3"} {
 		cfg.Servers = append(cfg.Servers, pollenspindle.Server{Name: name, Service: "s", Fencing: fencing})
 	}
 	snap := config.NewSnapshot(1, cfg)
 	giver, err := engineorder.New(engineorder.Options{
-		Self: "entry-1", Objects: f.platform, Engines: f.engines, Rights: f.rights, Timing: timing,
+		Self: "entry-1", Objects: f.platform, Engines: f.engines, Rights: f.ownership, Timing: timing,
 		Config: func() *config.Snapshot { return snap }, Log: zerolog.Nop(),
 	})
 	require.NoError(t, err)
@@ -167,54 +167,54 @@
 }
 
 func TestLoadReadsTheStateBeforeAndAfter(t *testing.T) {
-	f := start(t, long, pollenspindle.FencingIgnored)
+	f := start(t, longTiming, pollenspindle.FencingIgnored)
 	outcome, err := f.load(t, "engine-1")
 	require.NoError(t, err)
 	require.Equal(t, engineorder.StateLoaded, outcome.State)
-	require.Equal(t, []engine.Order{{FencingNumber: outcome.Number, Kind: engine.OrderLoadModel, Name: "briefing", Version: "3"}}, f.engines.orders)
+	require.Equal(t, []engine.Order{{FencingNumber: outcome.Number, Kind: engine.OrderLoadModel, Name: "briefing", Version: "3"}}, f.engines.commands)
 	require.True(t, f.platform.record(t).Ended)
 	again, err := f.load(t, "engine-1")
 	require.NoError(t, err)
 	require.Equal(t, engineorder.Outcome{State: engineorder.StateAlready}, again)
-	require.Equal(t, 1, f.engines.given())
+	require.Equal(t, 1, f.engines.commandCount())
 
-	f.engines.state, f.engines.useless = engine.State{}, true
+	f.engines.state, f.engines.noEffect = engine.State{}, true
 	_, err = f.load(t, "engine-1")
-	require.ErrorIs(t, err, engineorder.ErrOvertaken, "the engine said yes and has it not")
-	_, err = f.giver.Load(t.Context(), engineorder.Order{Server: "engine-1", Model: "alien"})
+	require.ErrorIs(t, err, engineorder.ErrOvertaken, "the engine accepted the command without effect")
+	_, err = f.giver.Load(t.Context(), engineorder.Order{Server: "engine-1", Model: "foreign"})
 	require.ErrorIs(t, err, engineorder.ErrInvalid)
 }
 
-// The platform's answer to the taking of the right is lost. If the write is
-// there when read back, the order goes on under its number; if not, nothing is
-// ordered, since the write may still land when another holds the right.
-func TestLostAnswerOfThePlatform(t *testing.T) {
-	f := start(t, long, pollenspindle.FencingIgnored)
+// The platform's response to acquiring the lock is lost. If the write is there when read back, the
+// command continues with its token. If not, nothing is sent, since the write may still take effect
+// after another instance has acquired the lock.
+func TestLostResponseOfThePlatform(t *testing.T) {
+	f := start(t, longTiming, pollenspindle.FencingIgnored)
 	f.platform.drop = 1
 	_, err := f.load(t, "engine-1")
 	require.ErrorIs(t, err, engineorder.ErrOvertaken)
-	require.Zero(t, f.engines.given())
+	require.Zero(t, f.engines.commandCount())
 	f.platform.lose = 1
 	outcome, err := f.load(t, "engine-1")
 	require.NoError(t, err)
 	require.Equal(t, engineorder.StateLoaded, outcome.State)
-	require.Equal(t, outcome.Number, f.engines.orders[0].FencingNumber)
+	require.Equal(t, outcome.Number, f.engines.commands[0].FencingNumber)
 }
 
-// The engine's answer is lost and its state does not show the effect: the
-// order may still run. It stays open, and a repeat is told to wait.
-func TestLostAnswerOfTheEngine(t *testing.T) {
-	f := start(t, long, pollenspindle.FencingIgnored)
-	f.engines.err, f.engines.useless = engine.ErrLost, true
+// The engine's response is lost and its state doesn't show the effect: the command may still be
+// running. Its lock stays held, and a repetition has to wait.
+func TestLostResponseOfTheEngine(t *testing.T) {
+	f := start(t, longTiming, pollenspindle.FencingIgnored)
+	f.engines.err, f.engines.noEffect = engine.ErrLost, true
 	_, err := f.load(t, "engine-1")
 	require.ErrorIs(t, err, engineorder.ErrUnknown)
 	require.False(t, f.platform.record(t).Ended)
 	var busy *engineorder.BusyError
 	_, err = f.load(t, "engine-1")
 	require.ErrorAs(t, err, &busy)
-	require.Equal(t, 1, f.engines.given())
+	require.Equal(t, 1, f.engines.commandCount())
 
-	f = start(t, long, pollenspindle.FencingIgnored)
+	f = start(t, longTiming, pollenspindle.FencingIgnored)
 	f.engines.err = engine.ErrLost
 	outcome, err := f.load(t, "engine-1")
 	require.NoError(t, err)
@@ -222,17 +222,17 @@
 	require.True(t, f.platform.record(t).Ended)
 }
 
-// Another instance died with an order open. An engine that checks numbers is
-// ordered at once; for one that ignores them the order's time is waited out.
-func TestOrderLeftOpen(t *testing.T) {
-	f := start(t, long, pollenspindle.FencingChecked)
-	f.platform.leaveOpen(t, "engine-1")
+// Another instance crashed with its lock held. An engine that checks fencing tokens gets the next
+// command at once; for one that ignores them, the command waits until the other must be over.
+func TestLockOfACrashedHolder(t *testing.T) {
+	f := start(t, longTiming, pollenspindle.FencingChecked)
+	f.platform.addHeldLock(t, "engine-1")
 	_, err := f.load(t, "engine-1")
 	require.NoError(t, err)
 
 	f = start(t, order.Timing{SendWithin: time.Second, RunFor: time.Second}, pollenspindle.FencingIgnored)
-	f.platform.leaveOpen(t, "engine-1")
-	began := time.Now()
+	f.platform.addHeldLock(t, "engine-1")
+	started := time.Now()
 	var busy *engineorder.BusyError
 	_, err = f.load(t, "engine-1")
 	require.ErrorAs(t, err, &busy)
@@ -241,57 +241,57 @@
 		_, err = f.load(t, "engine-1")
 		return err == nil
 	}, time.Minute, 10*time.Millisecond)
-	require.GreaterOrEqual(t, time.Since(began), 2*time.Second)
+	require.GreaterOrEqual(t, time.Since(started), 2*time.Second)
 }
 
-// The process is paused while it takes its right: when it goes on, it is no
-// longer the owner, or too late. Nothing is sent and the right is given back.
+// The process is paused while it acquires the lock. When it resumes it is no longer the owner, or
+// too late. Nothing is sent and the lock is released.
 func TestPausedHolderSendsNothing(t *testing.T) {
-	f := start(t, long, pollenspindle.FencingIgnored)
+	f := start(t, longTiming, pollenspindle.FencingIgnored)
 	f.platform.onWrite = func(name string) {
 		if name == "engine-1" {
-			f.rights.role.Store(int64(permit.RoleNone))
+			f.ownership.role.Store(int64(permit.RoleNone))
 		}
 	}
 	_, err := f.load(t, "engine-1")
 	require.ErrorIs(t, err, engineorder.ErrOvertaken)
 	require.True(t, f.platform.record(t).Ended)
-	f.rights.role.Store(int64(permit.RoleWaiting))
+	f.ownership.role.Store(int64(permit.RoleWaiting))
 	_, err = f.load(t, "engine-1")
 	require.ErrorIs(t, err, engineorder.ErrNotOwner)
 
 	f = start(t, order.Timing{SendWithin: time.Nanosecond, RunFor: time.Hour}, pollenspindle.FencingChecked)
 	_, err = f.load(t, "engine-1")
 	require.ErrorIs(t, err, engineorder.ErrOvertaken)
-	require.Zero(t, f.engines.given())
+	require.Zero(t, f.engines.commandCount())
 }
 
-// Many loads are asked for at the same time, here and elsewhere. The weight
-// store gets two at the most; one engine gets one order at a time.
-func TestLoadsAtTheSameTime(t *testing.T) {
-	f := start(t, long, pollenspindle.FencingIgnored)
-	f.platform.leaveOpen(t, "load slot 0")
+// Many loads are requested at the same time, here and on other instances. The weight store gets two
+// at most, and an engine gets one command at a time.
+func TestConcurrentLoads(t *testing.T) {
+	f := start(t, longTiming, pollenspindle.FencingIgnored)
+	f.platform.addHeldLock(t, "load slot 0")
 	hold := make(chan struct{})
 	f.engines.hold = hold
 	var wg sync.WaitGroup
 	for range 2 {
 		wg.Go(func() {
 			outcome, err := f.load(t, "engine-1")
-			// The second may come only when the first has ended.
+			// The second call may start after the first load has ended.
 			if err != nil || outcome.State == engineorder.StateLoading {
 				t.Errorf("load: %v %v", outcome, err)
 			}
 		})
 	}
-	require.Eventually(t, func() bool { return f.engines.given() == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return f.engines.commandCount() == 1 }, time.Minute, time.Millisecond)
 	var busy *engineorder.BusyError
 	_, err := f.giver.Load(t.Context(), engineorder.Order{Server: "engine-1", Model: "briefing", Version: "4"})
 	require.ErrorAs(t, err, &busy)
 	_, err = f.load(t, "engine-2")
-	require.ErrorAs(t, err, &busy, "both slots are taken")
+	require.ErrorAs(t, err, &busy, "both load slots are in use")
 	close(hold)
 	wg.Wait()
-	require.Equal(t, 1, f.engines.given(), "one order, however often it is asked for")
+	require.Equal(t, 1, f.engines.commandCount(), "one command for repeated calls")
 	require.Eventually(t, func() bool {
 		_, err = f.giver.Load(t.Context(), engineorder.Order{Server: "engine-2", Model: "briefing", Version: "4"})
 		return err == nil
--- a/internal/engineorder/errors.go
+++ b/internal/engineorder/errors.go
@@ -7,22 +7,22 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// The errors of orders. After all but [ErrUnknown] nothing was ordered.
+// Errors of engine commands. After all of them but [ErrUnknown], no command took effect.
 var (
 	// ErrUnavailable means that the platform or the engine can't be reached.
-	ErrUnavailable = merry.Sentinel("order not given")
-	// ErrOvertaken means that another order came in between.
-	ErrOvertaken = merry.Sentinel("overtaken by another order")
-	// ErrNotOwner means that another instance owns the engine, or that this
-	// one must still wait for its right.
+	ErrUnavailable = merry.Sentinel("engine command not sent")
+	// ErrOvertaken means that another command was sent in the meantime.
+	ErrOvertaken = merry.Sentinel("superseded by another engine command")
+	// ErrNotOwner means that another instance owns the engine, or that this one has to wait until
+	// its ownership is valid.
 	ErrNotOwner = merry.Sentinel("not the owner of the backend server")
-	// ErrInvalid means that the configuration doesn't allow the order.
-	ErrInvalid = merry.Sentinel("order not allowed")
-	// ErrUnknown means that the order may have been carried out, or be.
-	ErrUnknown = merry.Sentinel("outcome of the order unknown")
+	// ErrInvalid means that the configuration or the engine doesn't allow the command.
+	ErrInvalid = merry.Sentinel("engine command not allowed")
+	// ErrUnknown means that the command may have taken effect, or may still do so.
+	ErrUnknown = merry.Sentinel("outcome of the engine command unknown")
 )
 
-// BusyError means that another order may be under way.
+// BusyError means that another command may be running.
 type BusyError struct {
 	Holder string
 	For    time.Duration
@@ -30,7 +30,7 @@
 
 // Error implements error.
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("an order of %s may be under way for another %s", e.Holder, e.For.Round(time.Second))
+	return fmt.Sprintf("an engine command of %s may be running for another %s", e.Holder, e.For.Round(time.Second))
 }
 
 func unavailable(err error) error {
--- a/internal/engineorder/handler.go
+++ b/internal/engineorder/handler.go
@@ -11,7 +11,7 @@
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1/peerv1connect"
 )
 
-// The results of orders between instances.
+// Results of commands between instances.
 const (
 	resultDone        = "done"
 	resultBusy        = "busy"
@@ -22,7 +22,7 @@
 	resultUnknown     = "unknown"
 )
 
-// Handler returns what carries out the orders that peers pass on.
+// Handler returns the handler of commands that peers forward.
 func (g *Giver) Handler() peerv1connect.OrderServiceHandler { return &handler{g} }
 
 type handler struct{ giver *Giver }
@@ -59,7 +59,7 @@
 	return resultUnknown
 }
 
-// FromPeer reads the answer of a peer that an order was passed on to.
+// FromPeer converts the response of a peer that a command was forwarded to.
 func FromPeer(res *peerv1.LoadModelResponse) (Outcome, error) {
 	outcome := Outcome{Number: res.GetFencingNumber(), State: State(res.GetState())}
 	switch res.GetResult() {
--- a/internal/engineorder/run.go
+++ b/internal/engineorder/run.go
@@ -15,55 +15,55 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// run takes the rights for an order, gives it, and looks what came of it.
-func (g *Giver) run(ctx context.Context, j *job) (Outcome, error) {
-	// An owner that still waits for the permits of the one before also waits
-	// with its orders: the one before may be giving some.
-	if !g.owns(time.Now(), j) {
+// run acquires the locks of a command, sends it and checks its effect.
+func (g *Giver) run(ctx context.Context, j *commandRun) (Outcome, error) {
+	// An owner that still waits for the permits of the previous owner to expire must not send
+	// commands either: the previous owner may be sending some.
+	if !g.isOwner(time.Now(), j) {
 		return Outcome{}, ErrNotOwner
 	}
-	loaded, err := g.has(ctx, j)
+	loaded, err := g.hasVersion(ctx, j)
 	if err != nil {
 		return Outcome{}, err
 	}
 	if loaded {
 		return Outcome{State: StateAlready}, nil
 	}
-	slot, err := g.takeSlot(ctx, j)
+	slot, err := g.acquireLoadSlot(ctx, j)
 	if err != nil {
 		return Outcome{}, err
 	}
-	checked := j.server.Fencing == pollenspindle.FencingChecked
-	taken, err := g.rights.take(ctx, j.order.Server, checked, j.order.Model, j.order.Version)
+	checksFencing := j.server.Fencing == pollenspindle.FencingChecked
+	lock, err := g.locks.acquire(ctx, j.command.Server, checksFencing, j.command.Model, j.command.Version)
 	if err != nil {
-		g.rights.end(ctx, slot)
+		g.locks.release(ctx, slot)
 		return Outcome{}, err
 	}
-	// The slot was taken first, so its time ends first.
-	taken.began = slot.began
-	outcome, over, err := g.give(ctx, j, taken)
+	// The slot was acquired first, so its time ends first.
+	lock.acquireStarted = slot.acquireStarted
+	outcome, over, err := g.send(ctx, j, lock)
 	if over {
-		g.rights.end(ctx, taken)
-		g.rights.end(ctx, slot)
+		g.locks.release(ctx, lock)
+		g.locks.release(ctx, slot)
 	}
-	g.opts.Log.Info().Str("server", j.order.Server).Str("model", j.order.Model).Str("version", j.order.Version).
-		Int64("fencing", taken.number).Str("state", string(outcome.State)).Err(err).Msg("order given")
+	g.opts.Log.Info().Str("server", j.command.Server).Str("model", j.command.Model).Str("version", j.command.Version).
+		Int64("fencing", lock.fencingToken).Str("state", string(outcome.State)).Err(err).Msg("engine command finished")
 	return outcome, err
 }
 
-// give sends the order. over says that it surely has no effect any more.
-func (g *Giver) give(ctx context.Context, j *job, taken right) (outcome Outcome, over bool, err error) {
-	outcome.Number = taken.number
-	ordering, cancel := context.WithTimeout(ctx, g.opts.Timing.RunFor)
+// send sends the command. over is true if the command can't take effect any more.
+func (g *Giver) send(ctx context.Context, j *commandRun, lock commandLock) (outcome Outcome, over bool, err error) {
+	outcome.Number = lock.fencingToken
+	sendCtx, cancel := context.WithTimeout(ctx, g.opts.Timing.RunFor)
 	defer cancel()
 	now := time.Now()
-	// A process that was paused since it began to take the right would send
-	// when another already counts its order as over.
-	if !order.MaySend(now, g.opts.Timing, taken.began) || !g.owns(now, j) {
+	// If the process was paused after it started to acquire the lock, another instance may already
+	// treat the command as over.
+	if !order.MaySend(now, g.opts.Timing, lock.acquireStarted) || !g.isOwner(now, j) {
 		return outcome, true, ErrOvertaken
 	}
-	_, err = g.opts.Engines.Order(ordering, j.server.Address, engine.Order{
-		FencingNumber: taken.number, Kind: engine.OrderLoadModel, Name: j.order.Model, Version: j.order.Version,
+	_, err = g.opts.Engines.Order(sendCtx, j.server.Address, engine.Order{
+		FencingNumber: lock.fencingToken, Kind: engine.OrderLoadModel, Name: j.command.Model, Version: j.command.Version,
 	})
 	switch {
 	case errors.Is(err, engine.ErrStaleFencing):
@@ -71,12 +71,12 @@
 	case errors.Is(err, engine.ErrNotSent):
 		return outcome, true, unavailable(err)
 	case errors.Is(err, engine.ErrRefused), errors.Is(err, engine.ErrBadRequest):
-		return outcome, true, merry.Wrap(ErrInvalid, merry.WithCause(err), merry.AppendMessage("the engine refused it"))
+		return outcome, true, merry.Wrap(ErrInvalid, merry.WithCause(err), merry.AppendMessage("the engine refused the command"))
 	}
-	// Whatever the answer said or whether it came, the engine's own state says
-	// what it has. An order whose answer was lost may still run, so it stays
-	// open unless its effect is there.
-	loaded, stateErr := g.has(ctx, j)
+	// Whatever the response was, the engine's state tells what it has loaded. If the response was
+	// lost, the command may still be running, so its lock stays held unless the state shows the
+	// effect.
+	loaded, stateErr := g.hasVersion(ctx, j)
 	switch {
 	case stateErr == nil && loaded:
 		outcome.State = StateLoaded
@@ -84,33 +84,33 @@
 	case stateErr != nil || errors.Is(err, engine.ErrLost):
 		return outcome, false, merry.Wrap(ErrUnknown, merry.WithCause(errors.Join(err, stateErr)))
 	case err != nil:
-		return outcome, true, merry.Wrap(ErrInvalid, merry.WithCause(err), merry.AppendMessage("the engine could not carry it out"))
+		return outcome, true, merry.Wrap(ErrInvalid, merry.WithCause(err), merry.AppendMessage("the engine failed to execute the command"))
 	}
 	return outcome, true, ErrOvertaken
 }
 
-func (g *Giver) owns(now time.Time, j *job) bool {
-	return g.opts.Rights.Right(now, j.place).Role == permit.RoleOwner
+func (g *Giver) isOwner(now time.Time, j *commandRun) bool {
+	return g.opts.Rights.Right(now, j.rosterServer).Role == permit.RoleOwner
 }
 
-// has reports whether the engine has the version.
-func (g *Giver) has(ctx context.Context, j *job) (bool, error) {
+// hasVersion reports whether the engine has loaded the version.
+func (g *Giver) hasVersion(ctx context.Context, j *commandRun) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	state, err := g.opts.Engines.State(ctx, j.server.Address)
 	if err != nil {
 		return false, unavailable(err)
 	}
-	want := engine.ModelVersion{Name: j.order.Model, Version: j.order.Version}
+	want := engine.ModelVersion{Name: j.command.Model, Version: j.command.Version}
 	return slices.Contains(state.Models, want), nil
 }
 
-// takeSlot takes one of the fleet's loads. A slot that its holder left open is
+// acquireLoadSlot acquires one of the fleet's load slots. A slot that its holder didn't release is
 // free again once that load must be over.
-func (g *Giver) takeSlot(ctx context.Context, j *job) (right, error) {
+func (g *Giver) acquireLoadSlot(ctx context.Context, j *commandRun) (commandLock, error) {
 	var busy *BusyError
-	for i := range loadSlots {
-		slot, err := g.rights.take(ctx, fmt.Sprintf("load slot %d", i), false, j.order.Model, j.order.Version)
+	for i := range maxConcurrentLoads {
+		slot, err := g.locks.acquire(ctx, fmt.Sprintf("load slot %d", i), false, j.command.Model, j.command.Version)
 		if err == nil {
 			return slot, nil
 		}
@@ -121,11 +121,11 @@
 				busy = full
 			}
 		case !errors.Is(err, ErrOvertaken):
-			return right{}, err
+			return commandLock{}, err
 		}
 	}
 	if busy == nil {
 		busy = &BusyError{Holder: "other instances", For: g.opts.Timing.SendWithin}
 	}
-	return right{}, busy
+	return commandLock{}, busy
 }
