--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,94 +1,90 @@
-// Package order decides when an order may be given to a model engine: to load
-// a model, say. Two instances may each believe to own the engine, since a
-// lease can lapse while its holder is paused; an order of the one must not
-// undo a later order of the other. Everything here is pure.
+// Package order decides when a command, such as loading a model, may be sent to a model engine. Two
+// instances may each believe that they own the engine, since a lease can expire while its holder is
+// paused; a command of one must not undo a later command of the other. All functions are pure.
 //
-// The right to give one order is an object of the platform, taken by a
-// conditional update. The object's version is the order's fencing number: it
-// is unique and rises. An engine that checks numbers refuses what was
-// overtaken. For one that ignores them the time does it: an order is sent
-// shortly after it was taken or not at all, and who finds it open waits until
-// it must be over.
+// A lock that permits one command is an object of the platform, acquired by a conditional update.
+// The object's version is the fencing token of the command: it is unique and increases. An engine
+// that checks fencing tokens refuses commands with an older one. For an engine that ignores them,
+// timeouts take that role: a command is sent shortly after its lock was acquired or not at all, and
+// an instance that finds the lock held waits until the command must be over.
 //
 // # Usage
 //
-//	switch d := order.Decide(now, timing, held, checked).(type) {
+//	switch d := order.Decide(now, timing, held, checksFencing).(type) {
 //	case order.Take: // conditional update on d.Version
-//	case order.Wait: // come back after d.For
+//	case order.Wait: // retry after d.For
 //	}
-//	if order.MaySend(time.Now(), timing, began) { ... }
+//	if order.MaySend(time.Now(), timing, started) { ... }
 package order
 
 import "time"
 
-// Timing bounds an order.
+// Timing holds the timeouts of a command.
 type Timing struct {
-	// SendWithin is how long after beginning to take its right a holder may
-	// still send its order.
+	// SendTimeout is how long after starting to acquire its lock a holder may still send its
+	// command.
 	SendWithin time.Duration
-	// RunFor is the longest that an order takes from its sending to its effect.
+	// MaxDuration is the maximum time from sending a command to its effect.
 	RunFor time.Duration
 }
 
-// DefaultTiming is for loads from a weight store that is shared. With a RunFor
-// under the longest load, an order found open would be taken for over while it
-// still changes the engine; only who takes over from a dead holder waits for it.
+// DefaultTiming suits loads from a shared weight store. If MaxDuration were shorter than the
+// longest load, a command that is still changing the engine would count as over. Only an instance
+// that takes over from a crashed holder waits for it.
 var DefaultTiming = Timing{SendWithin: 2 * time.Second, RunFor: 10 * time.Minute}
 
-// Record is the value of the platform's object.
+// Record is the value of the lock object.
 type Record struct {
-	// Token is random; the holder knows its own write by it when the answer
-	// was lost.
+	// Token is random. After a lost response the holder recognizes its own write by it.
 	Token   string `json:"token"`
 	Holder  string `json:"holder"`
 	Model   string `json:"model"`
 	Version string `json:"version,omitempty"`
-	// Ended says that the holder knows its order to be over.
+	// Ended is true if the holder knows that its command is over.
 	Ended bool `json:"ended"`
 }
 
-// Held is the object as it was found.
+// Held is the state of the lock object as it was read.
 type Held struct {
-	// Version is 0 when there is none.
+	// Version is 0 if there is no object.
 	Version int64
 	Record  Record
-	// SeenAt is when this instance first had this version, by its own clock.
-	// The clocks of two instances are never compared.
+	// SeenAt is when this instance first saw this version, by its own clock. Clocks of different
+	// instances are never compared.
 	SeenAt time.Time
 }
 
 // Decision is [Take] or [Wait].
 type Decision interface{ decision() }
 
-// Take lets the object be replaced at Version; 0 creates it.
+// Take permits replacing the object at Version; 0 creates it.
 type Take struct{ Version int64 }
 
-// Wait says that another order may still be under way.
+// Wait means that another command may still be running.
 type Wait struct{ For time.Duration }
 
 func (Take) decision() {}
 func (Wait) decision() {}
 
-// Decide decides about an order for an engine whose object is held: an
-// order must not take effect after one that was given later. An engine that
-// checks numbers refuses the first then, so nothing is waited for. Else an
-// open order counts as under way until it must have been sent and run, counted
-// from when it was seen: it was taken before that.
-func Decide(now time.Time, t Timing, held Held, checked bool) Decision {
-	if held.Version == 0 || held.Record.Ended || checked {
+// Decide decides whether the lock of an engine may be acquired: a command must not take effect
+// after one that was sent later. An engine that checks fencing tokens refuses the earlier one in
+// that case, so there is no need to wait. Otherwise a command whose lock is held counts as running
+// until it must have been sent and executed. That time is counted from when the lock was first
+// seen, which is after it was acquired.
+func Decide(now time.Time, t Timing, held Held, checksFencing bool) Decision {
+	if held.Version == 0 || held.Record.Ended || checksFencing {
 		return Take{held.Version}
 	}
-	left := held.SeenAt.Add(t.SendWithin + t.RunFor).Sub(now)
-	if left > 0 {
-		return Wait{left}
+	remaining := held.SeenAt.Add(t.SendWithin + t.RunFor).Sub(now)
+	if remaining > 0 {
+		return Wait{remaining}
 	}
 	return Take{held.Version}
 }
 
-// MaySend reports whether an order whose right was begun to be taken at began
-// may still be sent. It is asked immediately before the first byte: a process
-// that was paused since would send when another already counts the order as
-// over.
-func MaySend(now time.Time, t Timing, began time.Time) bool {
-	return now.Before(began.Add(t.SendWithin))
+// MaySend reports whether a command may still be sent if the acquiring of its lock started at the
+// given time. It must be called immediately before sending the first byte: a process that was
+// paused since could send a command that another instance already counts as over.
+func MaySend(now time.Time, t Timing, started time.Time) bool {
+	return now.Before(started.Add(t.SendWithin))
 }
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -10,70 +10,69 @@
 )
 
 const (
-	holders  = 2
-	maxTurns = 2
-	horizon  = 6
-	// runFor is how long an order really takes at the most on an engine that
-	// ignores numbers.
+	holders     = 2
+	maxAttempts = 2
+	maxTicks    = 6
+	// runFor is the actual maximum duration of a command on an engine that ignores fencing tokens.
 	runFor = time.Second
 )
 
-// turnsOf is how often each holder tries; the second may be the one to lose.
-var turnsOf = [holders]int8{2, 1}
+// attemptsOf is the number of attempts of each holder; the second holder may be the one that loses.
+var attemptsOf = [holders]int8{2, 1}
 
-// phase is how far a holder got with its order.
+// phase is the progress of a holder's command.
 type phase uint8
 
 const (
 	idle phase = iota
 	// decided holders have read the object and may write it.
 	decided
-	// unsure holders have lost the answer of their write.
-	unsure
-	taken
+	// unconfirmed holders have lost the response to their write.
+	unconfirmed
+	acquired
 	sent
-	// answered holders know that their order is over.
-	answered
+	// finished holders know that their command is over.
+	finished
 )
 
 type holder struct {
-	phase  phase
-	turns  int8
-	base   int64 // version that the decision is based on
-	began  int8
-	number int64
-	token  int8
-	seen   int64 // version first seen at seenAt
-	seenAt int8
+	phase        phase
+	attempts     int8
+	base         int64 // version that the decision is based on
+	started      int8
+	fencingToken int64
+	writeID      int8
+	seen         int64 // version first seen at seenAt
+	seenAt       int8
 }
 
-type place uint8
+type position uint8
 
 const (
-	nowhere place = iota
-	transit
+	unsent position = iota
+	inTransit
 	running
-	over
+	done
 )
 
-// message is the order that a holder sent last.
+// message is a command on its way to the engine.
 type message struct {
-	place  place
-	number int64
-	sentAt int8
+	position     position
+	fencingToken int64
+	sentAt       int8
 }
 
-// world is one state: a clock, the platform's object, two holders, an engine.
+// world is one state: a clock, the lock object, two holders and an engine.
 type world struct {
 	now     int8
 	version int64
-	token   int8 // holder*maxTurns+turn+1 of the last order, 0 for none
+	writeID int8 // holder*maxAttempts+attempt+1 of the last command, 0 for none
 	ended   bool
 	holders [holders]holder
-	// messages has one place for each turn of each holder.
-	messages [holders][maxTurns]message
-	highest  int64
-	applied  int64
+	// messages has an entry for each attempt of each holder.
+	messages     [holders][maxAttempts]message
+	highestToken int64
+	appliedToken int64
 }
 
 type search struct {
@@ -82,10 +81,10 @@
 	checked bool
 	seen    map[world]bool
 	todo    []world
-	// broken counts states in which an order undid a later one, or two ran at
-	// the same time on an engine that ignores numbers.
-	broken  int
-	applied int
+	// violations counts states in which a command undid a later one, or two ran at the same time on
+	// an engine that ignores fencing tokens.
+	violations int
+	effects    int
 }
 
 func at(tick int8) time.Time { return time.Unix(int64(tick), 0) }
@@ -100,30 +99,30 @@
 func (s *search) run() {
 	s.seen = map[world]bool{}
 	s.push(world{})
-	for len(s.todo) > 0 && s.broken == 0 {
+	for len(s.todo) > 0 && s.violations == 0 {
 		w := s.todo[len(s.todo)-1]
 		s.todo = s.todo[:len(s.todo)-1]
 		s.tick(w)
 		for i := range w.holders {
 			s.step(w, i)
-			for turn := range maxTurns {
-				s.engine(w, i, turn)
+			for attempt := range maxAttempts {
+				s.engine(w, i, attempt)
 			}
 		}
 	}
 }
 
-// tick lets time pass for all. A holder that does nothing meanwhile is paused.
-// An order on an engine that ignores numbers is over in time; one on an engine
-// that checks them may be late without bound.
+// tick advances the time for all. A holder that does nothing in the meantime is paused. On an
+// engine that ignores fencing tokens a command ends in time; on one that checks them it may be late
+// without limit.
 func (s *search) tick(w world) {
-	if w.now == horizon {
+	if w.now == maxTicks {
 		return
 	}
 	for i := range w.messages {
 		for _, m := range w.messages[i] {
 			late := !at(w.now).Before(at(m.sentAt).Add(runFor))
-			if !s.checked && late && (m.place == transit || m.place == running) {
+			if !s.checked && late && (m.position == inTransit || m.position == running) {
 				return
 			}
 		}
@@ -139,30 +138,30 @@
 		s.read(w, i)
 	case decided:
 		s.write(w, i)
-	case unsure:
+	case unconfirmed:
 		// The object is read back.
 		h.phase = idle
-		if w.token == h.token && w.version == h.base+1 {
-			h.phase, h.number = taken, w.version
+		if w.writeID == h.writeID && w.version == h.base+1 {
+			h.phase, h.fencingToken = acquired, w.version
 		}
 		s.push(w)
-	case taken:
-		if !order.MaySend(at(w.now), s.timing, at(h.began)) {
-			h.phase = answered
+	case acquired:
+		if !order.MaySend(at(w.now), s.timing, at(h.started)) {
+			h.phase = finished
 			s.push(w)
 			return
 		}
-		w.messages[i][h.turns-1] = message{place: transit, number: h.number, sentAt: w.now}
+		w.messages[i][h.attempts-1] = message{position: inTransit, fencingToken: h.fencingToken, sentAt: w.now}
 		h.phase = sent
 		s.push(w)
 	case sent:
-		if w.messages[i][h.turns-1].place == over {
-			h.phase = answered
+		if w.messages[i][h.attempts-1].position == done {
+			h.phase = finished
 			s.push(w)
 		}
-	case answered:
+	case finished:
 		h.phase = idle
-		if w.version == h.number {
+		if w.version == h.fencingToken {
 			w.version, w.ended = w.version+1, true
 		}
 		s.push(w)
@@ -171,7 +170,7 @@
 
 func (s *search) read(w world, i int) {
 	h := &w.holders[i]
-	if h.turns == turnsOf[i] {
+	if h.attempts == attemptsOf[i] {
 		return
 	}
 	if h.seen != w.version {
@@ -180,14 +179,14 @@
 	held := order.Held{Version: w.version, Record: order.Record{Ended: w.ended}, SeenAt: at(h.seenAt)}
 	if take, ok := order.Decide(at(w.now), s.timing, held, s.checked).(order.Take); ok {
 		h.phase, h.base = decided, take.Version
-		h.began = w.now
-		h.turns++
-		h.token = int8(i*maxTurns) + h.turns
+		h.started = w.now
+		h.attempts++
+		h.writeID = int8(i*maxAttempts) + h.attempts
 	}
 	s.push(w)
 }
 
-// write is the conditional update; its answer arrives or is lost.
+// write is the conditional update; its response arrives or is lost.
 func (s *search) write(w world, i int) {
 	h := &w.holders[i]
 	if w.version != h.base {
@@ -195,39 +194,39 @@
 		s.push(w)
 		return
 	}
-	w.version, w.token, w.ended = w.version+1, h.token, false
+	w.version, w.writeID, w.ended = w.version+1, h.writeID, false
 	lost := w
-	lost.holders[i].phase = unsure
+	lost.holders[i].phase = unconfirmed
 	s.push(lost)
-	h.phase, h.number = taken, w.version
+	h.phase, h.fencingToken = acquired, w.version
 	s.push(w)
 }
 
-// engine moves one order on: it arrives, or it takes effect.
-func (s *search) engine(w world, i, turn int) {
-	m := &w.messages[i][turn]
-	if s.checked && m.place != nowhere && m.place != over && m.number < w.highest {
-		m.place = over
+// engine advances one command: it arrives, or it takes effect.
+func (s *search) engine(w world, i, attempt int) {
+	m := &w.messages[i][attempt]
+	if s.checked && m.position != unsent && m.position != done && m.fencingToken < w.highestToken {
+		m.position = done
 		s.push(w)
 		return
 	}
-	switch m.place {
-	case transit:
-		m.place = running
-		w.highest = max(w.highest, m.number)
+	switch m.position {
+	case inTransit:
+		m.position = running
+		w.highestToken = max(w.highestToken, m.fencingToken)
 		if !s.checked && s.runningIn(w) > 1 {
-			s.broken++
+			s.violations++
 		}
 		s.push(w)
 	case running:
-		m.place = over
-		if m.number < w.applied {
-			s.broken++
+		m.position = done
+		if m.fencingToken < w.appliedToken {
+			s.violations++
 		}
-		w.applied = m.number
-		s.applied++
+		w.appliedToken = m.fencingToken
+		s.effects++
 		s.push(w)
-	case nowhere, over:
+	case unsent, done:
 	}
 }
 
@@ -235,7 +234,7 @@
 	n := 0
 	for i := range w.messages {
 		for _, m := range w.messages[i] {
-			if m.place == running {
+			if m.position == running {
 				n++
 			}
 		}
@@ -243,31 +242,30 @@
 	return n
 }
 
-// An operator asks two instances for an order, each believing that it owns the
-// engine. One takes the right and is paused, or loses the answer of its write,
-// or its order is slow; the other goes on. Whatever happens in between, no
-// order may undo a later one. Each guard is also taken away to show that the
-// search would find its absence.
-func TestNoOrderUndoesALaterOne(t *testing.T) {
+// Two instances each believe that they own an engine and send commands to it. One acquires the lock
+// and is paused, or loses the response to its write, or its command is slow, while the other
+// continues. In no interleaving may a command undo a later one. The cases with a missing safeguard
+// show that the search detects its absence.
+func TestNoCommandUndoesALaterOne(t *testing.T) {
 	sound := order.Timing{SendWithin: time.Second, RunFor: runFor}
 	tests := map[string]struct {
-		timing  order.Timing
-		checked bool
-		broken  bool
+		timing   order.Timing
+		checked  bool
+		violated bool
 	}{
-		"engine checks numbers":        {sound, true, false},
-		"engine ignores numbers":       {sound, false, false},
-		"ignored, sent at any time":    {order.Timing{SendWithin: time.Hour, RunFor: 2*time.Second - time.Hour}, false, true},
-		"ignored, only sending counts": {order.Timing{SendWithin: time.Second}, false, true},
-		"ignored, nothing waited out":  {order.Timing{SendWithin: time.Second, RunFor: -time.Second}, false, true},
+		"engine checks tokens":              {sound, true, false},
+		"engine ignores tokens":             {sound, false, false},
+		"tokens ignored, no send timeout":   {order.Timing{SendWithin: time.Hour, RunFor: 2*time.Second - time.Hour}, false, true},
+		"tokens ignored, no duration limit": {order.Timing{SendWithin: time.Second}, false, true},
+		"tokens ignored, no waiting":        {order.Timing{SendWithin: time.Second, RunFor: -time.Second}, false, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := &search{t: t, timing: tt.timing, checked: tt.checked}
 			s.run()
-			t.Logf("%d states, %d effects, %d broken", len(s.seen), s.applied, s.broken)
-			require.Positive(t, s.applied)
-			require.Equal(t, tt.broken, s.broken > 0)
+			t.Logf("%d states, %d effects, %d violations", len(s.seen), s.effects, s.violations)
+			require.Positive(t, s.effects)
+			require.Equal(t, tt.violated, s.violations > 0)
 		})
 	}
 }
