--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -65,8 +65,8 @@
 	highMemoryCost  = 4.0
 )
 
-// Bounds limits the request rate of cold servers.
-type Bounds struct {
+// ColdLimits limits the request rate of cold servers.
+type ColdLimits struct {
 	// ColdOverage multiplies the rate that a cold server declares; ColdSlack, in requests per
 	// second, is added to it.
 	ColdOverage float64
@@ -118,7 +118,7 @@
 
 // Balancer places the requests of one instance. It is safe for concurrent use.
 type Balancer struct {
-	coldLimits Bounds
+	coldLimits ColdLimits
 	mu         sync.Mutex
 	rng        *rand.Rand
 	own        map[string]*serverState
@@ -135,7 +135,7 @@
 
 // New returns a balancer. othersLoad returns the load of other instances on a server; nil means
 // that it isn't known.
-func New(bounds Bounds, rng *rand.Rand, othersLoad func(now time.Time, id string) Load) *Balancer {
+func New(bounds ColdLimits, rng *rand.Rand, othersLoad func(now time.Time, id string) Load) *Balancer {
 	return &Balancer{coldLimits: bounds, rng: rng, own: map[string]*serverState{}, othersLoad: othersLoad, changed: make(chan struct{}, 1)}
 }
 
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -22,7 +22,7 @@
 func noOthersLoad(time.Time, string) Load { return Load{} }
 
 func newBalancer(others func(time.Time, string) Load) *Balancer {
-	return New(Bounds{ColdOverage: 1.5, ColdSlack: 5}, rand.New(rand.NewPCG(1, 2)), others)
+	return New(ColdLimits{ColdOverage: 1.5, ColdSlack: 5}, rand.New(rand.NewPCG(1, 2)), others)
 }
 
 func servers(n, slots int) []observed.Server {
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -157,7 +157,7 @@
 	t.Cleanup(func() { logged.show(t) })
 	server, err := NewServer(Options{
 		Callers: callers, Ready: listen(), Directory: listen(), Zone: "zone-a", State: f.state, Dialect: testDialect(),
-		Balancer:  balancer.New(balancer.Bounds{}, rng, nil),
+		Balancer:  balancer.New(balancer.ColdLimits{}, rng, nil),
 		Retries:   retry.NewBudgets(rng),
 		Instances: func() int { return 1 }, Addresses: func(string) []string { return []string{"a"} },
 		Grace: 8 * time.Second, Log: zerolog.New(logged), Scope: tally.NoopScope, Tracer: noop.NewTracerProvider().Tracer(""), Now: f.clock.now,
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -41,7 +41,7 @@
 	in.table = membership.NewTable(membership.Record{
 		ID: cfg.Instance, Peer: cfg.PeerAddress, Caller: cfg.CallerAddress, Zone: cfg.Zone, Started: time.Now().UnixMilli(),
 	})
-	bounds := balancer.Bounds{ColdOverage: cfg.ColdOverage, ColdSlack: cfg.ColdSlack}
+	bounds := balancer.ColdLimits{ColdOverage: cfg.ColdOverage, ColdSlack: cfg.ColdSlack}
 	placing := balancer.New(bounds, rand.New(rand.NewPCG(rand.Uint64(), 1)), nil)
 	key, err := peer.NewKey(cfg.PeerKey)
 	if err != nil {
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -79,7 +79,7 @@
 	p.planner = startWithOptions(t, "a", "k", nil, func(o *Options) { o.Now = func() time.Time { return p.now } })
 	for range l.instances {
 		p.scores = append(p.scores, map[string]groupScore{})
-		p.localBalancers = append(p.localBalancers, balancer.New(balancer.Bounds{ColdOverage: 1, ColdSlack: 1}, p.rng, nil))
+		p.localBalancers = append(p.localBalancers, balancer.New(balancer.ColdLimits{ColdOverage: 1, ColdSlack: 1}, p.rng, nil))
 	}
 	p.engineList = make([]dialect.Server, l.engines)
 	for i := range p.engineList {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -117,7 +117,7 @@
 	Key   peer.Key
 	State *observed.State
 	// ColdLimits limits the request rate of cold servers.
-	Bounds balancer.Bounds
+	Bounds balancer.ColdLimits
 	// OwnLoads returns this instance's load on each server.
 	Own func() map[string]balancer.Load
 	// LoadChanged signals a change of this instance's load.
