--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -79,8 +79,8 @@
 	// Zone is the availability zone of the caller's data.
 	Zone string
 	// Tokens is the expected memory demand, PromptTokens the part of it that needs prefill.
-	Tokens int
-	Prompt int
+	Tokens       int
+	PromptTokens int
 	// Excluded holds the IDs of servers that must not be chosen.
 	Excluded map[string]bool
 	// Instances is the number of instances that share the limits of cold servers.
@@ -211,7 +211,7 @@
 	case best < 0:
 		return Full{}
 	}
-	return Picked{Place: Place{Server: servers[best], Tokens: r.Tokens, Prompt: r.Prompt}, Score: bestScore}
+	return Picked{Place: Place{Server: servers[best], Tokens: r.Tokens, Prompt: r.PromptTokens}, Score: bestScore}
 }
 
 // Free returns the servers with capacity for a request, best first. It doesn't count any load.
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -200,7 +200,7 @@
 	prefillEnd, late := map[string]time.Time{}, 0
 	for i := range perSecond * seconds {
 		now := start.Add(time.Duration(i) * time.Second / perSecond)
-		r := Request{Service: engineService, Zone: list[i%3].Zone, Tokens: 4000, Prompt: prompt, Instances: 1}
+		r := Request{Service: engineService, Zone: list[i%3].Zone, Tokens: 4000, PromptTokens: prompt, Instances: 1}
 		place := requirePicked(t, b.Pick(now, r, list))
 		begin := now
 		if at := prefillEnd[place.Server.ID]; at.After(begin) {
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -190,7 +190,7 @@
 	} else {
 		service, err := p.planner.engines("llm")
 		require.NoError(p.t, err)
-		picked, ok := p.localBalancers[by].Pick(p.now, balancer.Request{Service: service, Zone: zone, Tokens: g.tokens, Prompt: prompt}, p.planner.opts.State.Servers("llm")).(balancer.Picked)
+		picked, ok := p.localBalancers[by].Pick(p.now, balancer.Request{Service: service, Zone: zone, Tokens: g.tokens, PromptTokens: prompt}, p.planner.opts.State.Servers("llm")).(balancer.Picked)
 		if !ok {
 			p.result.refused++
 			return
