--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -86,7 +86,7 @@
 	// Instances is the number of instances that share the limits of cold servers.
 	Instances int
 	// CompareAll compares all servers, however many there are.
-	Whole bool
+	CompareAll bool
 	// Force permits full servers up to a higher limit, where the request queues.
 	Anyway bool
 	// Retryable requests may be sent again, and so may be sent to servers that have failed.
@@ -166,7 +166,7 @@
 
 // sample draws a few servers from a long list.
 func (b *Balancer) sample(r Request, servers []observed.Server) []observed.Server {
-	if len(servers) <= compareAllLimit || r.Whole || r.Spread != 0 {
+	if len(servers) <= compareAllLimit || r.CompareAll || r.Spread != 0 {
 		return servers
 	}
 	out := make([]observed.Server, 0, sameZoneSample+otherZoneSample)
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -63,7 +63,7 @@
 		return balancer.Place{}, false
 	}
 	picked, ok := s.opts.Balancer.Pick(now, balancer.Request{
-		Service: r.service, Zone: s.opts.Zone, Tokens: r.prompt + r.output, PromptTokens: r.prompt, Instances: s.opts.Instances(), Whole: true,
+		Service: r.service, Zone: s.opts.Zone, Tokens: r.prompt + r.output, PromptTokens: r.prompt, Instances: s.opts.Instances(), CompareAll: true,
 	}, servers).(balancer.Picked)
 	if ok {
 		s.log.Info().Str("request", r.id).Str("server", picked.Place.Server.ID).Str("version", picked.Place.Server.Version).Msg("request placed on a canary")
