--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -88,7 +88,7 @@
 	// CompareAll compares all servers, however many there are.
 	CompareAll bool
 	// Force permits full servers up to a higher limit, where the request queues.
-	Anyway bool
+	Force bool
 	// Retryable requests may be sent again, and so may be sent to servers that have failed.
 	Repeatable bool
 	// SpreadKey, if not 0, spreads requests by this key over all servers with capacity, instead of
--- a/internal/balancer/score.go
+++ b/internal/balancer/score.go
@@ -66,7 +66,7 @@
 }
 
 func requestLimit(r Request) float64 {
-	if r.Anyway && r.Service.Engine != nil {
+	if r.Force && r.Service.Engine != nil {
 		return maxForcedMemoryShare
 	}
 	return serviceLimit(r.Service)
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -48,7 +48,7 @@
 	}
 	choice := p.loadBalancer.Pick(now, balancer.Request{
 		Service: service, Zone: r.Zone, Tokens: r.Need, PromptTokens: r.Prompt, Excluded: excluded,
-		Instances: p.opts.Table.Count(now), CompareAll: true, Anyway: r.Anyway,
+		Instances: p.opts.Table.Count(now), CompareAll: true, Force: r.Anyway,
 	}, engines)
 	picked, ok := choice.(balancer.Picked)
 	if _, full := choice.(balancer.Full); full && r.Need <= service.Engine.MemoryTokens {
