--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -90,7 +90,7 @@
 	// Force permits full servers up to a higher limit, where the request queues.
 	Force bool
 	// Retryable requests may be sent again, and so may be sent to servers that have failed.
-	Repeatable bool
+	Retryable bool
 	// SpreadKey, if not 0, spreads requests by this key over all servers with capacity, instead of
 	// choosing the freest.
 	Spread uint64
--- a/internal/balancer/failures.go
+++ b/internal/balancer/failures.go
@@ -20,7 +20,7 @@
 const avoidCost = 4.0
 
 func (b *Balancer) avoidPenalty(now time.Time, r Request, id string) float64 {
-	if b.shouldAvoid != nil && b.shouldAvoid(now, id, r.Repeatable) {
+	if b.shouldAvoid != nil && b.shouldAvoid(now, id, r.Retryable) {
 		return avoidCost
 	}
 	return 0
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -36,7 +36,7 @@
 	}
 	choice := s.opts.Balancer.Pick(now, balancer.Request{
 		Service: r.service, Zone: s.opts.Zone, Tokens: r.prompt + r.output, PromptTokens: r.prompt, Excluded: t.excluded, Instances: s.opts.Instances(),
-		Repeatable: r.route.Repeatable(),
+		Retryable: r.route.Repeatable(),
 	}, s.opts.State.Servers(r.service.Name))
 	switch choice := choice.(type) {
 	case balancer.Picked:
