--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -93,7 +93,7 @@
 	Retryable bool
 	// SpreadKey, if not 0, spreads requests by this key over all servers with capacity, instead of
 	// choosing the freest.
-	Spread uint64
+	SpreadKey uint64
 }
 
 // Choice is [Picked], [Full] or [None].
@@ -166,7 +166,7 @@
 
 // sample draws a few servers from a long list.
 func (b *Balancer) sample(r Request, servers []observed.Server) []observed.Server {
-	if len(servers) <= compareAllLimit || r.CompareAll || r.Spread != 0 {
+	if len(servers) <= compareAllLimit || r.CompareAll || r.SpreadKey != 0 {
 		return servers
 	}
 	out := make([]observed.Server, 0, sameZoneSample+otherZoneSample)
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -145,7 +145,7 @@
 	perServer := map[string]int{}
 	for i := range uint64(14) {
 		b := newBalancer(loads)
-		r := Request{Service: engineService, Zone: "zone-0", Tokens: 4000, Spread: i*0x9e3779b97f4a7c15 + 1}
+		r := Request{Service: engineService, Zone: "zone-0", Tokens: 4000, SpreadKey: i*0x9e3779b97f4a7c15 + 1}
 		perServer[requirePicked(t, b.Pick(start, r, list)).Server.ID]++
 	}
 	highest := 0
--- a/internal/balancer/score.go
+++ b/internal/balancer/score.go
@@ -12,7 +12,7 @@
 
 // score returns the score of a server for a request; the lowest is chosen.
 func (b *Balancer) score(now time.Time, r Request, s *observed.Server, load float64) float64 {
-	if r.Spread != 0 {
+	if r.SpreadKey != 0 {
 		return spreadScore(r, s, load+b.recentFailures(now, s.ID)*failureCost+b.avoidPenalty(now, r, s.ID))
 	}
 	score := b.rng.Float64()*scoreNoise + b.recentFailures(now, s.ID)*failureCost + b.avoidPenalty(now, r, s.ID)
@@ -57,7 +57,7 @@
 	if s.Zone != r.Zone {
 		weight *= crossZoneWeight
 	}
-	hash := xxhash.Sum64String(s.ID) ^ r.Spread
+	hash := xxhash.Sum64String(s.ID) ^ r.SpreadKey
 	hash ^= hash >> 31
 	hash *= 0x9e3779b97f4a7c15
 	hash ^= hash >> 29
--- a/internal/ingress/move.go
+++ b/internal/ingress/move.go
@@ -133,7 +133,7 @@
 	r := m.one.request
 	choice := m.s.opts.Balancer.Pick(m.s.opts.Now(), balancer.Request{
 		Service: r.service, Zone: m.source.Zone, Tokens: m.need(), Excluded: m.excluded, Instances: m.s.opts.Instances(),
-		Spread: xxhash.Sum64String(r.id),
+		SpreadKey: xxhash.Sum64String(r.id),
 	}, m.s.opts.State.Servers(r.service.Name))
 	picked, ok := choice.(balancer.Picked)
 	m.to, m.placed = picked.Place, ok
