--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -101,7 +101,7 @@
 
 // Picked holds the chosen server; its load is counted until [Balancer.Done].
 type Picked struct {
-	Place Place
+	Placement Place
 	// Score is the score of the choice, for logs: 0 is free, 1 is full.
 	Score float64
 }
@@ -148,7 +148,7 @@
 		choice = b.pick(now, r, servers)
 	}
 	if picked, ok := choice.(Picked); ok {
-		b.addLoad(now, picked.Place)
+		b.addLoad(now, picked.Placement)
 	}
 	return choice
 }
@@ -211,7 +211,7 @@
 	case best < 0:
 		return Full{}
 	}
-	return Picked{Place: Place{Server: servers[best], Tokens: r.Tokens, Prompt: r.PromptTokens}, Score: bestScore}
+	return Picked{Placement: Place{Server: servers[best], Tokens: r.Tokens, Prompt: r.PromptTokens}, Score: bestScore}
 }
 
 // Free returns the servers with capacity for a request, best first. It doesn't count any load.
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -36,7 +36,7 @@
 func requirePicked(t *testing.T, c Choice) Place {
 	t.Helper()
 	require.IsType(t, Picked{}, c)
-	return c.(Picked).Place
+	return c.(Picked).Placement
 }
 
 // One instance places a burst of long and short generations at once. No engine may get more memory
@@ -49,7 +49,7 @@
 		tokens := []int{2300, 6500}[rng.IntN(2)]
 		switch c := b.Pick(start, Request{Service: engineService, Zone: "zone-0", Tokens: tokens}, list).(type) {
 		case Picked:
-			used[c.Place.Server.ID] += tokens
+			used[c.Placement.Server.ID] += tokens
 		case Full:
 			refused++
 		case None:
@@ -113,7 +113,7 @@
 			}
 			if c, ok := b.Pick(now, Request{Service: largeService, Instances: instances}, list).(Picked); ok {
 				sent = append(sent, now)
-				b.Done(c.Place)
+				b.Done(c.Placement)
 			}
 		}
 	}
@@ -180,7 +180,7 @@
 	bal, list := newBalancer(noOthersLoad), servers(2000, 24)
 	for b.Loop() {
 		if c, ok := bal.Pick(start, Request{Service: engineService, Tokens: 3000, Instances: 350}, list).(Picked); ok {
-			bal.Done(c.Place)
+			bal.Done(c.Placement)
 		}
 	}
 }
--- a/internal/ingress/move.go
+++ b/internal/ingress/move.go
@@ -136,7 +136,7 @@
 		SpreadKey: xxhash.Sum64String(r.id),
 	}, m.s.opts.State.Servers(r.service.Name))
 	picked, ok := choice.(balancer.Picked)
-	m.to, m.placed = picked.Place, ok
+	m.to, m.placed = picked.Placement, ok
 	return ok
 }
 
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -40,9 +40,9 @@
 	}, s.opts.State.Servers(r.service.Name))
 	switch choice := choice.(type) {
 	case balancer.Picked:
-		s.log.Info().Str("request", r.id).Str("server", choice.Place.Server.ID).Str("zone", choice.Place.Server.Zone).
-			Float64("load", choice.Score).Int("attempt", t.number+1).Int("tokens", choice.Place.Tokens).Msg("request placed")
-		return choice.Place, nil
+		s.log.Info().Str("request", r.id).Str("server", choice.Placement.Server.ID).Str("zone", choice.Placement.Server.Zone).
+			Float64("load", choice.Score).Int("attempt", t.number+1).Int("tokens", choice.Placement.Tokens).Msg("request placed")
+		return choice.Placement, nil
 	case balancer.Full:
 		return balancer.Place{}, s.full()
 	}
@@ -66,9 +66,9 @@
 		Service: r.service, Zone: s.opts.Zone, Tokens: r.prompt + r.output, PromptTokens: r.prompt, Instances: s.opts.Instances(), CompareAll: true,
 	}, servers).(balancer.Picked)
 	if ok {
-		s.log.Info().Str("request", r.id).Str("server", picked.Place.Server.ID).Str("version", picked.Place.Server.Version).Msg("request placed on a canary")
+		s.log.Info().Str("request", r.id).Str("server", picked.Placement.Server.ID).Str("version", picked.Placement.Server.Version).Msg("request placed on a canary")
 	}
-	return picked.Place, ok
+	return picked.Placement, ok
 }
 
 // note counts an answer, beside those of other servers and for a roll-out of the
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -195,7 +195,7 @@
 			p.result.refused++
 			return
 		}
-		g.engine, g.place = picked.Place.Server.ID, picked.Place
+		g.engine, g.place = picked.Placement.Server.ID, picked.Placement
 	}
 	if server, ok := p.planner.opts.State.Server(g.engine); ok && server.Zone != zone {
 		p.result.crossZone++
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -57,17 +57,17 @@
 	if !ok {
 		return PlacementResponse{}, ErrUnavailable
 	}
-	p.loadBalancer.Done(picked.Place)
-	if maxWait := time.Duration(r.Within) * time.Millisecond; maxWait > 0 && p.loadBalancer.ReadWait(now, picked.Place.Server.ID) > maxWait {
-		p.loadBalancer.ReleasePrompt(picked.Place)
+	p.loadBalancer.Done(picked.Placement)
+	if maxWait := time.Duration(r.Within) * time.Millisecond; maxWait > 0 && p.loadBalancer.ReadWait(now, picked.Placement.Server.ID) > maxWait {
+		p.loadBalancer.ReleasePrompt(picked.Placement)
 		return PlacementResponse{}, ErrFull
 	}
 	if r.Most > 0 && picked.Score > r.Most {
-		p.loadBalancer.ReleasePrompt(picked.Place)
+		p.loadBalancer.ReleasePrompt(picked.Placement)
 		return PlacementResponse{Score: picked.Score}, nil
 	}
-	p.loads.Assign(now, r.By, picked.Place.Server.ID, r.Need)
-	return PlacementResponse{Engine: picked.Place.Server.ID, Score: picked.Score}, nil
+	p.loads.Assign(now, r.By, picked.Placement.Server.ID, r.Need)
+	return PlacementResponse{Engine: picked.Placement.Server.ID, Score: picked.Score}, nil
 }
 
 // scheduleCopy waits until the slots of an engine's copies are assigned and returns the target and
