--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -101,7 +101,7 @@
 
 // Picked holds the chosen server; its load is counted until [Balancer.Done].
 type Picked struct {
-	Placement Place
+	Placement Placement
 	// Score is the score of the choice, for logs: 0 is free, 1 is full.
 	Score float64
 }
@@ -211,7 +211,7 @@
 	case best < 0:
 		return Full{}
 	}
-	return Picked{Placement: Place{Server: servers[best], Tokens: r.Tokens, Prompt: r.PromptTokens}, Score: bestScore}
+	return Picked{Placement: Placement{Server: servers[best], Tokens: r.Tokens, Prompt: r.PromptTokens}, Score: bestScore}
 }
 
 // Free returns the servers with capacity for a request, best first. It doesn't count any load.
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-func requirePicked(t *testing.T, c Choice) Place {
+func requirePicked(t *testing.T, c Choice) Placement {
 	t.Helper()
 	require.IsType(t, Picked{}, c)
 	return c.(Picked).Placement
--- a/internal/balancer/load.go
+++ b/internal/balancer/load.go
@@ -17,8 +17,8 @@
 	return Load{Running: l.Running + m.Running, Tokens: l.Tokens + m.Tokens}
 }
 
-// Place is the load of one request on one server.
-type Place struct {
+// Placement is the load of one request on one server.
+type Placement struct {
 	Server observed.Server
 	Tokens int
 	// PromptTokens is the number of tokens that need prefill.
@@ -48,7 +48,7 @@
 }
 
 // addLoad adds the load of a request to its server.
-func (b *Balancer) addLoad(now time.Time, p Place) {
+func (b *Balancer) addLoad(now time.Time, p Placement) {
 	b.signal()
 	own := b.state(now, p.Server.ID)
 	own.running++
@@ -90,14 +90,14 @@
 }
 
 // Reserve counts load on a server that was chosen elsewhere.
-func (b *Balancer) Reserve(now time.Time, p Place) {
+func (b *Balancer) Reserve(now time.Time, p Placement) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.addLoad(now, p)
 }
 
 // Done removes the load of a request from its server.
-func (b *Balancer) Done(p Place) {
+func (b *Balancer) Done(p Placement) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.signal()
@@ -116,7 +116,7 @@
 }
 
 // ReleasePrompt subtracts the prefill time of a request that isn't sent.
-func (b *Balancer) ReleasePrompt(p Place) {
+func (b *Balancer) ReleasePrompt(p Placement) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if own, ok := b.own[p.Server.ID]; ok {
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -112,7 +112,7 @@
 }
 
 // attempt sends the request to one backend server.
-func (s *Server) attempt(ctx context.Context, c *app.RequestContext, r *request, place balancer.Place, t *attempts) result {
+func (s *Server) attempt(ctx context.Context, c *app.RequestContext, r *request, place balancer.Placement, t *attempts) result {
 	now := s.opts.Now()
 	limit := r.limit
 	if r.route.Repeatable() && t.runs+1 < r.route.MaxAttempts {
@@ -132,7 +132,7 @@
 }
 
 // outgoing is the request as the server gets it.
-func (s *Server) outgoing(now time.Time, r *request, place balancer.Place, more []service.Header) upstream.Request {
+func (s *Server) outgoing(now time.Time, r *request, place balancer.Placement, more []service.Header) upstream.Request {
 	until := r.deadline
 	if r.route.Kind != routes.Stream {
 		until = r.limit
@@ -196,7 +196,7 @@
 )
 
 // judge says whether another attempt is made, or answers the caller.
-func (s *Server) judge(ctx context.Context, c *app.RequestContext, r *request, place balancer.Place, t *attempts, res result) (bool, error) {
+func (s *Server) judge(ctx context.Context, c *app.RequestContext, r *request, place balancer.Placement, t *attempts, res result) (bool, error) {
 	now := s.opts.Now()
 	id := place.Server.ID
 	switch res := res.(type) {
--- a/internal/ingress/move.go
+++ b/internal/ingress/move.go
@@ -71,7 +71,7 @@
 	server, ok := m.s.opts.State.Server(turn.To)
 	now := m.s.opts.Now()
 	if ok && !server.Leaving && !m.one.finished() && m.s.opts.Balancer.Failures(now, turn.To) < distrust {
-		m.to, m.placed = balancer.Place{Server: server, Tokens: m.need()}, true
+		m.to, m.placed = balancer.Placement{Server: server, Tokens: m.need()}, true
 		m.s.opts.Balancer.Reserve(now, m.to)
 	}
 	return true
@@ -101,7 +101,7 @@
 	excluded map[string]bool
 	// to is where it is copied. Its load is counted for the mover while placed
 	// is set, and for the run's copy afterwards.
-	to     balancer.Place
+	to     balancer.Placement
 	placed bool
 }
 
@@ -180,7 +180,7 @@
 		if copied {
 			m.s.opts.Balancer.Done(h.to)
 		}
-		h = handover{to: balancer.Place{Server: m.source, Tokens: m.need()}, source: m.source.Address, handle: moved.Handle}
+		h = handover{to: balancer.Placement{Server: m.source, Tokens: m.need()}, source: m.source.Address, handle: moved.Handle}
 		m.s.opts.Balancer.Reserve(m.s.opts.Now(), h.to)
 	case err != nil && !copied:
 		h = handover{err: err}
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -23,7 +23,7 @@
 )
 
 // place chooses a backend server.
-func (s *Server) place(ctx context.Context, now time.Time, r *request, t *attempts) (balancer.Place, *answer.Failure) {
+func (s *Server) place(ctx context.Context, now time.Time, r *request, t *attempts) (balancer.Placement, *answer.Failure) {
 	if place, ok := s.canary(now, r, t); ok {
 		return place, nil
 	}
@@ -32,7 +32,7 @@
 	case err == nil:
 		return place, nil
 	case errors.Is(err, planner.ErrFull):
-		return balancer.Place{}, s.full()
+		return balancer.Placement{}, s.full()
 	}
 	choice := s.opts.Balancer.Pick(now, balancer.Request{
 		Service: r.service, Zone: s.opts.Zone, Tokens: r.prompt + r.output, PromptTokens: r.prompt, Excluded: t.excluded, Instances: s.opts.Instances(),
@@ -44,23 +44,23 @@
 			Float64("load", choice.Score).Int("attempt", t.number+1).Int("tokens", choice.Placement.Tokens).Msg("request placed")
 		return choice.Placement, nil
 	case balancer.Full:
-		return balancer.Place{}, s.full()
+		return balancer.Placement{}, s.full()
 	}
 	f := answer.NotRun(http.StatusServiceUnavailable, answer.CodeBackendLost, "no backend server is there")
 	f.RetryAfter = noneRetryAfter
-	return balancer.Place{}, f
+	return balancer.Placement{}, f
 }
 
 // canary chooses a server of a version whose roll-out is a canary, for the first
 // attempt of a request that is drawn for it. A second attempt goes to the version
 // that is known to be good.
-func (s *Server) canary(now time.Time, r *request, t *attempts) (balancer.Place, bool) {
+func (s *Server) canary(now time.Time, r *request, t *attempts) (balancer.Placement, bool) {
 	if s.opts.Rollouts == nil || t.number+t.dials > 0 || t.resumes {
-		return balancer.Place{}, false
+		return balancer.Placement{}, false
 	}
 	servers, ok := s.opts.Rollouts.Canary(now, r.service.Name, s.rng().Float64())
 	if !ok {
-		return balancer.Place{}, false
+		return balancer.Placement{}, false
 	}
 	picked, ok := s.opts.Balancer.Pick(now, balancer.Request{
 		Service: r.service, Zone: s.opts.Zone, Tokens: r.prompt + r.output, PromptTokens: r.prompt, Instances: s.opts.Instances(), CompareAll: true,
@@ -90,9 +90,9 @@
 
 // planned has the instance that plans for the engines choose one. What it chose
 // counts only while this instance knows no reason against it.
-func (s *Server) planned(ctx context.Context, r *request, t *attempts) (balancer.Place, error) {
+func (s *Server) planned(ctx context.Context, r *request, t *attempts) (balancer.Placement, error) {
 	if s.opts.Planner == nil || !r.generation() {
-		return balancer.Place{}, planner.ErrUnavailable
+		return balancer.Placement{}, planner.ErrUnavailable
 	}
 	ask := planner.Placing{
 		Request: r.id, Service: r.service.Name, Zone: s.opts.Zone, Prompt: r.prompt, Need: r.prompt + r.output,
@@ -100,19 +100,19 @@
 	}
 	id, err := s.opts.Planner.Place(ctx, ask)
 	if err != nil {
-		return balancer.Place{}, err
+		return balancer.Placement{}, err
 	}
 	if t.excluded[id] || s.opts.Balancer.Failures(s.opts.Now(), id) >= distrust {
-		return balancer.Place{}, planner.ErrUnavailable
+		return balancer.Placement{}, planner.ErrUnavailable
 	}
 	for _, server := range s.opts.State.Servers(r.service.Name) {
 		if server.ID == id {
-			place := balancer.Place{Server: server, Tokens: ask.Need, Prompt: r.prompt}
+			place := balancer.Placement{Server: server, Tokens: ask.Need, Prompt: r.prompt}
 			s.opts.Balancer.Reserve(s.opts.Now(), place)
 			s.log.Info().Str("request", r.id).Str("server", id).Str("zone", server.Zone).Int("attempt", t.number+1).
 				Int("tokens", place.Tokens).Msg("request placed by plan")
 			return place, nil
 		}
 	}
-	return balancer.Place{}, planner.ErrUnavailable
+	return balancer.Placement{}, planner.ErrUnavailable
 }
--- a/internal/ingress/runs.go
+++ b/internal/ingress/runs.go
@@ -17,7 +17,7 @@
 
 func newRuns() *runs { return &runs{all: map[*run]struct{}{}} }
 
-func (r *runs) begin(req *request, place balancer.Place) *run {
+func (r *runs) begin(req *request, place balancer.Placement) *run {
 	one := &run{request: req, place: place, lastID: req.lastEvent, handed: make(chan handover, 1)}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,7 +44,7 @@
 
 // handover says where a stopped generation goes on.
 type handover struct {
-	to     balancer.Place
+	to     balancer.Placement
 	source string
 	handle string
 	// unsure says that the source wasn't heard to have stopped the run.
@@ -61,7 +61,7 @@
 	handed  chan handover
 
 	mu     sync.Mutex
-	place  balancer.Place
+	place  balancer.Placement
 	lastID int64
 	// lastAt is when the last event came, abort ends the read for the next.
 	lastAt   time.Time
@@ -167,14 +167,14 @@
 	return r.place.Server
 }
 
-func (r *run) where() balancer.Place {
+func (r *run) where() balancer.Placement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.place
 }
 
 // unclaimed gives the load of a move that nobody waited for to release.
-func (r *run) unclaimed(release func(balancer.Place)) {
+func (r *run) unclaimed(release func(balancer.Placement)) {
 	select {
 	case h := <-r.handed:
 		if h.err == nil {
@@ -299,7 +299,7 @@
 }
 
 // moveTo notes where the run goes on; it may be carried again from there.
-func (r *run) moveTo(place balancer.Place) {
+func (r *run) moveTo(place balancer.Placement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.place, r.stopping, r.awaited = place, false, false
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -66,7 +66,7 @@
 
 // stream sends a request for a stream to one server and relays what comes. The
 // first event may take limit.
-func (s *Server) stream(ctx context.Context, c *app.RequestContext, r *request, place balancer.Place, limit time.Duration) result {
+func (s *Server) stream(ctx context.Context, c *app.RequestContext, r *request, place balancer.Placement, limit time.Duration) result {
 	f := &flow{s: s, c: c, r: r, run: s.runs.begin(r, place), sent: s.opts.Now()}
 	defer f.end()
 	ctx, cancel := context.WithCancel(ctx)
@@ -130,7 +130,7 @@
 }
 
 // switchTo notes where the stream goes on; its load is counted there already.
-func (f *flow) switchTo(place balancer.Place) {
+func (f *flow) switchTo(place balancer.Placement) {
 	f.s.opts.Balancer.Done(f.run.where())
 	f.run.moveTo(place)
 }
@@ -317,7 +317,7 @@
 	return f.send(ctx, place)
 }
 
-func (f *flow) send(ctx context.Context, to balancer.Place, more ...service.Header) (*upstream.Answer, error) {
+func (f *flow) send(ctx context.Context, to balancer.Placement, more ...service.Header) (*upstream.Answer, error) {
 	if last := f.run.last(); last > 0 {
 		more = append(more, service.Header{Name: f.s.fields.LastEventID, Value: strconv.FormatInt(last, 10)})
 	}
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -45,7 +45,7 @@
 	instance, tokens int
 	engine           string
 	firstToken, end  time.Time
-	place            balancer.Place
+	place            balancer.Placement
 }
 
 // result counts the outcomes of requests.
