--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -211,7 +211,7 @@
 	case best < 0:
 		return Full{}
 	}
-	return Picked{Placement: Placement{Server: servers[best], Tokens: r.Tokens, Prompt: r.PromptTokens}, Score: bestScore}
+	return Picked{Placement: Placement{Server: servers[best], Tokens: r.Tokens, PromptTokens: r.PromptTokens}, Score: bestScore}
 }
 
 // Free returns the servers with capacity for a request, best first. It doesn't count any load.
--- a/internal/balancer/load.go
+++ b/internal/balancer/load.go
@@ -22,7 +22,7 @@
 	Server observed.Server
 	Tokens int
 	// PromptTokens is the number of tokens that need prefill.
-	Prompt int
+	PromptTokens int
 }
 
 type serverState struct {
@@ -56,7 +56,7 @@
 	if now.After(own.prefillUntil) {
 		own.prefillUntil = now
 	}
-	own.prefillUntil = own.prefillUntil.Add(prefillTime(p.Prompt))
+	own.prefillUntil = own.prefillUntil.Add(prefillTime(p.PromptTokens))
 	if now.Before(p.Server.ColdUntil) {
 		b.countCold(now, own)
 	}
@@ -120,7 +120,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if own, ok := b.own[p.Server.ID]; ok {
-		own.prefillUntil = own.prefillUntil.Add(-prefillTime(p.Prompt))
+		own.prefillUntil = own.prefillUntil.Add(-prefillTime(p.PromptTokens))
 	}
 }
 
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -107,7 +107,7 @@
 	}
 	for _, server := range s.opts.State.Servers(r.service.Name) {
 		if server.ID == id {
-			place := balancer.Placement{Server: server, Tokens: ask.Need, Prompt: r.prompt}
+			place := balancer.Placement{Server: server, Tokens: ask.Need, PromptTokens: r.prompt}
 			s.opts.Balancer.Reserve(s.opts.Now(), place)
 			s.log.Info().Str("request", r.id).Str("server", id).Str("zone", server.Zone).Int("attempt", t.number+1).
 				Int("tokens", place.Tokens).Msg("request placed by plan")
