--- a/internal/balancer/failures.go
+++ b/internal/balancer/failures.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// HearFailures sets a function whose failures count in addition to this balancer's own.
-func (b *Balancer) HearFailures(failures func(now time.Time, id string) float64) {
+// SetExternalFailures sets a function whose failures count in addition to this balancer's own.
+func (b *Balancer) SetExternalFailures(failures func(now time.Time, id string) float64) {
 	b.externalFailures = failures
 }
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -153,7 +153,7 @@
 		backoff: map[string]time.Time{}, scores: map[string]groupScore{}, groupCache: map[string]serviceGroups{},
 	}
 	p.loadBalancer = balancer.New(opts.Bounds, rand.New(rand.NewPCG(rand.Uint64(), 3)), p.loads.ForEngine)
-	p.loadBalancer.HearFailures(opts.Failures)
+	p.loadBalancer.SetExternalFailures(opts.Failures)
 	return p
 }
 
