--- a/internal/balancer/load.go
+++ b/internal/balancer/load.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// On returns the load of this instance on one server.
-func (b *Balancer) On(id string) Load {
+// LoadOn returns the load of this instance on one server.
+func (b *Balancer) LoadOn(id string) Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own, ok := b.own[id]
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -100,7 +100,7 @@
 	in.rollouts = rolloutpeer.New(rolloutpeer.Options{
 		Self: in.cfg.Instance, Table: in.table, Key: key, State: in.state, Objects: objects, Dialect: in.opts.Dialect,
 		Limits: rollout.Limits{Share: in.cfg.ExposureShare, Slack: in.cfg.ExposureSlack},
-		Left:   func(server string) int { return placing.On(server).Running }, Announce: func() { in.gossip.Announce() },
+		Left:   func(server string) int { return placing.LoadOn(server).Running }, Announce: func() { in.gossip.Announce() },
 		Log: telemetry.Part(in.tel.Log, "rollout"), Scope: in.tel.Metrics.SubScope("rollout"), Now: time.Now,
 	})
 }
