--- a/internal/balancer/load.go
+++ b/internal/balancer/load.go
@@ -135,8 +135,8 @@
 	return Load{Running: own.running, Tokens: own.tokens}
 }
 
-// Load returns the load of this instance on all servers that it uses.
-func (b *Balancer) Load() map[string]Load {
+// Loads returns the load of this instance on all servers that it uses.
+func (b *Balancer) Loads() map[string]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]Load{}
