--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -214,8 +214,8 @@
 	return Picked{Placement: Placement{Server: servers[best], Tokens: r.Tokens, PromptTokens: r.PromptTokens}, Score: bestScore}
 }
 
-// Free returns the servers with capacity for a request, best first. It doesn't count any load.
-func (b *Balancer) Free(now time.Time, r Request, servers []observed.Server) []observed.Server {
+// FreeServers returns the servers with capacity for a request, best first. It doesn't count any load.
+func (b *Balancer) FreeServers(now time.Time, r Request, servers []observed.Server) []observed.Server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	type scored struct {
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -120,7 +120,7 @@
 }
 
 func (r *targetFinder) freeEngines(c Copy, engines []observed.Server) []observed.Server {
-	return r.p.loadBalancer.Free(r.now, balancer.Request{
+	return r.p.loadBalancer.FreeServers(r.now, balancer.Request{
 		Service: r.service, Zone: r.leaving.Zone, Tokens: r.requiredTokens(c), Excluded: map[string]bool{r.leaving.Engine: true},
 		Instances: r.p.opts.Table.Count(r.now),
 	}, engines)
