--- a/internal/balancer/load.go
+++ b/internal/balancer/load.go
@@ -107,9 +107,9 @@
 	}
 }
 
-// ReadWait returns how long an engine is expected to take for the prefill of the prompts sent to
+// PrefillWait returns how long an engine is expected to take for the prefill of the prompts sent to
 // it.
-func (b *Balancer) ReadWait(now time.Time, id string) time.Duration {
+func (b *Balancer) PrefillWait(now time.Time, id string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return time.Duration(b.prefillSeconds(now, id) * float64(time.Second))
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -58,7 +58,7 @@
 		return PlacementResponse{}, ErrUnavailable
 	}
 	p.loadBalancer.Done(picked.Placement)
-	if maxWait := time.Duration(r.Within) * time.Millisecond; maxWait > 0 && p.loadBalancer.ReadWait(now, picked.Placement.Server.ID) > maxWait {
+	if maxWait := time.Duration(r.Within) * time.Millisecond; maxWait > 0 && p.loadBalancer.PrefillWait(now, picked.Placement.Server.ID) > maxWait {
 		p.loadBalancer.ReleasePrompt(picked.Placement)
 		return PlacementResponse{}, ErrFull
 	}
