--- a/internal/balancer/load.go
+++ b/internal/balancer/load.go
@@ -115,8 +115,8 @@
 	return time.Duration(b.prefillSeconds(now, id) * float64(time.Second))
 }
 
-// ReleasePrompt subtracts the prefill time of a request that isn't sent.
-func (b *Balancer) ReleasePrompt(p Placement) {
+// CancelPrefill subtracts the prefill time of a request that isn't sent.
+func (b *Balancer) CancelPrefill(p Placement) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if own, ok := b.own[p.Server.ID]; ok {
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -59,11 +59,11 @@
 	}
 	p.loadBalancer.Done(picked.Placement)
 	if maxWait := time.Duration(r.Within) * time.Millisecond; maxWait > 0 && p.loadBalancer.PrefillWait(now, picked.Placement.Server.ID) > maxWait {
-		p.loadBalancer.ReleasePrompt(picked.Placement)
+		p.loadBalancer.CancelPrefill(picked.Placement)
 		return PlacementResponse{}, ErrFull
 	}
 	if r.Most > 0 && picked.Score > r.Most {
-		p.loadBalancer.ReleasePrompt(picked.Placement)
+		p.loadBalancer.CancelPrefill(picked.Placement)
 		return PlacementResponse{Score: picked.Score}, nil
 	}
 	p.loads.Assign(now, r.By, picked.Placement.Server.ID, r.Need)
