--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -83,7 +83,7 @@
 // fewer requests; when it recovers it gets its share again.
 func TestFailingServerIsAvoidedTemporarily(t *testing.T) {
 	b, list := newBalancer(noOthersLoad), servers(3, 6)
-	b.Failed(start, "s0")
+	b.RecordFailure(start, "s0")
 	for range 6 {
 		place := requirePicked(t, b.Pick(start, Request{Service: plainService, Zone: "zone-0"}, list))
 		require.NotEqual(t, "s0", place.Server.ID)
--- a/internal/balancer/failures.go
+++ b/internal/balancer/failures.go
@@ -49,8 +49,8 @@
 	return external + own.failures*math.Exp2(-float64(now.Sub(own.failedAt))/float64(failureHalfLife))
 }
 
-// Failed counts the failure of a server to answer a request.
-func (b *Balancer) Failed(now time.Time, id string) {
+// RecordFailure counts the failure of a server to answer a request.
+func (b *Balancer) RecordFailure(now time.Time, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := b.state(now, id)
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -224,7 +224,7 @@
 			s.reportCrash(place.Server, r)
 		}
 		if res.cause != retry.CauseRefused {
-			s.opts.Balancer.Failed(now, id)
+			s.opts.Balancer.RecordFailure(now, id)
 		}
 		if res.cause == retry.CauseNotSent {
 			t.dials++
--- a/internal/ingress/move.go
+++ b/internal/ingress/move.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		m.excluded[m.to.Server.ID] = true
 		if status == http.StatusServiceUnavailable && took >= unreachable {
-			m.s.opts.Balancer.Failed(m.s.opts.Now(), m.to.Server.ID)
+			m.s.opts.Balancer.RecordFailure(m.s.opts.Now(), m.to.Server.ID)
 		}
 		m.unplace()
 		return took, err
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -100,7 +100,7 @@
 			return f.cut(failed{cause: retry.CauseLost, ran: true, err: err})
 		case !f.run.stopped():
 			server := f.run.server()
-			s.opts.Balancer.Failed(s.opts.Now(), server.ID)
+			s.opts.Balancer.RecordFailure(s.opts.Now(), server.ID)
 			s.reportCrash(server, r)
 			if known, ok := s.opts.State.Server(server.ID); ok && !known.Leaving {
 				s.note(server, r, rollout.Answer, true, 0)
