--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -99,7 +99,7 @@
 // Choice is [Picked], [Full] or [None].
 type Choice interface{ choice() }
 
-// Picked holds the chosen server; its load is counted until [Balancer.Done].
+// Picked holds the chosen server; its load is counted until [Balancer.Release].
 type Picked struct {
 	Placement Placement
 	// Score is the score of the choice, for logs: 0 is free, 1 is full.
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -87,7 +87,7 @@
 	for range 6 {
 		place := requirePicked(t, b.Pick(start, Request{Service: plainService, Zone: "zone-0"}, list))
 		require.NotEqual(t, "s0", place.Server.ID)
-		b.Done(place)
+		b.Release(place)
 	}
 	later := start.Add(10 * failureHalfLife)
 	require.Equal(t, "s0", requirePicked(t, b.Pick(later, Request{Service: plainService, Zone: "zone-0"}, list)).Server.ID)
@@ -113,7 +113,7 @@
 			}
 			if c, ok := b.Pick(now, Request{Service: largeService, Instances: instances}, list).(Picked); ok {
 				sent = append(sent, now)
-				b.Done(c.Placement)
+				b.Release(c.Placement)
 			}
 		}
 	}
@@ -180,7 +180,7 @@
 	bal, list := newBalancer(noOthersLoad), servers(2000, 24)
 	for b.Loop() {
 		if c, ok := bal.Pick(start, Request{Service: engineService, Tokens: 3000, Instances: 350}, list).(Picked); ok {
-			bal.Done(c.Placement)
+			bal.Release(c.Placement)
 		}
 	}
 }
--- a/internal/balancer/load.go
+++ b/internal/balancer/load.go
@@ -96,8 +96,8 @@
 	b.addLoad(now, p)
 }
 
-// Done removes the load of a request from its server.
-func (b *Balancer) Done(p Placement) {
+// Release removes the load of a request from its server.
+func (b *Balancer) Release(p Placement) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.signal()
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -123,7 +123,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit.Sub(now))
 	defer cancel()
-	defer s.opts.Balancer.Done(place)
+	defer s.opts.Balancer.Release(place)
 	a, err := s.upstream.Do(ctx, place.Server.Address, s.outgoing(now, r, place, nil), false)
 	if err != nil {
 		return lostOf(err)
--- a/internal/ingress/carry.go
+++ b/internal/ingress/carry.go
@@ -107,7 +107,7 @@
 	one.handed <- handover{to: m.to, source: source.Address, handle: moved.Handle}
 	one.leaveStream()
 	if one.finished() {
-		one.unclaimed(s.opts.Balancer.Done)
+		one.unclaimed(s.opts.Balancer.Release)
 	}
 }
 
--- a/internal/ingress/move.go
+++ b/internal/ingress/move.go
@@ -148,7 +148,7 @@
 
 func (m *mover) unplace() {
 	if m.placed {
-		m.s.opts.Balancer.Done(m.to)
+		m.s.opts.Balancer.Release(m.to)
 		m.placed = false
 	}
 }
@@ -178,7 +178,7 @@
 	case err != nil && moved.Handle != "":
 		// The engine has stopped and keeps the memory; it goes on there.
 		if copied {
-			m.s.opts.Balancer.Done(h.to)
+			m.s.opts.Balancer.Release(h.to)
 		}
 		h = handover{to: balancer.Placement{Server: m.source, Tokens: m.need()}, source: m.source.Address, handle: moved.Handle}
 		m.s.opts.Balancer.Reserve(m.s.opts.Now(), h.to)
@@ -191,7 +191,7 @@
 	}
 	m.one.handed <- h
 	if m.one.finished() {
-		m.one.unclaimed(m.s.opts.Balancer.Done)
+		m.one.unclaimed(m.s.opts.Balancer.Release)
 	}
 }
 
@@ -202,7 +202,7 @@
 	if !ok {
 		return
 	}
-	m.s.opts.Balancer.Done(h.to)
+	m.s.opts.Balancer.Release(h.to)
 	m.s.free(ctx, h)
 }
 
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -121,17 +121,17 @@
 // about to be moved to.
 func (f *flow) end() {
 	f.s.runs.end(f.run)
-	f.s.opts.Balancer.Done(f.run.where())
-	f.run.unclaimed(f.s.opts.Balancer.Done)
+	f.s.opts.Balancer.Release(f.run.where())
+	f.run.unclaimed(f.s.opts.Balancer.Release)
 	if h, ok := f.run.takeCopy(); ok {
-		f.s.opts.Balancer.Done(h.to)
+		f.s.opts.Balancer.Release(h.to)
 		f.s.discard(h)
 	}
 }
 
 // switchTo notes where the stream goes on; its load is counted there already.
 func (f *flow) switchTo(place balancer.Placement) {
-	f.s.opts.Balancer.Done(f.run.where())
+	f.s.opts.Balancer.Release(f.run.where())
 	f.run.moveTo(place)
 }
 
@@ -266,7 +266,7 @@
 // at two.
 func (f *flow) resumeCopied(ctx context.Context, h handover) (*upstream.Answer, error) {
 	if !f.stopAt(ctx, h) {
-		f.s.opts.Balancer.Done(h.to)
+		f.s.opts.Balancer.Release(h.to)
 		return nil, errStillRuns
 	}
 	return f.goOnAt(ctx, h)
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -129,7 +129,7 @@
 			continue
 		}
 		if !p.planned {
-			p.localBalancers[g.instance].Done(g.place)
+			p.localBalancers[g.instance].Release(g.place)
 		}
 	}
 	p.running = kept
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -57,7 +57,7 @@
 	if !ok {
 		return PlacementResponse{}, ErrUnavailable
 	}
-	p.loadBalancer.Done(picked.Placement)
+	p.loadBalancer.Release(picked.Placement)
 	if maxWait := time.Duration(r.Within) * time.Millisecond; maxWait > 0 && p.loadBalancer.PrefillWait(now, picked.Placement.Server.ID) > maxWait {
 		p.loadBalancer.CancelPrefill(picked.Placement)
 		return PlacementResponse{}, ErrFull
