--- a/internal/planner/handlers.go
+++ b/internal/planner/handlers.go
@@ -12,7 +12,7 @@
 
 // Handlers returns the handlers of requests from other instances, by path.
 func (p *Planner) Handlers() map[string]http.Handler {
-	transfer := func(ctx context.Context, req *connect.Request[Leaving]) (*connect.Response[Turn], error) {
+	transfer := func(ctx context.Context, req *connect.Request[TransferRequest]) (*connect.Response[Turn], error) {
 		if err := peerrpc.Check(p.opts.Key, p.opts.Now(), req.Header(), transferProcedure); err != nil {
 			return nil, err
 		}
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -72,7 +72,7 @@
 
 // scheduleCopy waits until the slots of an engine's copies are assigned and returns the target and
 // the start of one.
-func (p *Planner) scheduleCopy(ctx context.Context, l Leaving) (Turn, error) {
+func (p *Planner) scheduleCopy(ctx context.Context, l TransferRequest) (Turn, error) {
 	service, err := p.engines(l.Service)
 	if err != nil {
 		return Turn{}, err
@@ -98,7 +98,7 @@
 	p          *Planner
 	now        time.Time
 	service    *routes.Service
-	leaving    Leaving
+	leaving    TransferRequest
 	candidates map[string]observed.Server
 }
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -55,8 +55,8 @@
 // ErrFull means that no engine has free capacity.
 var ErrFull = merry.Sentinel("no engine has free capacity")
 
-// Leaving requests a transfer slot for a generation whose engine shuts down.
-type Leaving struct {
+// TransferRequest requests a transfer slot for a generation whose engine shuts down.
+type TransferRequest struct {
 	Run     string `json:"run"`
 	Service string `json:"service"`
 	// Instance is the ID of the requesting instance.
@@ -167,7 +167,7 @@
 
 // Ask requests a transfer slot from the instance that plans for the group of the engine that shuts
 // down.
-func (p *Planner) Ask(ctx context.Context, l Leaving) (Turn, error) {
+func (p *Planner) Ask(ctx context.Context, l TransferRequest) (Turn, error) {
 	l.By = p.opts.Self
 	address, ok := p.plannerAddress(p.groupKeyOf(l.Service, l.Zone, l.Engine), 0)
 	if !ok {
@@ -178,7 +178,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	client := connect.NewClient[Leaving, Turn](p.rpc.HTTP, "http://"+address+transferProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[TransferRequest, Turn](p.rpc.HTTP, "http://"+address+transferProcedure, peerrpc.ClientOptions()...)
 	req := connect.NewRequest(&l)
 	p.rpc.Sign(p.opts.Now(), req.Header(), transferProcedure)
 	res, err := client.CallUnary(ctx, req)
