--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -78,17 +78,17 @@
 		return Turn{}, err
 	}
 	now := p.opts.Now()
-	decideAt := p.schedule.Add(now, Copy{GenerationID: l.Run, Instance: l.By, Source: l.Engine, Tokens: l.Tokens})
+	decideAt := p.schedule.Add(now, Copy{GenerationID: l.GenerationID, Instance: l.By, Source: l.Engine, Tokens: l.Tokens})
 	if objectapi.Pause(ctx, decideAt.Sub(now)) != nil {
 		return Turn{}, ErrUnavailable
 	}
 	now = p.opts.Now()
-	slot, ok := p.schedule.Slot(now, l.Engine, l.Run, &targetFinder{p: p, now: now, service: service, leaving: l})
+	slot, ok := p.schedule.Slot(now, l.Engine, l.GenerationID, &targetFinder{p: p, now: now, service: service, leaving: l})
 	if !ok {
 		return Turn{}, ErrUnavailable
 	}
 	wait := max(0, slot.Start.Sub(now))
-	p.opts.Log.Info().Str("request", l.Run).Str("from", l.Engine).Str("to", slot.Target).Int("tokens", l.Tokens).
+	p.opts.Log.Info().Str("request", l.GenerationID).Str("from", l.Engine).Str("to", slot.Target).Int("tokens", l.Tokens).
 		Dur("wait", wait).Dur("takes", slot.Duration).Msg("turn given")
 	return Turn{WaitMillis: wait.Milliseconds(), To: slot.Target}, nil
 }
@@ -129,7 +129,7 @@
 // requiredTokens returns the expected memory demand of a copy: the requester's estimate, or for
 // other copies from the same engine their current size and a default.
 func (r *targetFinder) requiredTokens(c Copy) int {
-	if c.GenerationID == r.leaving.Run {
+	if c.GenerationID == r.leaving.GenerationID {
 		return r.leaving.Need
 	}
 	return c.Tokens + defaultRemainingTokens
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -57,8 +57,8 @@
 
 // TransferRequest requests a transfer slot for a generation whose engine shuts down.
 type TransferRequest struct {
-	Run     string `json:"run"`
-	Service string `json:"service"`
+	GenerationID string `json:"run"`
+	Service      string `json:"service"`
 	// Instance is the ID of the requesting instance.
 	By string `json:"by"`
 	// Engine is the ID of the engine that shuts down, Zone its availability zone.
