--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -78,7 +78,7 @@
 		return Turn{}, err
 	}
 	now := p.opts.Now()
-	decideAt := p.schedule.Add(now, Copy{GenerationID: l.GenerationID, Instance: l.By, Source: l.Engine, Tokens: l.Tokens})
+	decideAt := p.schedule.Add(now, Copy{GenerationID: l.GenerationID, Instance: l.Instance, Source: l.Engine, Tokens: l.Tokens})
 	if objectapi.Pause(ctx, decideAt.Sub(now)) != nil {
 		return Turn{}, ErrUnavailable
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -60,7 +60,7 @@
 	GenerationID string `json:"run"`
 	Service      string `json:"service"`
 	// Instance is the ID of the requesting instance.
-	By string `json:"by"`
+	Instance string `json:"by"`
 	// Engine is the ID of the engine that shuts down, Zone its availability zone.
 	Engine string `json:"engine"`
 	Zone   string `json:"zone"`
@@ -168,7 +168,7 @@
 // Ask requests a transfer slot from the instance that plans for the group of the engine that shuts
 // down.
 func (p *Planner) Ask(ctx context.Context, l TransferRequest) (Turn, error) {
-	l.By = p.opts.Self
+	l.Instance = p.opts.Self
 	address, ok := p.plannerAddress(p.groupKeyOf(l.Service, l.Zone, l.Engine), 0)
 	if !ok {
 		return Turn{}, ErrUnavailable
