--- a/internal/ingress/move.go
+++ b/internal/ingress/move.go
@@ -59,7 +59,7 @@
 	}
 	r := m.one.request
 	turn, err := m.s.opts.Planner.Ask(ctx, planner.TransferRequest{
-		GenerationID: r.id, Service: r.service.Name, Engine: m.source.ID, Zone: m.source.Zone, Tokens: r.prompt + m.one.tokens(), Need: m.need(),
+		GenerationID: r.id, Service: r.service.Name, Engine: m.source.ID, Zone: m.source.Zone, Tokens: r.prompt + m.one.tokens(), RequiredTokens: m.need(),
 	})
 	if err != nil {
 		m.s.log.Info().Str("request", r.id).Str("server", m.source.ID).Err(err).Msg("moved without a turn")
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -130,7 +130,7 @@
 // other copies from the same engine their current size and a default.
 func (r *targetFinder) requiredTokens(c Copy) int {
 	if c.GenerationID == r.leaving.GenerationID {
-		return r.leaving.Need
+		return r.leaving.RequiredTokens
 	}
 	return c.Tokens + defaultRemainingTokens
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -65,8 +65,8 @@
 	Engine string `json:"engine"`
 	Zone   string `json:"zone"`
 	// Tokens is the current size of the KV cache, RequiredTokens its expected final size.
-	Tokens int `json:"tokens"`
-	Need   int `json:"need"`
+	Tokens         int `json:"tokens"`
+	RequiredTokens int `json:"need"`
 }
 
 // Turn tells when a generation is copied, and to which engine.
