--- a/internal/planner/handlers.go
+++ b/internal/planner/handlers.go
@@ -12,7 +12,7 @@
 
 // Handlers returns the handlers of requests from other instances, by path.
 func (p *Planner) Handlers() map[string]http.Handler {
-	transfer := func(ctx context.Context, req *connect.Request[TransferRequest]) (*connect.Response[Turn], error) {
+	transfer := func(ctx context.Context, req *connect.Request[TransferRequest]) (*connect.Response[TransferResponse], error) {
 		if err := peerrpc.Check(p.opts.Key, p.opts.Now(), req.Header(), transferProcedure); err != nil {
 			return nil, err
 		}
@@ -46,7 +46,7 @@
 	}
 }
 
-func reply(t Turn, err error) (*connect.Response[Turn], error) {
+func reply(t TransferResponse, err error) (*connect.Response[TransferResponse], error) {
 	if err != nil {
 		return nil, connect.NewError(connect.CodeResourceExhausted, ErrUnavailable)
 	}
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -72,25 +72,25 @@
 
 // scheduleCopy waits until the slots of an engine's copies are assigned and returns the target and
 // the start of one.
-func (p *Planner) scheduleCopy(ctx context.Context, l TransferRequest) (Turn, error) {
+func (p *Planner) scheduleCopy(ctx context.Context, l TransferRequest) (TransferResponse, error) {
 	service, err := p.engines(l.Service)
 	if err != nil {
-		return Turn{}, err
+		return TransferResponse{}, err
 	}
 	now := p.opts.Now()
 	decideAt := p.schedule.Add(now, Copy{GenerationID: l.GenerationID, Instance: l.Instance, Source: l.Engine, Tokens: l.Tokens})
 	if objectapi.Pause(ctx, decideAt.Sub(now)) != nil {
-		return Turn{}, ErrUnavailable
+		return TransferResponse{}, ErrUnavailable
 	}
 	now = p.opts.Now()
 	slot, ok := p.schedule.Slot(now, l.Engine, l.GenerationID, &targetFinder{p: p, now: now, service: service, leaving: l})
 	if !ok {
-		return Turn{}, ErrUnavailable
+		return TransferResponse{}, ErrUnavailable
 	}
 	wait := max(0, slot.Start.Sub(now))
 	p.opts.Log.Info().Str("request", l.GenerationID).Str("from", l.Engine).Str("to", slot.Target).Int("tokens", l.Tokens).
 		Dur("wait", wait).Dur("takes", slot.Duration).Msg("turn given")
-	return Turn{WaitMillis: wait.Milliseconds(), To: slot.Target}, nil
+	return TransferResponse{WaitMillis: wait.Milliseconds(), To: slot.Target}, nil
 }
 
 // targetFinder finds engines with free capacity for the copies from an engine that shuts down.
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -69,14 +69,14 @@
 	RequiredTokens int `json:"need"`
 }
 
-// Turn tells when a generation is copied, and to which engine.
-type Turn struct {
+// TransferResponse tells when a generation is copied, and to which engine.
+type TransferResponse struct {
 	WaitMillis int64  `json:"waitMillis"`
 	To         string `json:"to"`
 }
 
 // Wait returns how long to wait before the copy starts.
-func (t Turn) Wait() time.Duration { return time.Duration(t.WaitMillis) * time.Millisecond }
+func (t TransferResponse) Wait() time.Duration { return time.Duration(t.WaitMillis) * time.Millisecond }
 
 // Placing requests an engine for a new generation.
 type Placing struct {
@@ -167,23 +167,23 @@
 
 // Ask requests a transfer slot from the instance that plans for the group of the engine that shuts
 // down.
-func (p *Planner) Ask(ctx context.Context, l TransferRequest) (Turn, error) {
+func (p *Planner) Ask(ctx context.Context, l TransferRequest) (TransferResponse, error) {
 	l.Instance = p.opts.Self
 	address, ok := p.plannerAddress(p.groupKeyOf(l.Service, l.Zone, l.Engine), 0)
 	if !ok {
-		return Turn{}, ErrUnavailable
+		return TransferResponse{}, ErrUnavailable
 	}
 	if address == "" {
 		return p.scheduleCopy(ctx, l)
 	}
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	client := connect.NewClient[TransferRequest, Turn](p.rpc.HTTP, "http://"+address+transferProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[TransferRequest, TransferResponse](p.rpc.HTTP, "http://"+address+transferProcedure, peerrpc.ClientOptions()...)
 	req := connect.NewRequest(&l)
 	p.rpc.Sign(p.opts.Now(), req.Header(), transferProcedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
-		return Turn{}, p.noteFailure(address, err)
+		return TransferResponse{}, p.noteFailure(address, err)
 	}
 	return *res.Msg, nil
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -119,7 +119,7 @@
 	now := time.Now()
 	a.table.Merge(now, b.table.All(now))
 	b.table.Merge(now, a.table.All(now))
-	slots := make(chan Turn, 8)
+	slots := make(chan TransferResponse, 8)
 	for i := range 8 {
 		go func() {
 			slot, err := []testInstance{a, b}[i%2].Ask(context.Background(), TransferRequest{
