--- a/internal/ingress/move.go
+++ b/internal/ingress/move.go
@@ -68,9 +68,9 @@
 	if objectapi.Pause(ctx, turn.Wait()) != nil {
 		return false
 	}
-	server, ok := m.s.opts.State.Server(turn.To)
+	server, ok := m.s.opts.State.Server(turn.Target)
 	now := m.s.opts.Now()
-	if ok && !server.Leaving && !m.one.finished() && m.s.opts.Balancer.Failures(now, turn.To) < distrust {
+	if ok && !server.Leaving && !m.one.finished() && m.s.opts.Balancer.Failures(now, turn.Target) < distrust {
 		m.to, m.placed = balancer.Placement{Server: server, Tokens: m.need()}, true
 		m.s.opts.Balancer.Reserve(now, m.to)
 	}
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -90,7 +90,7 @@
 	wait := max(0, slot.Start.Sub(now))
 	p.opts.Log.Info().Str("request", l.GenerationID).Str("from", l.Engine).Str("to", slot.Target).Int("tokens", l.Tokens).
 		Dur("wait", wait).Dur("takes", slot.Duration).Msg("turn given")
-	return TransferResponse{WaitMillis: wait.Milliseconds(), To: slot.Target}, nil
+	return TransferResponse{WaitMillis: wait.Milliseconds(), Target: slot.Target}, nil
 }
 
 // targetFinder finds engines with free capacity for the copies from an engine that shuts down.
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -72,7 +72,7 @@
 // TransferResponse tells when a generation is copied, and to which engine.
 type TransferResponse struct {
 	WaitMillis int64  `json:"waitMillis"`
-	To         string `json:"to"`
+	Target     string `json:"to"`
 }
 
 // Wait returns how long to wait before the copy starts.
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -108,7 +108,7 @@
 		require.NotEqual(t, "e0", id)
 		slot, err := a.Ask(t.Context(), TransferRequest{GenerationID: fmt.Sprint(i), Service: "llm", Engine: "e1", Zone: "zone-1", Tokens: 3000, RequiredTokens: 400})
 		require.NoError(t, err)
-		require.Equal(t, "e2", slot.To)
+		require.Equal(t, "e2", slot.Target)
 	}
 }
 
@@ -126,7 +126,7 @@
 				GenerationID: fmt.Sprint(i), Service: "llm", Engine: "e0", Zone: "zone-0", Tokens: 3000, RequiredTokens: 4000,
 			})
 			if err != nil {
-				slot.To = err.Error()
+				slot.Target = err.Error()
 			}
 			slots <- slot
 		}()
@@ -134,8 +134,8 @@
 	waits, targets := map[int64]bool{}, map[string]int{}
 	for range 8 {
 		slot := <-slots
-		require.Contains(t, []string{"e3", "e6", "e9"}, slot.To)
-		targets[slot.To]++
+		require.Contains(t, []string{"e3", "e6", "e9"}, slot.Target)
+		targets[slot.Target]++
 		// A copy of 3,000 tokens takes 176 ms with this link.
 		waits[(slot.WaitMillis+88)/176] = true
 	}
