--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -94,7 +94,7 @@
 	if s.opts.Planner == nil || !r.generation() {
 		return balancer.Placement{}, planner.ErrUnavailable
 	}
-	ask := planner.Placing{
+	ask := planner.PlacementRequest{
 		Request: r.id, Service: r.service.Name, Zone: s.opts.Zone, Prompt: r.prompt, Need: r.prompt + r.output,
 		Excluded: slices.Collect(maps.Keys(t.excluded)), Within: r.route.TargetLatency.Milliseconds(),
 	}
--- a/internal/planner/handlers.go
+++ b/internal/planner/handlers.go
@@ -18,7 +18,7 @@
 		}
 		return reply(p.scheduleCopy(ctx, *req.Msg))
 	}
-	place := func(_ context.Context, req *connect.Request[Placing]) (*connect.Response[PlacementResponse], error) {
+	place := func(_ context.Context, req *connect.Request[PlacementRequest]) (*connect.Response[PlacementResponse], error) {
 		if err := peerrpc.Check(p.opts.Key, p.opts.Now(), req.Header(), placeProcedure); err != nil {
 			return nil, err
 		}
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -29,7 +29,7 @@
 }
 
 // chooseEngine assigns an engine to a new generation.
-func (p *Planner) chooseEngine(r Placing) (PlacementResponse, error) {
+func (p *Planner) chooseEngine(r PlacementRequest) (PlacementResponse, error) {
 	service, err := p.engines(r.Service)
 	if err != nil {
 		return PlacementResponse{}, err
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -78,8 +78,8 @@
 // Wait returns how long to wait before the copy starts.
 func (t TransferResponse) Wait() time.Duration { return time.Duration(t.WaitMillis) * time.Millisecond }
 
-// Placing requests an engine for a new generation.
-type Placing struct {
+// PlacementRequest requests an engine for a new generation.
+type PlacementRequest struct {
 	Request string `json:"request"`
 	Service string `json:"service"`
 	// Instance is the ID of the requesting instance.
@@ -191,7 +191,7 @@
 // Place returns the engine that a generation starts on. If the engines of one group are busy or
 // full, the next group is asked. If all groups are, the generation queues at the lowest loaded
 // engine of the lowest busy group.
-func (p *Planner) Place(ctx context.Context, r Placing) (string, error) {
+func (p *Planner) Place(ctx context.Context, r PlacementRequest) (string, error) {
 	r.By = p.opts.Self
 	all, _ := p.groups(r.Service)
 	groups := p.sortedGroups(p.opts.Now(), all, r.Zone, r.Request)
@@ -235,7 +235,7 @@
 
 // placeIn requests an engine of one group. If its planner doesn't answer, the next instance is
 // asked, once.
-func (p *Planner) placeIn(ctx context.Context, r Placing) (PlacementResponse, error) {
+func (p *Planner) placeIn(ctx context.Context, r PlacementRequest) (PlacementResponse, error) {
 	for candidate := range maxPlanners {
 		address, ok := p.plannerAddress(r.Group, candidate)
 		if !ok {
@@ -249,13 +249,13 @@
 	return PlacementResponse{}, ErrUnavailable
 }
 
-func (p *Planner) placeAt(ctx context.Context, address string, r Placing) (PlacementResponse, error) {
+func (p *Planner) placeAt(ctx context.Context, address string, r PlacementRequest) (PlacementResponse, error) {
 	if address == "" {
 		return p.chooseEngine(r)
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	client := connect.NewClient[Placing, PlacementResponse](p.rpc.HTTP, "http://"+address+placeProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[PlacementRequest, PlacementResponse](p.rpc.HTTP, "http://"+address+placeProcedure, peerrpc.ClientOptions()...)
 	req := connect.NewRequest(&r)
 	p.rpc.Sign(p.opts.Now(), req.Header(), placeProcedure)
 	res, err := client.CallUnary(ctx, req)
