--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -80,8 +80,8 @@
 
 // PlacementRequest requests an engine for a new generation.
 type PlacementRequest struct {
-	Request string `json:"request"`
-	Service string `json:"service"`
+	RequestID string `json:"request"`
+	Service   string `json:"service"`
 	// Instance is the ID of the requesting instance.
 	By string `json:"by"`
 	// Group is the key of the engine group to place on.
@@ -194,7 +194,7 @@
 func (p *Planner) Place(ctx context.Context, r PlacementRequest) (string, error) {
 	r.By = p.opts.Self
 	all, _ := p.groups(r.Service)
-	groups := p.sortedGroups(p.opts.Now(), all, r.Zone, r.Request)
+	groups := p.sortedGroups(p.opts.Now(), all, r.Zone, r.RequestID)
 	groups = groups[:min(len(groups), maxGroups)]
 	if len(groups) > 1 {
 		r.Most = busyScore
