--- a/internal/planner/capacity_test.go
+++ b/internal/planner/capacity_test.go
@@ -256,7 +256,7 @@
 		}
 		by := rng.IntN(instances)
 		requests++
-		res, err := a.chooseEngine(PlacementRequest{Service: "llm", Group: "llm", By: fmt.Sprint("i", by), Need: tokens, Prompt: tokens - 800, Zone: "zone-0"})
+		res, err := a.chooseEngine(PlacementRequest{Service: "llm", Group: "llm", Instance: fmt.Sprint("i", by), Need: tokens, Prompt: tokens - 800, Zone: "zone-0"})
 		if err != nil {
 			refused++
 			continue
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -66,7 +66,7 @@
 		p.loadBalancer.CancelPrefill(picked.Placement)
 		return PlacementResponse{Score: picked.Score}, nil
 	}
-	p.loads.Assign(now, r.By, picked.Placement.Server.ID, r.Need)
+	p.loads.Assign(now, r.Instance, picked.Placement.Server.ID, r.Need)
 	return PlacementResponse{Engine: picked.Placement.Server.ID, Score: picked.Score}, nil
 }
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -83,7 +83,7 @@
 	RequestID string `json:"request"`
 	Service   string `json:"service"`
 	// Instance is the ID of the requesting instance.
-	By string `json:"by"`
+	Instance string `json:"by"`
 	// Group is the key of the engine group to place on.
 	Group string `json:"group"`
 	Zone  string `json:"zone"`
@@ -192,7 +192,7 @@
 // full, the next group is asked. If all groups are, the generation queues at the lowest loaded
 // engine of the lowest busy group.
 func (p *Planner) Place(ctx context.Context, r PlacementRequest) (string, error) {
-	r.By = p.opts.Self
+	r.Instance = p.opts.Self
 	all, _ := p.groups(r.Service)
 	groups := p.sortedGroups(p.opts.Now(), all, r.Zone, r.RequestID)
 	groups = groups[:min(len(groups), maxGroups)]
