--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -95,7 +95,7 @@
 		return balancer.Placement{}, planner.ErrUnavailable
 	}
 	ask := planner.PlacementRequest{
-		RequestID: r.id, Service: r.service.Name, Zone: s.opts.Zone, Prompt: r.prompt, Need: r.prompt + r.output,
+		RequestID: r.id, Service: r.service.Name, Zone: s.opts.Zone, PromptTokens: r.prompt, Need: r.prompt + r.output,
 		Excluded: slices.Collect(maps.Keys(t.excluded)), Within: r.route.TargetLatency.Milliseconds(),
 	}
 	id, err := s.opts.Planner.Place(ctx, ask)
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -47,7 +47,7 @@
 		}
 	}
 	choice := p.loadBalancer.Pick(now, balancer.Request{
-		Service: service, Zone: r.Zone, Tokens: r.Need, PromptTokens: r.Prompt, Excluded: excluded,
+		Service: service, Zone: r.Zone, Tokens: r.Need, PromptTokens: r.PromptTokens, Excluded: excluded,
 		Instances: p.opts.Table.Count(now), CompareAll: true, Force: r.Anyway,
 	}, engines)
 	picked, ok := choice.(balancer.Picked)
