--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -95,7 +95,7 @@
 		return balancer.Placement{}, planner.ErrUnavailable
 	}
 	ask := planner.PlacementRequest{
-		RequestID: r.id, Service: r.service.Name, Zone: s.opts.Zone, PromptTokens: r.prompt, Need: r.prompt + r.output,
+		RequestID: r.id, Service: r.service.Name, Zone: s.opts.Zone, PromptTokens: r.prompt, RequiredTokens: r.prompt + r.output,
 		Excluded: slices.Collect(maps.Keys(t.excluded)), Within: r.route.TargetLatency.Milliseconds(),
 	}
 	id, err := s.opts.Planner.Place(ctx, ask)
@@ -107,7 +107,7 @@
 	}
 	for _, server := range s.opts.State.Servers(r.service.Name) {
 		if server.ID == id {
-			place := balancer.Placement{Server: server, Tokens: ask.Need, PromptTokens: r.prompt}
+			place := balancer.Placement{Server: server, Tokens: ask.RequiredTokens, PromptTokens: r.prompt}
 			s.opts.Balancer.Reserve(s.opts.Now(), place)
 			s.log.Info().Str("request", r.id).Str("server", id).Str("zone", server.Zone).Int("attempt", t.number+1).
 				Int("tokens", place.Tokens).Msg("request placed by plan")
--- a/internal/planner/capacity_test.go
+++ b/internal/planner/capacity_test.go
@@ -48,7 +48,7 @@
 			}
 			a.loads.Apply(time.Now(), Report{Instance: "b", Started: 1, Sequence: 1, Loads: loads})
 			for i := range 4 {
-				engine, err := a.Place(t.Context(), PlacementRequest{RequestID: fmt.Sprint("r", i), Service: "llm", Zone: "zone-0", PromptTokens: 30, Need: tt.need})
+				engine, err := a.Place(t.Context(), PlacementRequest{RequestID: fmt.Sprint("r", i), Service: "llm", Zone: "zone-0", PromptTokens: 30, RequiredTokens: tt.need})
 				if tt.want != nil {
 					require.ErrorIs(t, err, tt.want)
 					continue
@@ -80,7 +80,7 @@
 			crossZone := 0
 			for i := range tt.requests {
 				now = now.Add(10 * time.Millisecond)
-				id, err := a.Place(t.Context(), PlacementRequest{RequestID: fmt.Sprint("r", i), Service: "llm", Zone: "zone-0", PromptTokens: 3000, Need: 4000})
+				id, err := a.Place(t.Context(), PlacementRequest{RequestID: fmt.Sprint("r", i), Service: "llm", Zone: "zone-0", PromptTokens: 3000, RequiredTokens: 4000})
 				require.NoError(t, err)
 				if server, _ := a.opts.State.Server(id); server.Zone != "zone-0" {
 					crossZone++
@@ -256,7 +256,7 @@
 		}
 		by := rng.IntN(instances)
 		requests++
-		res, err := a.chooseEngine(PlacementRequest{Service: "llm", Group: "llm", Instance: fmt.Sprint("i", by), Need: tokens, PromptTokens: tokens - 800, Zone: "zone-0"})
+		res, err := a.chooseEngine(PlacementRequest{Service: "llm", Group: "llm", Instance: fmt.Sprint("i", by), RequiredTokens: tokens, PromptTokens: tokens - 800, Zone: "zone-0"})
 		if err != nil {
 			refused++
 			continue
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -47,11 +47,11 @@
 		}
 	}
 	choice := p.loadBalancer.Pick(now, balancer.Request{
-		Service: service, Zone: r.Zone, Tokens: r.Need, PromptTokens: r.PromptTokens, Excluded: excluded,
+		Service: service, Zone: r.Zone, Tokens: r.RequiredTokens, PromptTokens: r.PromptTokens, Excluded: excluded,
 		Instances: p.opts.Table.Count(now), CompareAll: true, Force: r.Anyway,
 	}, engines)
 	picked, ok := choice.(balancer.Picked)
-	if _, full := choice.(balancer.Full); full && r.Need <= service.Engine.MemoryTokens {
+	if _, full := choice.(balancer.Full); full && r.RequiredTokens <= service.Engine.MemoryTokens {
 		return PlacementResponse{}, ErrFull
 	}
 	if !ok {
@@ -66,7 +66,7 @@
 		p.loadBalancer.CancelPrefill(picked.Placement)
 		return PlacementResponse{Score: picked.Score}, nil
 	}
-	p.loads.Assign(now, r.Instance, picked.Placement.Server.ID, r.Need)
+	p.loads.Assign(now, r.Instance, picked.Placement.Server.ID, r.RequiredTokens)
 	return PlacementResponse{Engine: picked.Placement.Server.ID, Score: picked.Score}, nil
 }
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -89,8 +89,8 @@
 	Zone  string `json:"zone"`
 	// PromptTokens is the length of the prompt, RequiredTokens the expected memory demand of the
 	// whole generation.
-	PromptTokens int `json:"prompt"`
-	Need         int `json:"need"`
+	PromptTokens   int `json:"prompt"`
+	RequiredTokens int `json:"need"`
 	// MaxScore is the score above which no engine is assigned because the requester has other
 	// groups to ask; 0 means no limit.
 	Most float64 `json:"most,omitempty"`
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -89,7 +89,7 @@
 	perEngine := map[string]int{}
 	for i := range 12 {
 		requester := []testInstance{a, b}[i%2]
-		id, err := requester.Place(t.Context(), PlacementRequest{RequestID: fmt.Sprint(i), Service: "llm", Zone: fmt.Sprintf("zone-%d", i%3), PromptTokens: 3000, Need: 4000})
+		id, err := requester.Place(t.Context(), PlacementRequest{RequestID: fmt.Sprint(i), Service: "llm", Zone: fmt.Sprintf("zone-%d", i%3), PromptTokens: 3000, RequiredTokens: 4000})
 		require.NoError(t, err)
 		perEngine[id]++
 	}
@@ -103,7 +103,7 @@
 		return map[string]float64{"e0": 2}[id]
 	})
 	for i := range 6 {
-		id, err := a.Place(t.Context(), PlacementRequest{RequestID: fmt.Sprint(i), Service: "llm", Zone: "zone-0", PromptTokens: 3000, Need: 400})
+		id, err := a.Place(t.Context(), PlacementRequest{RequestID: fmt.Sprint(i), Service: "llm", Zone: "zone-0", PromptTokens: 3000, RequiredTokens: 400})
 		require.NoError(t, err)
 		require.NotEqual(t, "e0", id)
 		slot, err := a.Ask(t.Context(), TransferRequest{GenerationID: fmt.Sprint(i), Service: "llm", Engine: "e1", Zone: "zone-1", Tokens: 3000, RequiredTokens: 400})
@@ -156,7 +156,7 @@
 			a.table.Set(time.Now(), membership.Status{})
 			a.table.Merge(time.Now(), []membership.Record{readyRecord("x", address(t))})
 			for range 3 {
-				_, err := a.Place(t.Context(), PlacementRequest{RequestID: "1", Service: "llm", PromptTokens: 3000, Need: 4000})
+				_, err := a.Place(t.Context(), PlacementRequest{RequestID: "1", Service: "llm", PromptTokens: 3000, RequiredTokens: 4000})
 				require.ErrorIs(t, err, ErrUnavailable)
 			}
 			require.Len(t, a.backoff, 1)
@@ -179,7 +179,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			a := startInstance(t, "a", "k", engineList(tt.engines))
-			_, err := a.Place(t.Context(), PlacementRequest{RequestID: "1", Service: tt.service, Need: tt.need, Excluded: tt.excluded})
+			_, err := a.Place(t.Context(), PlacementRequest{RequestID: "1", Service: tt.service, RequiredTokens: tt.need, Excluded: tt.excluded})
 			require.ErrorIs(t, err, ErrUnavailable)
 			_, err = a.Ask(t.Context(), TransferRequest{GenerationID: "1", Service: tt.service, Engine: "e0", RequiredTokens: tt.need})
 			if tt.engines < 2 || tt.service != "llm" || tt.need > 34000 {
