--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -62,7 +62,7 @@
 		p.loadBalancer.CancelPrefill(picked.Placement)
 		return PlacementResponse{}, ErrFull
 	}
-	if r.Most > 0 && picked.Score > r.Most {
+	if r.MaxScore > 0 && picked.Score > r.MaxScore {
 		p.loadBalancer.CancelPrefill(picked.Placement)
 		return PlacementResponse{Score: picked.Score}, nil
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -93,7 +93,7 @@
 	RequiredTokens int `json:"need"`
 	// MaxScore is the score above which no engine is assigned because the requester has other
 	// groups to ask; 0 means no limit.
-	Most float64 `json:"most,omitempty"`
+	MaxScore float64 `json:"most,omitempty"`
 	// MaxPrefillWaitMillis limits how long the generation waits for the prefill of earlier prompts;
 	// beyond it the request is refused. 0 means no limit.
 	Within int64 `json:"within,omitempty"`
@@ -197,7 +197,7 @@
 	groups := p.sortedGroups(p.opts.Now(), all, r.Zone, r.RequestID)
 	groups = groups[:min(len(groups), maxGroups)]
 	if len(groups) > 1 {
-		r.Most = busyScore
+		r.MaxScore = busyScore
 	}
 	lowest, lowestScore, err := "", float64(fullScore), ErrUnavailable
 	for _, g := range groups {
@@ -220,9 +220,9 @@
 	}
 	switch {
 	case lowest != "":
-		r.Group, r.Most = lowest, 0
+		r.Group, r.MaxScore = lowest, 0
 	case errors.Is(err, ErrFull):
-		r.Group, r.Most, r.Anyway = groups[0].key, 0, true
+		r.Group, r.MaxScore, r.Anyway = groups[0].key, 0, true
 	default:
 		return "", err
 	}
