--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -96,7 +96,7 @@
 	}
 	ask := planner.PlacementRequest{
 		RequestID: r.id, Service: r.service.Name, Zone: s.opts.Zone, PromptTokens: r.prompt, RequiredTokens: r.prompt + r.output,
-		Excluded: slices.Collect(maps.Keys(t.excluded)), Within: r.route.TargetLatency.Milliseconds(),
+		Excluded: slices.Collect(maps.Keys(t.excluded)), MaxPrefillWaitMillis: r.route.TargetLatency.Milliseconds(),
 	}
 	id, err := s.opts.Planner.Place(ctx, ask)
 	if err != nil {
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -181,7 +181,7 @@
 	g := runningGeneration{instance: by, tokens: prompt + output}
 	if p.planned {
 		p.planner.opts.Self, p.planner.scores = fmt.Sprint("i", by), p.scores[by]
-		id, err := p.planner.Place(p.t.Context(), PlacementRequest{RequestID: fmt.Sprint(p.result.requests), Service: "llm", Zone: zone, PromptTokens: prompt, RequiredTokens: g.tokens, Within: firstTokenTarget.Milliseconds()})
+		id, err := p.planner.Place(p.t.Context(), PlacementRequest{RequestID: fmt.Sprint(p.result.requests), Service: "llm", Zone: zone, PromptTokens: prompt, RequiredTokens: g.tokens, MaxPrefillWaitMillis: firstTokenTarget.Milliseconds()})
 		if err != nil {
 			p.result.refused++
 			return
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -58,7 +58,7 @@
 		return PlacementResponse{}, ErrUnavailable
 	}
 	p.loadBalancer.Release(picked.Placement)
-	if maxWait := time.Duration(r.Within) * time.Millisecond; maxWait > 0 && p.loadBalancer.PrefillWait(now, picked.Placement.Server.ID) > maxWait {
+	if maxWait := time.Duration(r.MaxPrefillWaitMillis) * time.Millisecond; maxWait > 0 && p.loadBalancer.PrefillWait(now, picked.Placement.Server.ID) > maxWait {
 		p.loadBalancer.CancelPrefill(picked.Placement)
 		return PlacementResponse{}, ErrFull
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -96,7 +96,7 @@
 	MaxScore float64 `json:"most,omitempty"`
 	// MaxPrefillWaitMillis limits how long the generation waits for the prefill of earlier prompts;
 	// beyond it the request is refused. 0 means no limit.
-	Within int64 `json:"within,omitempty"`
+	MaxPrefillWaitMillis int64 `json:"within,omitempty"`
 	// Force assigns the lowest loaded engine if all are full.
 	Anyway bool `json:"anyway,omitempty"`
 	// Excluded are the IDs of engines that must not be assigned.
