--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -48,7 +48,7 @@
 	}
 	choice := p.loadBalancer.Pick(now, balancer.Request{
 		Service: service, Zone: r.Zone, Tokens: r.RequiredTokens, PromptTokens: r.PromptTokens, Excluded: excluded,
-		Instances: p.opts.Table.Count(now), CompareAll: true, Force: r.Anyway,
+		Instances: p.opts.Table.Count(now), CompareAll: true, Force: r.Force,
 	}, engines)
 	picked, ok := choice.(balancer.Picked)
 	if _, full := choice.(balancer.Full); full && r.RequiredTokens <= service.Engine.MemoryTokens {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -98,7 +98,7 @@
 	// beyond it the request is refused. 0 means no limit.
 	MaxPrefillWaitMillis int64 `json:"within,omitempty"`
 	// Force assigns the lowest loaded engine if all are full.
-	Anyway bool `json:"anyway,omitempty"`
+	Force bool `json:"anyway,omitempty"`
 	// Excluded are the IDs of engines that must not be assigned.
 	Excluded []string `json:"excluded,omitempty"`
 }
@@ -222,7 +222,7 @@
 	case lowest != "":
 		r.Group, r.MaxScore = lowest, 0
 	case errors.Is(err, ErrFull):
-		r.Group, r.MaxScore, r.Anyway = groups[0].key, 0, true
+		r.Group, r.MaxScore, r.Force = groups[0].key, 0, true
 	default:
 		return "", err
 	}
