--- a/internal/ingress/move.go
+++ b/internal/ingress/move.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	r := m.one.request
-	turn, err := m.s.opts.Planner.Ask(ctx, planner.TransferRequest{
+	turn, err := m.s.opts.Planner.RequestTransfer(ctx, planner.TransferRequest{
 		GenerationID: r.id, Service: r.service.Name, Engine: m.source.ID, Zone: m.source.Zone, Tokens: r.prompt + m.one.tokens(), RequiredTokens: m.need(),
 	})
 	if err != nil {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -165,9 +165,9 @@
 	}
 }
 
-// Ask requests a transfer slot from the instance that plans for the group of the engine that shuts
+// RequestTransfer requests a transfer slot from the instance that plans for the group of the engine that shuts
 // down.
-func (p *Planner) Ask(ctx context.Context, l TransferRequest) (TransferResponse, error) {
+func (p *Planner) RequestTransfer(ctx context.Context, l TransferRequest) (TransferResponse, error) {
 	l.Instance = p.opts.Self
 	address, ok := p.plannerAddress(p.groupKeyOf(l.Service, l.Zone, l.Engine), 0)
 	if !ok {
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -106,7 +106,7 @@
 		id, err := a.Place(t.Context(), PlacementRequest{RequestID: fmt.Sprint(i), Service: "llm", Zone: "zone-0", PromptTokens: 3000, RequiredTokens: 400})
 		require.NoError(t, err)
 		require.NotEqual(t, "e0", id)
-		slot, err := a.Ask(t.Context(), TransferRequest{GenerationID: fmt.Sprint(i), Service: "llm", Engine: "e1", Zone: "zone-1", Tokens: 3000, RequiredTokens: 400})
+		slot, err := a.RequestTransfer(t.Context(), TransferRequest{GenerationID: fmt.Sprint(i), Service: "llm", Engine: "e1", Zone: "zone-1", Tokens: 3000, RequiredTokens: 400})
 		require.NoError(t, err)
 		require.Equal(t, "e2", slot.Target)
 	}
@@ -122,7 +122,7 @@
 	slots := make(chan TransferResponse, 8)
 	for i := range 8 {
 		go func() {
-			slot, err := []testInstance{a, b}[i%2].Ask(context.Background(), TransferRequest{
+			slot, err := []testInstance{a, b}[i%2].RequestTransfer(context.Background(), TransferRequest{
 				GenerationID: fmt.Sprint(i), Service: "llm", Engine: "e0", Zone: "zone-0", Tokens: 3000, RequiredTokens: 4000,
 			})
 			if err != nil {
@@ -181,7 +181,7 @@
 			a := startInstance(t, "a", "k", engineList(tt.engines))
 			_, err := a.Place(t.Context(), PlacementRequest{RequestID: "1", Service: tt.service, RequiredTokens: tt.need, Excluded: tt.excluded})
 			require.ErrorIs(t, err, ErrUnavailable)
-			_, err = a.Ask(t.Context(), TransferRequest{GenerationID: "1", Service: tt.service, Engine: "e0", RequiredTokens: tt.need})
+			_, err = a.RequestTransfer(t.Context(), TransferRequest{GenerationID: "1", Service: tt.service, Engine: "e0", RequiredTokens: tt.need})
 			if tt.engines < 2 || tt.service != "llm" || tt.need > 34000 {
 				require.ErrorIs(t, err, ErrUnavailable)
 			}
