--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -119,7 +119,7 @@
 	// ColdLimits limits the request rate of cold servers.
 	Bounds balancer.ColdLimits
 	// OwnLoads returns this instance's load on each server.
-	Own func() map[string]balancer.Load
+	OwnLoads func() map[string]balancer.Load
 	// LoadChanged signals a change of this instance's load.
 	Changed <-chan struct{}
 	// Failures returns the decayed number of recent failures of a server.
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -64,7 +64,7 @@
 	table := membership.NewTable(readyRecord(id, address))
 	opts := Options{
 		Self: id, Table: table, Key: key, State: state, Bounds: balancer.ColdLimits{ColdOverage: 1.5, ColdSlack: 5},
-		Own: func() map[string]balancer.Load { return nil }, Failures: func(time.Time, string) float64 { return 0 },
+		OwnLoads: func() map[string]balancer.Load { return nil }, Failures: func(time.Time, string) float64 { return 0 },
 		Log: zerolog.Nop(), Now: time.Now,
 	}
 	configure(&opts)
--- a/internal/planner/reports.go
+++ b/internal/planner/reports.go
@@ -88,7 +88,7 @@
 // this instance.
 func (p *Planner) loadsByPlanner() map[string]map[string]balancer.Load {
 	out := map[string]map[string]balancer.Load{}
-	for id, load := range p.opts.Own() {
+	for id, load := range p.opts.OwnLoads() {
 		server, ok := p.opts.State.Server(id)
 		if !ok {
 			continue
