--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -121,7 +121,7 @@
 	// OwnLoads returns this instance's load on each server.
 	OwnLoads func() map[string]balancer.Load
 	// LoadChanged signals a change of this instance's load.
-	Changed <-chan struct{}
+	LoadChanged <-chan struct{}
 	// Failures returns the decayed number of recent failures of a server.
 	Failures func(now time.Time, id string) float64
 	Log      zerolog.Logger
--- a/internal/planner/reports.go
+++ b/internal/planner/reports.go
@@ -40,7 +40,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.opts.Changed:
+		case <-p.opts.LoadChanged:
 		case <-ticker.C:
 		}
 		now := p.opts.Now()
