--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	in.plans = planner.New(planner.Options{
-		Self: cfg.Instance, Table: in.table, Key: key, State: in.state, Bounds: bounds, OwnLoads: placing.Loads, LoadChanged: placing.Changed(), Failures: placing.Failures,
+		Self: cfg.Instance, Table: in.table, Key: key, State: in.state, ColdLimits: bounds, OwnLoads: placing.Loads, LoadChanged: placing.Changed(), Failures: placing.Failures,
 		Log: telemetry.Part(in.tel.Log, "planner"), Now: time.Now,
 	})
 	in.buildRollouts(key, objects, placing)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -117,7 +117,7 @@
 	Key   peer.Key
 	State *observed.State
 	// ColdLimits limits the request rate of cold servers.
-	Bounds balancer.ColdLimits
+	ColdLimits balancer.ColdLimits
 	// OwnLoads returns this instance's load on each server.
 	OwnLoads func() map[string]balancer.Load
 	// LoadChanged signals a change of this instance's load.
@@ -152,7 +152,7 @@
 		opts: opts, schedule: NewSchedule(), loads: NewLoads(isAlive(opts.Table)), rpc: peerrpc.NewCaller(opts.Key, opts.Self, transferTimeout),
 		backoff: map[string]time.Time{}, scores: map[string]groupScore{}, groupCache: map[string]serviceGroups{},
 	}
-	p.loadBalancer = balancer.New(opts.Bounds, rand.New(rand.NewPCG(rand.Uint64(), 3)), p.loads.ForEngine)
+	p.loadBalancer = balancer.New(opts.ColdLimits, rand.New(rand.NewPCG(rand.Uint64(), 3)), p.loads.ForEngine)
 	p.loadBalancer.SetExternalFailures(opts.Failures)
 	return p
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -63,7 +63,7 @@
 	state.ReplaceServers(time.Now(), 1, engines)
 	table := membership.NewTable(readyRecord(id, address))
 	opts := Options{
-		Self: id, Table: table, Key: key, State: state, Bounds: balancer.ColdLimits{ColdOverage: 1.5, ColdSlack: 5},
+		Self: id, Table: table, Key: key, State: state, ColdLimits: balancer.ColdLimits{ColdOverage: 1.5, ColdSlack: 5},
 		OwnLoads: func() map[string]balancer.Load { return nil }, Failures: func(time.Time, string) float64 { return 0 },
 		Log: zerolog.Nop(), Now: time.Now,
 	}
