--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -46,8 +46,8 @@
 // Views holds the view of each server by name.
 type Views map[string]View
 
-// Ask is the part of a request that placement considers.
-type Ask struct {
+// Query is the part of a request that placement considers.
+type Query struct {
 	// Hash is the position of the request's prefix on the ring.
 	Hash uint64
 	// Zone is the availability zone of the requesting instance.
@@ -64,7 +64,7 @@
 
 // Choose returns the servers to offer a request to, best first, at most [MaxCandidates]. It is
 // empty if no server may take the request.
-func Choose(now time.Time, r *Ring, a Ask, views Views, rng *rand.Rand) []*pollenspindle.Server {
+func Choose(now time.Time, r *Ring, a Query, views Views, rng *rand.Rand) []*pollenspindle.Server {
 	var found [MaxCandidates]candidate
 	n := 0
 	collect := func(limit, bonus int) func(*pollenspindle.Server) bool {
@@ -100,12 +100,12 @@
 	return slices.ContainsFunc(found, func(c candidate) bool { return c.server == s })
 }
 
-func (a *Ask) admits(s *pollenspindle.Server) bool {
+func (a *Query) admits(s *pollenspindle.Server) bool {
 	return a.Takes(s) && !slices.Contains(a.Request.ExcludeServers, s.Name)
 }
 
 // score returns the score of a server, in permille of load; lower is better.
-func (a *Ask) score(now time.Time, s *pollenspindle.Server, views Views) int {
+func (a *Query) score(now time.Time, s *pollenspindle.Server, views Views) int {
 	score := 0
 	if v, ok := views[s.Name]; ok && now.Sub(v.At) < viewTTL {
 		score = v.LoadPermille
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -23,8 +23,8 @@
 	return s
 }
 
-func ask(hash uint64) placement.Ask {
-	return placement.Ask{
+func ask(hash uint64) placement.Query {
+	return placement.Query{
 		Hash: hash, Zone: "zone-0", Request: &permit.Request{},
 		Takes: func(*pollenspindle.Server) bool { return true },
 	}
@@ -74,7 +74,7 @@
 	})
 	tests := map[string]struct {
 		views  placement.Views
-		change func(a *placement.Ask)
+		change func(a *placement.Query)
 		check  func(t *testing.T, got []*pollenspindle.Server)
 	}{
 		"full affine server goes last": {
@@ -90,17 +90,17 @@
 			check: func(t *testing.T, got []*pollenspindle.Server) { require.Same(t, affine[0], got[len(got)-1]) },
 		},
 		"tried server is excluded": {
-			change: func(a *placement.Ask) { a.Request.ExcludeServers = []string{affine[0].Name} },
+			change: func(a *placement.Query) { a.Request.ExcludeServers = []string{affine[0].Name} },
 			check:  func(t *testing.T, got []*pollenspindle.Server) { require.NotContains(t, got, affine[0]) },
 		},
 		"failed zone goes last": {
-			change: func(a *placement.Ask) { a.Request.AvoidZones = []string{affine[0].Zone} },
+			change: func(a *placement.Query) { a.Request.AvoidZones = []string{affine[0].Zone} },
 			check: func(t *testing.T, got []*pollenspindle.Server) {
 				require.NotEqual(t, affine[0].Zone, got[0].Zone)
 			},
 		},
 		"drained zone gets nothing": {
-			change: func(a *placement.Ask) {
+			change: func(a *placement.Query) {
 				a.Takes = func(s *pollenspindle.Server) bool { return s.Zone != "zone-1" }
 			},
 			check: func(t *testing.T, got []*pollenspindle.Server) {
@@ -111,7 +111,7 @@
 			},
 		},
 		"no server accepts work": {
-			change: func(a *placement.Ask) { a.Takes = func(*pollenspindle.Server) bool { return false } },
+			change: func(a *placement.Query) { a.Takes = func(*pollenspindle.Server) bool { return false } },
 			check:  func(t *testing.T, got []*pollenspindle.Server) { require.Empty(t, got) },
 		},
 	}
--- a/test/outcome/world_test.go
+++ b/test/outcome/world_test.go
@@ -235,7 +235,7 @@
 	if w.policy.place != nil {
 		return w.policy.place(w, c)
 	}
-	a := placement.Ask{
+	a := placement.Query{
 		Hash: c.prefix, Zone: "zone-0", Request: &permit.Request{},
 		Takes: func(s *pollenspindle.Server) bool { return !w.out[s.Zone] },
 	}
