--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -54,7 +54,7 @@
 	Zone    string
 	Request *permit.Request
 	// Accepts reports whether the configuration lets a server accept new work.
-	Takes func(*pollenspindle.Server) bool
+	Accepts func(*pollenspindle.Server) bool
 }
 
 type candidate struct {
@@ -101,7 +101,7 @@
 }
 
 func (a *Query) admits(s *pollenspindle.Server) bool {
-	return a.Takes(s) && !slices.Contains(a.Request.ExcludeServers, s.Name)
+	return a.Accepts(s) && !slices.Contains(a.Request.ExcludeServers, s.Name)
 }
 
 // score returns the score of a server, in permille of load; lower is better.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -26,7 +26,7 @@
 func ask(hash uint64) placement.Query {
 	return placement.Query{
 		Hash: hash, Zone: "zone-0", Request: &permit.Request{},
-		Takes: func(*pollenspindle.Server) bool { return true },
+		Accepts: func(*pollenspindle.Server) bool { return true },
 	}
 }
 
@@ -101,7 +101,7 @@
 		},
 		"drained zone gets nothing": {
 			change: func(a *placement.Query) {
-				a.Takes = func(s *pollenspindle.Server) bool { return s.Zone != "zone-1" }
+				a.Accepts = func(s *pollenspindle.Server) bool { return s.Zone != "zone-1" }
 			},
 			check: func(t *testing.T, got []*pollenspindle.Server) {
 				require.Len(t, got, placement.MaxCandidates)
@@ -111,7 +111,7 @@
 			},
 		},
 		"no server accepts work": {
-			change: func(a *placement.Query) { a.Takes = func(*pollenspindle.Server) bool { return false } },
+			change: func(a *placement.Query) { a.Accepts = func(*pollenspindle.Server) bool { return false } },
 			check:  func(t *testing.T, got []*pollenspindle.Server) { require.Empty(t, got) },
 		},
 	}
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -74,7 +74,7 @@
 		if ring == nil {
 			continue
 		}
-		ask := placement.Query{Hash: req.PrefixHash, Zone: r.opts.Self.Zone, Request: req, Takes: snap.TakesNewWork}
+		ask := placement.Query{Hash: req.PrefixHash, Zone: r.opts.Self.Zone, Request: req, Accepts: snap.TakesNewWork}
 		r.mu.Lock()
 		found := placement.Choose(now, ring, ask, r.views, r.rng)
 		r.mu.Unlock()
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -84,7 +84,7 @@
 	req := &permit.Request{}
 	zone := zoneName(0)
 	return func() {
-		ask := placement.Query{Hash: rng.Uint64(), Zone: zone, Request: req, Takes: snap.TakesNewWork}
+		ask := placement.Query{Hash: rng.Uint64(), Zone: zone, Request: req, Accepts: snap.TakesNewWork}
 		placement.Choose(epochStart, ring, ask, views, rng)
 	}
 }
--- a/test/outcome/world_test.go
+++ b/test/outcome/world_test.go
@@ -237,7 +237,7 @@
 	}
 	a := placement.Query{
 		Hash: c.prefix, Zone: "zone-0", Request: &permit.Request{},
-		Takes: func(s *pollenspindle.Server) bool { return !w.out[s.Zone] },
+		Accepts: func(s *pollenspindle.Server) bool { return !w.out[s.Zone] },
 	}
 	var nodes []*node
 	for _, s := range placement.Choose(w.now, w.ring, a, w.views, w.rng) {
