--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -38,7 +38,7 @@
 	// LoadPermille is the used share of the server's limit.
 	LoadPermille int
 	// ObservedAt is the time of the response.
-	At time.Time
+	ObservedAt time.Time
 	// RetryAt is when a server that refused a request may be asked again.
 	RetryAt time.Time
 }
@@ -107,7 +107,7 @@
 // score returns the score of a server, in permille of load; lower is better.
 func (a *Query) score(now time.Time, s *pollenspindle.Server, views Views) int {
 	score := 0
-	if v, ok := views[s.Name]; ok && now.Sub(v.At) < viewTTL {
+	if v, ok := views[s.Name]; ok && now.Sub(v.ObservedAt) < viewTTL {
 		score = v.LoadPermille
 		if now.Before(v.RetryAt) {
 			score += fullPermille
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -78,15 +78,15 @@
 		check  func(t *testing.T, got []*pollenspindle.Server)
 	}{
 		"full affine server goes last": {
-			views: placement.Views{affine[0].Name: {LoadPermille: 1400, At: now}},
+			views: placement.Views{affine[0].Name: {LoadPermille: 1400, ObservedAt: now}},
 			check: func(t *testing.T, got []*pollenspindle.Server) { require.Same(t, affine[0], got[len(got)-1]) },
 		},
 		"old view is ignored": {
-			views: placement.Views{affine[0].Name: {LoadPermille: 1400, At: now.Add(-time.Minute)}},
+			views: placement.Views{affine[0].Name: {LoadPermille: 1400, ObservedAt: now.Add(-time.Minute)}},
 			check: func(t *testing.T, got []*pollenspindle.Server) { require.ElementsMatch(t, affine, got[:2]) },
 		},
 		"server before its retry time goes last": {
-			views: placement.Views{affine[0].Name: {LoadPermille: 0, At: now, RetryAt: now.Add(time.Second)}},
+			views: placement.Views{affine[0].Name: {LoadPermille: 0, ObservedAt: now, RetryAt: now.Add(time.Second)}},
 			check: func(t *testing.T, got []*pollenspindle.Server) { require.Same(t, affine[0], got[len(got)-1]) },
 		},
 		"tried server is excluded": {
@@ -143,7 +143,7 @@
 		for _, s := range placement.Choose(now, ring, ask(h), views, rng) {
 			if running[s.Name] < limit {
 				running[s.Name]++
-				views[s.Name] = placement.View{LoadPermille: running[s.Name] * 1000 / limit, At: now}
+				views[s.Name] = placement.View{LoadPermille: running[s.Name] * 1000 / limit, ObservedAt: now}
 				break
 			}
 		}
--- a/internal/router/ask.go
+++ b/internal/router/ask.go
@@ -172,7 +172,7 @@
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.views[server] = placement.View{LoadPermille: load, At: now, RetryAt: now.Add(after)}
+	r.views[server] = placement.View{LoadPermille: load, ObservedAt: now, RetryAt: now.Add(after)}
 }
 
 func (r *Router) isDown(id string) bool {
--- a/test/outcome/world_test.go
+++ b/test/outcome/world_test.go
@@ -216,7 +216,7 @@
 	for i, n := range nodes {
 		d := n.state.Acquire(w.now, w.askOf(c, len(nodes) == 1))
 		if no, ok := d.(admission.NotHere); ok {
-			w.views[n.server.Name] = placement.View{LoadPermille: no.LoadPermille, At: w.now}
+			w.views[n.server.Name] = placement.View{LoadPermille: no.LoadPermille, ObservedAt: w.now}
 			if i+1 < len(nodes) {
 				continue
 			}
