--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -113,8 +113,8 @@
 	OrderSetRole     OrderKind = "setRole"
 )
 
-// Order is a command that changes what an engine has loaded, or its role.
-type Order struct {
+// Command is a command that changes what an engine has loaded, or its role.
+type Command struct {
 	// FencingNumber is the fencing token; it increases with each holder of the command lock.
 	FencingNumber int64     `json:"fencingNumber"`
 	Kind          OrderKind `json:"kind"`
@@ -125,7 +125,7 @@
 // Order sends a command and returns the state after it. An engine that checks fencing tokens
 // answers an old one with [ErrStaleFencing]. After [ErrLost] the command may have been executed:
 // read the state.
-func (c *Client) Order(ctx context.Context, address string, order Order) (State, error) {
+func (c *Client) Order(ctx context.Context, address string, order Command) (State, error) {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return State{}, merry.Wrap(ErrBadRequest, merry.WithCause(err))
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -92,7 +92,7 @@
 type engines struct {
 	mu       sync.Mutex
 	state    engine.State
-	commands []engine.Order
+	commands []engine.Command
 	// err is returned for each command. If noEffect is set, commands have no effect.
 	err      error
 	noEffect bool
@@ -105,7 +105,7 @@
 	return e.state, nil
 }
 
-func (e *engines) Order(_ context.Context, _ string, o engine.Order) (engine.State, error) {
+func (e *engines) Order(_ context.Context, _ string, o engine.Command) (engine.State, error) {
 	e.mu.Lock()
 	e.commands = append(e.commands, o)
 	hold := e.hold
@@ -171,7 +171,7 @@
 	outcome, err := f.load(t, "engine-1")
 	require.NoError(t, err)
 	require.Equal(t, engineorder.StateLoaded, outcome.State)
-	require.Equal(t, []engine.Order{{FencingNumber: outcome.Number, Kind: engine.OrderLoadModel, Name: "briefing", Version: "3"}}, f.engines.commands)
+	require.Equal(t, []engine.Command{{FencingNumber: outcome.Number, Kind: engine.OrderLoadModel, Name: "briefing", Version: "3"}}, f.engines.commands)
 	require.True(t, f.platform.record(t).Ended)
 	again, err := f.load(t, "engine-1")
 	require.NoError(t, err)
--- a/internal/engineorder/run.go
+++ b/internal/engineorder/run.go
@@ -62,7 +62,7 @@
 	if !order.MaySend(now, g.opts.Timing, lock.acquireStarted) || !g.isOwner(now, j) {
 		return outcome, true, ErrOvertaken
 	}
-	_, err = g.opts.Engines.Order(sendCtx, j.server.Address, engine.Order{
+	_, err = g.opts.Engines.Order(sendCtx, j.server.Address, engine.Command{
 		FencingNumber: lock.fencingToken, Kind: engine.OrderLoadModel, Name: j.command.Model, Version: j.command.Version,
 	})
 	switch {
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -69,7 +69,7 @@
 }
 
 func (s *Server) handleOrder(ctx context.Context, c *app.RequestContext) {
-	var order engine.Order
+	var order engine.Command
 	if err := json.Unmarshal(c.Request.Body(), &order); err != nil || order.Name == "" {
 		writeRefusal(c, &refusal{status: http.StatusBadRequest, code: "badOrder"})
 		return
@@ -115,7 +115,7 @@
 }
 
 // readWeights takes the time of reading weights.
-func (s *Server) readWeights(ctx context.Context, order engine.Order) error {
+func (s *Server) readWeights(ctx context.Context, order engine.Command) error {
 	if order.Kind == engine.OrderSetRole {
 		return nil
 	}
