--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -103,23 +103,23 @@
 	return state, err
 }
 
-// OrderKind is a kind of engine command.
-type OrderKind string
+// CommandKind is a kind of engine command.
+type CommandKind string
 
 // Kinds of engine commands.
 const (
-	OrderLoadModel   OrderKind = "loadModel"
-	OrderLoadAdapter OrderKind = "loadAdapter"
-	OrderSetRole     OrderKind = "setRole"
+	OrderLoadModel   CommandKind = "loadModel"
+	OrderLoadAdapter CommandKind = "loadAdapter"
+	OrderSetRole     CommandKind = "setRole"
 )
 
 // Command is a command that changes what an engine has loaded, or its role.
 type Command struct {
 	// FencingNumber is the fencing token; it increases with each holder of the command lock.
-	FencingNumber int64     `json:"fencingNumber"`
-	Kind          OrderKind `json:"kind"`
-	Name          string    `json:"name"`
-	Version       string    `json:"version,omitempty"`
+	FencingNumber int64       `json:"fencingNumber"`
+	Kind          CommandKind `json:"kind"`
+	Name          string      `json:"name"`
+	Version       string      `json:"version,omitempty"`
 }
 
 // Order sends a command and returns the state after it. An engine that checks fencing tokens
