--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -108,7 +108,7 @@
 
 // Kinds of engine commands.
 const (
-	OrderLoadModel   CommandKind = "loadModel"
+	CommandLoadModel CommandKind = "loadModel"
 	OrderLoadAdapter CommandKind = "loadAdapter"
 	OrderSetRole     CommandKind = "setRole"
 )
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -171,7 +171,7 @@
 	outcome, err := f.load(t, "engine-1")
 	require.NoError(t, err)
 	require.Equal(t, engineorder.StateLoaded, outcome.State)
-	require.Equal(t, []engine.Command{{FencingNumber: outcome.Number, Kind: engine.OrderLoadModel, Name: "briefing", Version: "3"}}, f.engines.commands)
+	require.Equal(t, []engine.Command{{FencingNumber: outcome.Number, Kind: engine.CommandLoadModel, Name: "briefing", Version: "3"}}, f.engines.commands)
 	require.True(t, f.platform.record(t).Ended)
 	again, err := f.load(t, "engine-1")
 	require.NoError(t, err)
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -90,7 +90,7 @@
 		return
 	}
 	switch order.Kind {
-	case engine.OrderLoadModel:
+	case engine.CommandLoadModel:
 		s.orders.setModel(order.Name, order.Version)
 	case engine.OrderLoadAdapter:
 		s.orders.adapters = setVersion(s.orders.adapters, order.Name, order.Version)
