--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -108,9 +108,9 @@
 
 // Kinds of engine commands.
 const (
-	CommandLoadModel CommandKind = "loadModel"
-	OrderLoadAdapter CommandKind = "loadAdapter"
-	OrderSetRole     CommandKind = "setRole"
+	CommandLoadModel   CommandKind = "loadModel"
+	CommandLoadAdapter CommandKind = "loadAdapter"
+	OrderSetRole       CommandKind = "setRole"
 )
 
 // Command is a command that changes what an engine has loaded, or its role.
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -92,7 +92,7 @@
 	switch order.Kind {
 	case engine.CommandLoadModel:
 		s.orders.setModel(order.Name, order.Version)
-	case engine.OrderLoadAdapter:
+	case engine.CommandLoadAdapter:
 		s.orders.adapters = setVersion(s.orders.adapters, order.Name, order.Version)
 	case engine.OrderSetRole:
 		s.orders.role = order.Name
