--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -110,7 +110,7 @@
 const (
 	CommandLoadModel   CommandKind = "loadModel"
 	CommandLoadAdapter CommandKind = "loadAdapter"
-	OrderSetRole       CommandKind = "setRole"
+	CommandSetRole     CommandKind = "setRole"
 )
 
 // Command is a command that changes what an engine has loaded, or its role.
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -94,7 +94,7 @@
 		s.orders.setModel(order.Name, order.Version)
 	case engine.CommandLoadAdapter:
 		s.orders.adapters = setVersion(s.orders.adapters, order.Name, order.Version)
-	case engine.OrderSetRole:
+	case engine.CommandSetRole:
 		s.orders.role = order.Name
 	default:
 		writeRefusal(c, &refusal{status: http.StatusBadRequest, code: "badOrder"})
@@ -116,7 +116,7 @@
 
 // readWeights takes the time of reading weights.
 func (s *Server) readWeights(ctx context.Context, order engine.Command) error {
-	if order.Kind == engine.OrderSetRole {
+	if order.Kind == engine.CommandSetRole {
 		return nil
 	}
 	if s.opts.WeightStore == "" {
