--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -115,11 +115,11 @@
 
 // Command is a command that changes what an engine has loaded, or its role.
 type Command struct {
-	// FencingNumber is the fencing token; it increases with each holder of the command lock.
-	FencingNumber int64       `json:"fencingNumber"`
-	Kind          CommandKind `json:"kind"`
-	Name          string      `json:"name"`
-	Version       string      `json:"version,omitempty"`
+	// FencingToken is the fencing token; it increases with each holder of the command lock.
+	FencingToken int64       `json:"fencingNumber"`
+	Kind         CommandKind `json:"kind"`
+	Name         string      `json:"name"`
+	Version      string      `json:"version,omitempty"`
 }
 
 // Order sends a command and returns the state after it. An engine that checks fencing tokens
--- a/internal/engineorder/run.go
+++ b/internal/engineorder/run.go
@@ -63,7 +63,7 @@
 		return outcome, true, ErrOvertaken
 	}
 	_, err = g.opts.Engines.Order(sendCtx, j.server.Address, engine.Command{
-		FencingNumber: lock.fencingToken, Kind: engine.CommandLoadModel, Name: j.command.Model, Version: j.command.Version,
+		FencingToken: lock.fencingToken, Kind: engine.CommandLoadModel, Name: j.command.Model, Version: j.command.Version,
 	})
 	switch {
 	case errors.Is(err, engine.ErrStaleFencing):
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -74,7 +74,7 @@
 		writeRefusal(c, &refusal{status: http.StatusBadRequest, code: "badOrder"})
 		return
 	}
-	if highest, ok := s.fence(order.FencingNumber); !ok {
+	if highest, ok := s.fence(order.FencingToken); !ok {
 		c.JSON(http.StatusConflict, engine.StaleFencing{Highest: highest})
 		return
 	}
@@ -84,7 +84,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.opts.CheckFencing && order.FencingNumber < s.orders.highest {
+	if s.opts.CheckFencing && order.FencingToken < s.orders.highest {
 		// A later order came while this one read its weights.
 		c.JSON(http.StatusConflict, engine.StaleFencing{Highest: s.orders.highest})
 		return
