--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -152,7 +152,7 @@
 			state, err := c.State(ctx, address)
 			require.NoError(t, err)
 			require.Equal(t, []engine.ModelVersion{{Name: "glide-7b", Version: tt.model}}, state.Models)
-			require.Equal(t, int64(7), state.HighestFencingNumber)
+			require.Equal(t, int64(7), state.HighestFencingToken)
 		})
 	}
 }
--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -83,11 +83,11 @@
 
 // State lists what an engine has loaded.
 type State struct {
-	Incarnation          string         `json:"incarnation"`
-	Role                 string         `json:"role"`
-	Models               []ModelVersion `json:"models"`
-	Adapters             []ModelVersion `json:"adapters"`
-	HighestFencingNumber int64          `json:"highestFencingNumber"`
+	Incarnation         string         `json:"incarnation"`
+	Role                string         `json:"role"`
+	Models              []ModelVersion `json:"models"`
+	Adapters            []ModelVersion `json:"adapters"`
+	HighestFencingToken int64          `json:"highestFencingNumber"`
 }
 
 // ModelVersion names a version of a model or an adapter.
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -60,11 +60,11 @@
 
 func (s *Server) state() engine.State {
 	return engine.State{
-		Incarnation:          s.incarnation,
-		Role:                 s.orders.role,
-		Models:               append([]engine.ModelVersion{}, s.orders.models...),
-		Adapters:             append([]engine.ModelVersion{}, s.orders.adapters...),
-		HighestFencingNumber: s.orders.highest,
+		Incarnation:         s.incarnation,
+		Role:                s.orders.role,
+		Models:              append([]engine.ModelVersion{}, s.orders.models...),
+		Adapters:            append([]engine.ModelVersion{}, s.orders.adapters...),
+		HighestFencingToken: s.orders.highest,
 	}
 }
 
