--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -190,14 +190,14 @@
 	}{
 		"full":                        {response: head("429 Too Many Requests", "Retry-After: 3"), kind: engine.ErrRefused, refusal: &engine.Refusal{Status: 429, Overload: true, RetryAfter: 3 * time.Second}},
 		"cold":                        {response: head("503 Service Unavailable", "X-Not-Run: true"), kind: engine.ErrRefused, refusal: &engine.Refusal{Status: 503}},
-		"503 without X-Not-Run":       {response: head("503 Service Unavailable"), kind: engine.ErrLost},
-		"500":                         {response: head("500 Internal Server Error"), kind: engine.ErrLost},
+		"503 without X-Not-Run":       {response: head("503 Service Unavailable"), kind: engine.ErrUnknownOutcome},
+		"500":                         {response: head("500 Internal Server Error"), kind: engine.ErrUnknownOutcome},
 		"bad request":                 {response: head("400 Bad Request"), kind: engine.ErrBadRequest},
 		"unknown model":               {response: head("404 Not Found"), kind: engine.ErrUnknownModel},
-		"closed without response":     {response: "", kind: engine.ErrLost},
-		"truncated header":            {response: "HTTP/1.1 200 OK\r\nContent-Ty", kind: engine.ErrLost},
-		"response to another request": {response: head("200 OK", "X-Request-Id: r0"), kind: engine.ErrLost},
-		"not HTTP":                    {response: "hello\r\n\r\n", kind: engine.ErrLost},
+		"closed without response":     {response: "", kind: engine.ErrUnknownOutcome},
+		"truncated header":            {response: "HTTP/1.1 200 OK\r\nContent-Ty", kind: engine.ErrUnknownOutcome},
+		"response to another request": {response: head("200 OK", "X-Request-Id: r0"), kind: engine.ErrUnknownOutcome},
+		"not HTTP":                    {response: "hello\r\n\r\n", kind: engine.ErrUnknownOutcome},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -219,7 +219,7 @@
 		ln.Close()
 		_, err = newClient(t).Start(testContext(t), address, engine.Request{ID: "r1", Body: []byte(requestBody)})
 		require.ErrorIs(t, err, engine.ErrNotSent)
-		require.NotErrorIs(t, err, engine.ErrLost)
+		require.NotErrorIs(t, err, engine.ErrUnknownOutcome)
 	})
 }
 
@@ -243,6 +243,6 @@
 		_, _ = io.Copy(io.Discard, conn)
 	}()
 	_, err = newClient(t).Start(ctx, ln.Addr().String(), engine.Request{ID: "r1", Body: []byte(requestBody)})
-	require.ErrorIs(t, err, engine.ErrLost)
+	require.ErrorIs(t, err, engine.ErrUnknownOutcome)
 	require.ErrorIs(t, err, context.Canceled)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -162,7 +162,7 @@
 func newStream(resp *httpclient.Response, requestID string, after int64) (*Stream, error) {
 	if got := resp.Header.Get(HeaderRequestID); got != "" && got != requestID {
 		resp.Close()
-		return nil, merry.Wrap(ErrLost, merry.AppendMessage("response to another request"))
+		return nil, merry.Wrap(ErrUnknownOutcome, merry.AppendMessage("response to another request"))
 	}
 	return &Stream{
 		resp:        resp,
@@ -194,7 +194,7 @@
 	if errors.Is(err, httpclient.ErrNotSent) {
 		return merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
-	return merry.Wrap(ErrLost, merry.WithCause(err))
+	return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 }
 
 // statusError converts a failure status to an error of this package.
@@ -211,7 +211,7 @@
 		return merry.Wrap(ErrBadRequest)
 	default:
 		// Other statuses don't tell whether the request has run.
-		return merry.Wrap(ErrLost, merry.AppendMessagef("status %d", status))
+		return merry.Wrap(ErrUnknownOutcome, merry.AppendMessagef("status %d", status))
 	}
 }
 
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -14,9 +14,9 @@
 	// ErrRefused means that the engine refused the request before running it. errors.As with a
 	// *Refusal gives the details.
 	ErrRefused = merry.Sentinel("engine: request refused")
-	// ErrLost means that the connection failed before the stream began. The engine may run the
+	// ErrUnknownOutcome means that the connection failed before the stream began. The engine may run the
 	// request.
-	ErrLost = merry.Sentinel("engine: outcome of the request unknown")
+	ErrUnknownOutcome = merry.Sentinel("engine: outcome of the request unknown")
 	// ErrStreamCut means that the stream ended without its last event. The generation may still run
 	// and can be resumed.
 	ErrStreamCut = merry.Sentinel("engine: stream interrupted")
--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -123,7 +123,7 @@
 }
 
 // Order sends a command and returns the state after it. An engine that checks fencing tokens
-// answers an old one with [ErrStaleFencing]. After [ErrLost] the command may have been executed:
+// answers an old one with [ErrStaleFencing]. After [ErrUnknownOutcome] the command may have been executed:
 // read the state.
 func (c *Client) Order(ctx context.Context, address string, order Command) (State, error) {
 	body, err := json.Marshal(order)
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -205,7 +205,7 @@
 // running. Its lock stays held, and a repetition has to wait.
 func TestLostResponseOfTheEngine(t *testing.T) {
 	f := start(t, longTiming, pollenspindle.FencingIgnored)
-	f.engines.err, f.engines.noEffect = engine.ErrLost, true
+	f.engines.err, f.engines.noEffect = engine.ErrUnknownOutcome, true
 	_, err := f.load(t, "engine-1")
 	require.ErrorIs(t, err, engineorder.ErrUnknown)
 	require.False(t, f.platform.record(t).Ended)
@@ -215,7 +215,7 @@
 	require.Equal(t, 1, f.engines.commandCount())
 
 	f = start(t, longTiming, pollenspindle.FencingIgnored)
-	f.engines.err = engine.ErrLost
+	f.engines.err = engine.ErrUnknownOutcome
 	outcome, err := f.load(t, "engine-1")
 	require.NoError(t, err)
 	require.Equal(t, engineorder.StateLoaded, outcome.State, "the state shows the effect")
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -121,7 +121,7 @@
 		first := b.mustStart("r1", long, 1000)
 		before := b.load().Incarnation
 		_, err := b.start("r2", long, 1000)
-		require.ErrorIs(t, err, client.ErrLost)
+		require.ErrorIs(t, err, client.ErrUnknownOutcome)
 		require.ErrorIs(t, drain(first), client.ErrStreamCut)
 		require.NotEqual(t, before, b.load().Incarnation)
 		for _, entry := range b.ledger().Generations {
@@ -162,7 +162,7 @@
 			}
 			require.Eventually(t, func() bool { r := b.load(); return len(r.Running) == 1 && r.State == want }, patience, time.Millisecond)
 			_, err := b.start("r2", long, 1000)
-			require.ErrorIs(t, err, client.ErrLost)
+			require.ErrorIs(t, err, client.ErrUnknownOutcome)
 			require.ErrorIs(t, drain(first), client.ErrStreamCut)
 		})
 	}
@@ -174,7 +174,7 @@
 			b := newBench(t, func(o *engine.Options) { o.PoisonMarker = "xyzzy"; o.Crash = crash })
 			neighbour := b.mustStart("r1", long, 1000)
 			_, err := b.start("r2", "say xyzzy", 10)
-			require.ErrorIs(t, err, client.ErrLost)
+			require.ErrorIs(t, err, client.ErrUnknownOutcome)
 			require.ErrorIs(t, drain(neighbour), client.ErrStreamCut)
 			if crash == engine.CrashRestart {
 				b.mustStart("r3", long, 10)
