--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -106,7 +106,7 @@
 	require.NoError(t, err)
 	resp.Body.Close()
 	_, _, err = readAll(s)
-	require.ErrorIs(t, err, engine.ErrStreamCut)
+	require.ErrorIs(t, err, engine.ErrStreamInterrupted)
 	_, err = c.Resume(ctx, address, "r1", 1, true)
 	require.ErrorIs(t, err, engine.ErrUnknownStream)
 	report, err := c.Load(ctx, address)
@@ -125,7 +125,7 @@
 	require.NoError(t, c.Cancel(ctx, address, "r1"))
 	require.NoError(t, c.Cancel(ctx, address, "never started"))
 	_, _, err = readAll(s)
-	require.ErrorIs(t, err, engine.ErrStreamCut)
+	require.ErrorIs(t, err, engine.ErrStreamInterrupted)
 	require.Eventually(t, func() bool {
 		report, err := c.Load(ctx, address)
 		return err == nil && report.UsedTokens == 0 && report.AcceptedTotal == 1
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -17,9 +17,9 @@
 	// ErrUnknownOutcome means that the connection failed before the stream began. The engine may run the
 	// request.
 	ErrUnknownOutcome = merry.Sentinel("engine: outcome of the request unknown")
-	// ErrStreamCut means that the stream ended without its last event. The generation may still run
+	// ErrStreamInterrupted means that the stream ended without its last event. The generation may still run
 	// and can be resumed.
-	ErrStreamCut = merry.Sentinel("engine: stream interrupted")
+	ErrStreamInterrupted = merry.Sentinel("engine: stream interrupted")
 	// ErrUnknownStream means that the engine doesn't have the stream to resume, or no longer has
 	// it.
 	ErrUnknownStream = merry.Sentinel("engine: unknown stream")
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -46,7 +46,7 @@
 func (s *Stream) Last() int64 { return s.sequence.Last() }
 
 // Next waits for the next event. After the last event it returns io.EOF. A stream that ends without
-// its last event returns [ErrStreamCut]; missing positions return [ErrGap]. Repeated positions are
+// its last event returns [ErrStreamInterrupted]; missing positions return [ErrGap]. Repeated positions are
 // skipped.
 func (s *Stream) Next() (Event, error) {
 	for {
@@ -88,5 +88,5 @@
 	if errors.Is(err, eventstream.ErrMalformed) {
 		return merry.Wrap(ErrBadAnswer, merry.WithCause(err))
 	}
-	return merry.Wrap(ErrStreamCut, merry.WithCause(err))
+	return merry.Wrap(ErrStreamInterrupted, merry.WithCause(err))
 }
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -122,7 +122,7 @@
 		before := b.load().Incarnation
 		_, err := b.start("r2", long, 1000)
 		require.ErrorIs(t, err, client.ErrUnknownOutcome)
-		require.ErrorIs(t, drain(first), client.ErrStreamCut)
+		require.ErrorIs(t, drain(first), client.ErrStreamInterrupted)
 		require.NotEqual(t, before, b.load().Incarnation)
 		for _, entry := range b.ledger().Generations {
 			require.Equal(t, engine.EndingLost, entry.Ending)
@@ -163,7 +163,7 @@
 			require.Eventually(t, func() bool { r := b.load(); return len(r.Running) == 1 && r.State == want }, patience, time.Millisecond)
 			_, err := b.start("r2", long, 1000)
 			require.ErrorIs(t, err, client.ErrUnknownOutcome)
-			require.ErrorIs(t, drain(first), client.ErrStreamCut)
+			require.ErrorIs(t, drain(first), client.ErrStreamInterrupted)
 		})
 	}
 }
@@ -175,7 +175,7 @@
 			neighbour := b.mustStart("r1", long, 1000)
 			_, err := b.start("r2", "say xyzzy", 10)
 			require.ErrorIs(t, err, client.ErrUnknownOutcome)
-			require.ErrorIs(t, drain(neighbour), client.ErrStreamCut)
+			require.ErrorIs(t, drain(neighbour), client.ErrStreamInterrupted)
 			if crash == engine.CrashRestart {
 				b.mustStart("r3", long, 10)
 				return
@@ -197,7 +197,7 @@
 	_, err = s.Next()
 	require.NoError(t, err, "what runs goes on until the end of the notice")
 	b.control("leave", `{"noticeMillis":1}`)
-	require.ErrorIs(t, drain(s), client.ErrStreamCut)
+	require.ErrorIs(t, drain(s), client.ErrStreamInterrupted)
 	require.ErrorIs(t, <-b.ended, engine.ErrCrashed)
 }
 
