--- a/internal/engine/chunk.go
+++ b/internal/engine/chunk.go
@@ -42,5 +42,5 @@
 func isStringOrNull(r gjson.Result) bool { return r.Type == gjson.String || r.Type == gjson.Null }
 
 func chunkError(problem string) error {
-	return merry.Wrap(ErrBadAnswer, merry.AppendMessagef("chunk %s", problem))
+	return merry.Wrap(ErrInvalidResponse, merry.AppendMessagef("chunk %s", problem))
 }
--- a/internal/engine/chunk_test.go
+++ b/internal/engine/chunk_test.go
@@ -20,15 +20,15 @@
 		"null choices":               {data: `{"choices":null}`},
 		"null choice":                {data: `{"choices":[null]}`},
 		"null delta":                 {data: `{"choices":[{"delta":null,"text":null}]}`},
-		"truncated":                  {data: `{"choices":[{"text":"b`, err: ErrBadAnswer},
-		"trailing data":              {data: `{"choices":[]}{}`, err: ErrBadAnswer},
-		"not an object":              {data: `[]`, err: ErrBadAnswer},
-		"choices not an array":       {data: `{"choices":{"0":{"text":"b"}}}`, err: ErrBadAnswer},
-		"choice not an object":       {data: `{"choices":["b"]}`, err: ErrBadAnswer},
-		"delta not an object":        {data: `{"choices":[{"delta":"b"}]}`, err: ErrBadAnswer},
-		"text not a string":          {data: `{"choices":[{"text":7}]}`, err: ErrBadAnswer},
-		"content not a string":       {data: `{"choices":[{"delta":{"content":{}}}]}`, err: ErrBadAnswer},
-		"finish reason not a string": {data: `{"choices":[{"finish_reason":true}]}`, err: ErrBadAnswer},
+		"truncated":                  {data: `{"choices":[{"text":"b`, err: ErrInvalidResponse},
+		"trailing data":              {data: `{"choices":[]}{}`, err: ErrInvalidResponse},
+		"not an object":              {data: `[]`, err: ErrInvalidResponse},
+		"choices not an array":       {data: `{"choices":{"0":{"text":"b"}}}`, err: ErrInvalidResponse},
+		"choice not an object":       {data: `{"choices":["b"]}`, err: ErrInvalidResponse},
+		"delta not an object":        {data: `{"choices":[{"delta":"b"}]}`, err: ErrInvalidResponse},
+		"text not a string":          {data: `{"choices":[{"text":7}]}`, err: ErrInvalidResponse},
+		"content not a string":       {data: `{"choices":[{"delta":{"content":{}}}]}`, err: ErrInvalidResponse},
+		"finish reason not a string": {data: `{"choices":[{"finish_reason":true}]}`, err: ErrInvalidResponse},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 	f.Add(`{"choices":[{"delta":{"content":"a"},"finish_reason":null}]}`)
 	f.Fuzz(func(t *testing.T, data string) {
 		if err := parseChunk(&Event{Data: data}); err != nil {
-			require.ErrorIs(t, err, ErrBadAnswer)
+			require.ErrorIs(t, err, ErrInvalidResponse)
 			return
 		}
 		require.True(t, json.Valid([]byte(data)))
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -238,7 +238,7 @@
 	meter.Bytes(httpclient.Size(r, resp))
 	meter.Run(func() { err = json.Unmarshal(resp.Bytes(), v) })
 	if err != nil {
-		return merry.Wrap(ErrBadAnswer, merry.WithCause(err))
+		return merry.Wrap(ErrInvalidResponse, merry.WithCause(err))
 	}
 	return nil
 }
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -29,8 +29,8 @@
 	ErrBadRequest = merry.Sentinel("engine: bad request")
 	// ErrUnknownModel means that the engine hasn't loaded the model.
 	ErrUnknownModel = merry.Sentinel("engine: model not loaded")
-	// ErrBadAnswer means that the engine's response is invalid.
-	ErrBadAnswer = merry.Sentinel("engine: invalid response")
+	// ErrInvalidResponse means that the engine's response is invalid.
+	ErrInvalidResponse = merry.Sentinel("engine: invalid response")
 	// ErrStaleFencing means that the engine has accepted a higher fencing token.
 	ErrStaleFencing = merry.Sentinel("engine: stale fencing token")
 )
--- a/internal/engine/loads.go
+++ b/internal/engine/loads.go
@@ -89,7 +89,7 @@
 	c.loadMeter.Run(func() { report, err = decodeLoad(base, body) })
 	if err != nil {
 		c.loadCache.put(time.Now(), address, LoadReport{})
-		return LoadReport{}, merry.Wrap(ErrBadAnswer, merry.WithCause(err))
+		return LoadReport{}, merry.Wrap(ErrInvalidResponse, merry.WithCause(err))
 	}
 	c.loadCache.put(time.Now(), address, report)
 	return report, nil
--- a/internal/engine/loads_test.go
+++ b/internal/engine/loads_test.go
@@ -65,7 +65,7 @@
 			require.NoError(t, err)
 			got, err := c.Load(testContext(t), address)
 			if tt.fails {
-				require.ErrorIs(t, err, engine.ErrBadAnswer)
+				require.ErrorIs(t, err, engine.ErrInvalidResponse)
 				_, err = c.Load(testContext(t), address)
 				require.NoError(t, err)
 				require.Equal(t, []string{"", "t1", ""}, after)
--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -143,13 +143,13 @@
 	case http.StatusOK:
 		var state State
 		if err := json.Unmarshal(resp.Bytes(), &state); err != nil {
-			return State{}, merry.Wrap(ErrBadAnswer, merry.WithCause(err))
+			return State{}, merry.Wrap(ErrInvalidResponse, merry.WithCause(err))
 		}
 		return state, nil
 	case http.StatusConflict:
 		stale := &StaleFencing{}
 		if err := json.Unmarshal(resp.Bytes(), stale); err != nil {
-			return State{}, merry.Wrap(ErrBadAnswer, merry.WithCause(err))
+			return State{}, merry.Wrap(ErrInvalidResponse, merry.WithCause(err))
 		}
 		return State{}, stale
 	default:
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -59,7 +59,7 @@
 			return Event{}, io.EOF
 		}
 		if raw.ID == 0 {
-			return Event{}, merry.Wrap(ErrBadAnswer, merry.AppendMessage("event without position"))
+			return Event{}, merry.Wrap(ErrInvalidResponse, merry.AppendMessage("event without position"))
 		}
 		fresh, err := s.sequence.Accept(raw.ID)
 		if err != nil {
@@ -86,7 +86,7 @@
 
 func streamError(err error) error {
 	if errors.Is(err, eventstream.ErrMalformed) {
-		return merry.Wrap(ErrBadAnswer, merry.WithCause(err))
+		return merry.Wrap(ErrInvalidResponse, merry.WithCause(err))
 	}
 	return merry.Wrap(ErrStreamInterrupted, merry.WithCause(err))
 }
