--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -53,15 +53,15 @@
 // Is makes errors.Is(err, ErrRefused) true for a Refusal.
 func (r *Refusal) Is(target error) bool { return target == ErrRefused }
 
-// StaleFencing holds the highest fencing token that an engine has accepted.
-type StaleFencing struct {
+// StaleFencingError holds the highest fencing token that an engine has accepted.
+type StaleFencingError struct {
 	Highest int64 `json:"highest"`
 }
 
 // Error implements error.
-func (s *StaleFencing) Error() string {
+func (s *StaleFencingError) Error() string {
 	return fmt.Sprintf("engine: stale fencing token, highest accepted is %d", s.Highest)
 }
 
 // Is makes errors.Is(err, ErrStaleFencing) true for a StaleFencing.
-func (s *StaleFencing) Is(target error) bool { return target == ErrStaleFencing }
+func (s *StaleFencingError) Is(target error) bool { return target == ErrStaleFencing }
--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -147,7 +147,7 @@
 		}
 		return state, nil
 	case http.StatusConflict:
-		stale := &StaleFencing{}
+		stale := &StaleFencingError{}
 		if err := json.Unmarshal(resp.Bytes(), stale); err != nil {
 			return State{}, merry.Wrap(ErrInvalidResponse, merry.WithCause(err))
 		}
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -75,7 +75,7 @@
 		return
 	}
 	if highest, ok := s.fence(order.FencingToken); !ok {
-		c.JSON(http.StatusConflict, engine.StaleFencing{Highest: highest})
+		c.JSON(http.StatusConflict, engine.StaleFencingError{Highest: highest})
 		return
 	}
 	if err := s.readWeights(ctx, order); err != nil {
@@ -86,7 +86,7 @@
 	defer s.mu.Unlock()
 	if s.opts.CheckFencing && order.FencingToken < s.orders.highest {
 		// A later order came while this one read its weights.
-		c.JSON(http.StatusConflict, engine.StaleFencing{Highest: s.orders.highest})
+		c.JSON(http.StatusConflict, engine.StaleFencingError{Highest: s.orders.highest})
 		return
 	}
 	switch order.Kind {
