--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -61,7 +61,7 @@
 	for {
 		ev, err := s.Next()
 		if err != nil {
-			return text.String(), s.Last(), err
+			return text.String(), s.LastPosition(), err
 		}
 		text.WriteString(ev.Text)
 	}
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -42,8 +42,8 @@
 // RequestID is the ID of the generation at the engine.
 func (s *Stream) RequestID() string { return s.requestID }
 
-// Last returns the position of the last event that Next returned.
-func (s *Stream) Last() int64 { return s.sequence.Last() }
+// LastPosition returns the position of the last event that Next returned.
+func (s *Stream) LastPosition() int64 { return s.sequence.Last() }
 
 // Next waits for the next event. After the last event it returns io.EOF. A stream that ends without
 // its last event returns [ErrStreamInterrupted]; missing positions return [ErrGap]. Repeated positions are
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -214,7 +214,7 @@
 	require.Equal(t, []string{"r1", "r2"}, []string{l.Generations[0].RequestID, l.Generations[1].RequestID})
 	require.Positive(t, l.Generations[1].Preemptions)
 	require.Positive(t, l.Generations[1].StallMillis)
-	require.Equal(t, int64(l.Generations[1].OutputTokens)+1, second.Last())
+	require.Equal(t, int64(l.Generations[1].OutputTokens)+1, second.LastPosition())
 }
 
 func TestFullEngineRefuses(t *testing.T) {
