--- a/internal/engine/sequence.go
+++ b/internal/engine/sequence.go
@@ -14,8 +14,8 @@
 // NewSequence returns a sequence for a stream whose positions up to after have been forwarded.
 func NewSequence(after int64) Sequence { return Sequence{last: after} }
 
-// Last returns the last position forwarded.
-func (s *Sequence) Last() int64 { return s.last }
+// LastPosition returns the last position forwarded.
+func (s *Sequence) LastPosition() int64 { return s.last }
 
 // Accept reports whether the token at position has to be forwarded. It returns false for a repeated
 // position and [ErrGap] if positions are missing.
--- a/internal/engine/sequence_test.go
+++ b/internal/engine/sequence_test.go
@@ -62,7 +62,7 @@
 				require.Equal(t, next, int64(p))
 				next++
 			}
-			require.Equal(t, next-1, s.Last())
+			require.Equal(t, next-1, s.LastPosition())
 		}
 	})
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -43,7 +43,7 @@
 func (s *Stream) RequestID() string { return s.requestID }
 
 // LastPosition returns the position of the last event that Next returned.
-func (s *Stream) LastPosition() int64 { return s.sequence.Last() }
+func (s *Stream) LastPosition() int64 { return s.sequence.LastPosition() }
 
 // Next waits for the next event. After the last event it returns io.EOF. A stream that ends without
 // its last event returns [ErrStreamInterrupted]; missing positions return [ErrGap]. Repeated positions are
