--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -52,7 +52,7 @@
 type Options struct {
 	HTTP httpclient.Options
 	// LoadMeter counts the cost of load reports; it may be nil.
-	Loads *control.Meter
+	LoadMeter *control.Meter
 }
 
 // Client calls model engines. It is safe for concurrent use.
@@ -64,7 +64,7 @@
 
 // NewClient returns a client.
 func NewClient(opts Options) *Client {
-	return &Client{http: httpclient.New(opts.HTTP), loadMeter: opts.Loads}
+	return &Client{http: httpclient.New(opts.HTTP), loadMeter: opts.LoadMeter}
 }
 
 // Close closes idle connections.
