--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -52,7 +52,7 @@
 	Right(now time.Time, s roster.Server) permit.Right
 }
 
-// Options configures a [Giver].
+// Options configures a [Executor].
 type Options struct {
 	Self    string
 	Objects Objects
@@ -64,8 +64,8 @@
 	Log    zerolog.Logger
 }
 
-// Giver runs engine commands. It is safe for concurrent use.
-type Giver struct {
+// Executor runs engine commands. It is safe for concurrent use.
+type Executor struct {
 	opts   Options
 	locks  *lockStore
 	pool   *ants.Pool
@@ -78,7 +78,7 @@
 }
 
 // New returns a Giver. Close it after use.
-func New(opts Options) (*Giver, error) {
+func New(opts Options) (*Executor, error) {
 	if opts.Timing == (order.Timing{}) {
 		opts.Timing = order.DefaultTiming
 	}
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "create pool for engine commands")
 	}
-	g := &Giver{
+	g := &Executor{
 		opts: opts, pool: pool, running: map[string]*commandRun{},
 		locks: &lockStore{objects: opts.Objects, timing: opts.Timing, holder: opts.Self, seen: map[string]observedVersion{}},
 	}
@@ -96,7 +96,7 @@
 
 // Close stops waiting for running commands and frees the pool. The locks of commands that were sent
 // stay held in the platform, so that the next holder waits for them.
-func (g *Giver) Close() {
+func (g *Executor) Close() {
 	g.cancel()
 	g.pool.Release()
 }
@@ -141,7 +141,7 @@
 
 // Load runs a command and waits for its end up to callTimeout. If the same command is already
 // running, Load waits for that one; a different command for the same engine fails with *BusyError.
-func (g *Giver) Load(ctx context.Context, o Order) (Outcome, error) {
+func (g *Executor) Load(ctx context.Context, o Order) (Outcome, error) {
 	j, err := g.prepare(o)
 	if err != nil {
 		return Outcome{}, err
@@ -162,7 +162,7 @@
 }
 
 // prepare validates a command against the configuration.
-func (g *Giver) prepare(o Order) (*commandRun, error) {
+func (g *Executor) prepare(o Order) (*commandRun, error) {
 	snap := g.opts.Config()
 	server, ok := snap.Servers[o.Server]
 	if !ok {
@@ -187,7 +187,7 @@
 }
 
 // start starts j, or returns the same command if it is already running.
-func (g *Giver) start(j *commandRun) (*commandRun, error) {
+func (g *Executor) start(j *commandRun) (*commandRun, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if current, ok := g.running[j.command.Server]; ok {
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -138,7 +138,7 @@
 	platform  *platform
 	engines   *engines
 	ownership *fakeOwnership
-	giver     *engineorder.Giver
+	giver     *engineorder.Executor
 }
 
 func start(t *testing.T, timing order.Timing, fencing pollenspindle.Fencing) *fixture {
--- a/internal/engineorder/handler.go
+++ b/internal/engineorder/handler.go
@@ -23,9 +23,9 @@
 )
 
 // Handler returns the handler of commands that peers forward.
-func (g *Giver) Handler() peerv1connect.OrderServiceHandler { return &handler{g} }
+func (g *Executor) Handler() peerv1connect.OrderServiceHandler { return &handler{g} }
 
-type handler struct{ giver *Giver }
+type handler struct{ giver *Executor }
 
 // LoadModel implements the service.
 func (h *handler) LoadModel(ctx context.Context, req *peerv1.LoadModelRequest) (*peerv1.LoadModelResponse, error) {
--- a/internal/engineorder/run.go
+++ b/internal/engineorder/run.go
@@ -16,7 +16,7 @@
 )
 
 // run acquires the locks of a command, sends it and checks its effect.
-func (g *Giver) run(ctx context.Context, j *commandRun) (Outcome, error) {
+func (g *Executor) run(ctx context.Context, j *commandRun) (Outcome, error) {
 	// An owner that still waits for the permits of the previous owner to expire must not send
 	// commands either: the previous owner may be sending some.
 	if !g.isOwner(time.Now(), j) {
@@ -52,7 +52,7 @@
 }
 
 // send sends the command. over is true if the command can't take effect any more.
-func (g *Giver) send(ctx context.Context, j *commandRun, lock commandLock) (outcome Outcome, over bool, err error) {
+func (g *Executor) send(ctx context.Context, j *commandRun, lock commandLock) (outcome Outcome, over bool, err error) {
 	outcome.Number = lock.fencingToken
 	sendCtx, cancel := context.WithTimeout(ctx, g.opts.Timing.RunFor)
 	defer cancel()
@@ -89,12 +89,12 @@
 	return outcome, true, ErrOvertaken
 }
 
-func (g *Giver) isOwner(now time.Time, j *commandRun) bool {
+func (g *Executor) isOwner(now time.Time, j *commandRun) bool {
 	return g.opts.Rights.Right(now, j.rosterServer).Role == permit.RoleOwner
 }
 
 // hasVersion reports whether the engine has loaded the version.
-func (g *Giver) hasVersion(ctx context.Context, j *commandRun) (bool, error) {
+func (g *Executor) hasVersion(ctx context.Context, j *commandRun) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	state, err := g.opts.Engines.State(ctx, j.server.Address)
@@ -107,7 +107,7 @@
 
 // acquireLoadSlot acquires one of the fleet's load slots. A slot that its holder didn't release is
 // free again once that load must be over.
-func (g *Giver) acquireLoadSlot(ctx context.Context, j *commandRun) (commandLock, error) {
+func (g *Executor) acquireLoadSlot(ctx context.Context, j *commandRun) (commandLock, error) {
 	var busy *BusyError
 	for i := range maxConcurrentLoads {
 		slot, err := g.locks.acquire(ctx, fmt.Sprintf("load slot %d", i), false, j.command.Model, j.command.Version)
--- a/internal/serve/models.go
+++ b/internal/serve/models.go
@@ -23,7 +23,7 @@
 type models struct {
 	self  string
 	fleet *fleet.Fleet
-	local *engineorder.Giver
+	local *engineorder.Executor
 	peers *peer.Pool
 }
 
--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -49,7 +49,7 @@
 	owner      *owner.Owner
 	router     *router.Router
 	fleet      *fleet.Fleet
-	orders     *engineorder.Giver
+	orders     *engineorder.Executor
 	models     models
 	journal    *journal.Journal
 	peerServer *peer.Server
