--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -101,8 +101,8 @@
 	g.pool.Release()
 }
 
-// Order asks an engine to load a version of a model.
-type Order struct {
+// Command asks an engine to load a version of a model.
+type Command struct {
 	Server string
 	Model  string
 	// Version defaults to the declared one.
@@ -131,7 +131,7 @@
 
 // commandRun is one running command.
 type commandRun struct {
-	command      Order
+	command      Command
 	server       pollenspindle.Server
 	rosterServer roster.Server
 	done         chan struct{}
@@ -141,7 +141,7 @@
 
 // Load runs a command and waits for its end up to callTimeout. If the same command is already
 // running, Load waits for that one; a different command for the same engine fails with *BusyError.
-func (g *Executor) Load(ctx context.Context, o Order) (Outcome, error) {
+func (g *Executor) Load(ctx context.Context, o Command) (Outcome, error) {
 	j, err := g.prepare(o)
 	if err != nil {
 		return Outcome{}, err
@@ -162,7 +162,7 @@
 }
 
 // prepare validates a command against the configuration.
-func (g *Executor) prepare(o Order) (*commandRun, error) {
+func (g *Executor) prepare(o Command) (*commandRun, error) {
 	snap := g.opts.Config()
 	server, ok := snap.Servers[o.Server]
 	if !ok {
--- a/internal/engineorder/handler.go
+++ b/internal/engineorder/handler.go
@@ -29,7 +29,7 @@
 
 // LoadModel implements the service.
 func (h *handler) LoadModel(ctx context.Context, req *peerv1.LoadModelRequest) (*peerv1.LoadModelResponse, error) {
-	outcome, err := h.giver.Load(ctx, Order{Server: req.GetServer(), Model: req.GetModel(), Version: req.GetVersion()})
+	outcome, err := h.giver.Load(ctx, Command{Server: req.GetServer(), Model: req.GetModel(), Version: req.GetVersion()})
 	res := &peerv1.LoadModelResponse{Result: resultOf(err), FencingNumber: outcome.Number, State: string(outcome.State)}
 	var busy *BusyError
 	if errors.As(err, &busy) {
--- a/internal/serve/models.go
+++ b/internal/serve/models.go
@@ -29,7 +29,7 @@
 
 // Load implements operator.Models.
 func (m models) Load(ctx context.Context, _ time.Time, model string, o operatorapi.Order) (operatorapi.OrderOutcome, error) {
-	outcome, err := m.give(ctx, engineorder.Order{Server: o.Server, Model: model, Version: o.Version})
+	outcome, err := m.give(ctx, engineorder.Command{Server: o.Server, Model: model, Version: o.Version})
 	if err != nil {
 		return operatorapi.OrderOutcome{}, orderError(err)
 	}
@@ -38,7 +38,7 @@
 	}, nil
 }
 
-func (m models) give(ctx context.Context, o engineorder.Order) (engineorder.Outcome, error) {
+func (m models) give(ctx context.Context, o engineorder.Command) (engineorder.Outcome, error) {
 	to, ok := m.fleet.Owner(o.Server)
 	if !ok || to.ID == m.self {
 		return m.local.Load(ctx, o)
