--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -112,8 +112,8 @@
 // Outcome is the result of a command.
 type Outcome struct {
 	// FencingToken is the token of the command; 0 if no command was needed or none was sent yet.
-	Number int64
-	State  State
+	FencingToken int64
+	State        State
 }
 
 // State is the progress of a command.
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -171,7 +171,7 @@
 	outcome, err := f.load(t, "engine-1")
 	require.NoError(t, err)
 	require.Equal(t, engineorder.StateLoaded, outcome.State)
-	require.Equal(t, []engine.Command{{FencingToken: outcome.Number, Kind: engine.CommandLoadModel, Name: "briefing", Version: "3"}}, f.engines.commands)
+	require.Equal(t, []engine.Command{{FencingToken: outcome.FencingToken, Kind: engine.CommandLoadModel, Name: "briefing", Version: "3"}}, f.engines.commands)
 	require.True(t, f.platform.record(t).Ended)
 	again, err := f.load(t, "engine-1")
 	require.NoError(t, err)
@@ -198,7 +198,7 @@
 	outcome, err := f.load(t, "engine-1")
 	require.NoError(t, err)
 	require.Equal(t, engineorder.StateLoaded, outcome.State)
-	require.Equal(t, outcome.Number, f.engines.commands[0].FencingToken)
+	require.Equal(t, outcome.FencingToken, f.engines.commands[0].FencingToken)
 }
 
 // The engine's response is lost and its state doesn't show the effect: the command may still be
--- a/internal/engineorder/handler.go
+++ b/internal/engineorder/handler.go
@@ -30,7 +30,7 @@
 // LoadModel implements the service.
 func (h *handler) LoadModel(ctx context.Context, req *peerv1.LoadModelRequest) (*peerv1.LoadModelResponse, error) {
 	outcome, err := h.giver.Load(ctx, Command{Server: req.GetServer(), Model: req.GetModel(), Version: req.GetVersion()})
-	res := &peerv1.LoadModelResponse{Result: resultOf(err), FencingNumber: outcome.Number, State: string(outcome.State)}
+	res := &peerv1.LoadModelResponse{Result: resultOf(err), FencingNumber: outcome.FencingToken, State: string(outcome.State)}
 	var busy *BusyError
 	if errors.As(err, &busy) {
 		res.Message, res.RetryAfterMillis = busy.Holder, busy.For.Milliseconds()
@@ -61,7 +61,7 @@
 
 // FromPeer converts the response of a peer that a command was forwarded to.
 func FromPeer(res *peerv1.LoadModelResponse) (Outcome, error) {
-	outcome := Outcome{Number: res.GetFencingNumber(), State: State(res.GetState())}
+	outcome := Outcome{FencingToken: res.GetFencingNumber(), State: State(res.GetState())}
 	switch res.GetResult() {
 	case resultDone:
 		return outcome, nil
--- a/internal/serve/models.go
+++ b/internal/serve/models.go
@@ -34,7 +34,7 @@
 		return operatorapi.OrderOutcome{}, orderError(err)
 	}
 	return operatorapi.OrderOutcome{
-		Server: o.Server, Model: model, FencingNumber: outcome.Number, State: string(outcome.State),
+		Server: o.Server, Model: model, FencingNumber: outcome.FencingToken, State: string(outcome.State),
 	}, nil
 }
 
