--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -121,8 +121,8 @@
 
 // States of a command.
 const (
-	// StateAlready means that the engine had loaded the version before.
-	StateAlready State = "alreadyLoaded"
+	// StateAlreadyLoaded means that the engine had loaded the version before.
+	StateAlreadyLoaded State = "alreadyLoaded"
 	// StateLoaded means that the engine has loaded the version after the command.
 	StateLoaded State = "loaded"
 	// StateLoading means that the command is still running; repeating the call waits for it.
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -175,7 +175,7 @@
 	require.True(t, f.platform.record(t).Ended)
 	again, err := f.load(t, "engine-1")
 	require.NoError(t, err)
-	require.Equal(t, engineorder.Outcome{State: engineorder.StateAlready}, again)
+	require.Equal(t, engineorder.Outcome{State: engineorder.StateAlreadyLoaded}, again)
 	require.Equal(t, 1, f.engines.commandCount())
 
 	f.engines.state, f.engines.noEffect = engine.State{}, true
--- a/internal/engineorder/run.go
+++ b/internal/engineorder/run.go
@@ -27,7 +27,7 @@
 		return Outcome{}, err
 	}
 	if loaded {
-		return Outcome{State: StateAlready}, nil
+		return Outcome{State: StateAlreadyLoaded}, nil
 	}
 	slot, err := g.acquireLoadSlot(ctx, j)
 	if err != nil {
