--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -180,7 +180,7 @@
 
 	f.engines.state, f.engines.noEffect = engine.State{}, true
 	_, err = f.load(t, "engine-1")
-	require.ErrorIs(t, err, engineorder.ErrOvertaken, "the engine accepted the command without effect")
+	require.ErrorIs(t, err, engineorder.ErrSuperseded, "the engine accepted the command without effect")
 	_, err = f.giver.Load(t.Context(), engineorder.Command{Server: "engine-1", Model: "foreign"})
 	require.ErrorIs(t, err, engineorder.ErrInvalid)
 }
@@ -192,7 +192,7 @@
 	f := start(t, longTiming, pollenspindle.FencingIgnored)
 	f.platform.drop = 1
 	_, err := f.load(t, "engine-1")
-	require.ErrorIs(t, err, engineorder.ErrOvertaken)
+	require.ErrorIs(t, err, engineorder.ErrSuperseded)
 	require.Zero(t, f.engines.commandCount())
 	f.platform.lose = 1
 	outcome, err := f.load(t, "engine-1")
@@ -254,7 +254,7 @@
 		}
 	}
 	_, err := f.load(t, "engine-1")
-	require.ErrorIs(t, err, engineorder.ErrOvertaken)
+	require.ErrorIs(t, err, engineorder.ErrSuperseded)
 	require.True(t, f.platform.record(t).Ended)
 	f.ownership.role.Store(int64(permit.RoleWaiting))
 	_, err = f.load(t, "engine-1")
@@ -262,7 +262,7 @@
 
 	f = start(t, order.Timing{SendWithin: time.Nanosecond, RunFor: time.Hour}, pollenspindle.FencingChecked)
 	_, err = f.load(t, "engine-1")
-	require.ErrorIs(t, err, engineorder.ErrOvertaken)
+	require.ErrorIs(t, err, engineorder.ErrSuperseded)
 	require.Zero(t, f.engines.commandCount())
 }
 
--- a/internal/engineorder/errors.go
+++ b/internal/engineorder/errors.go
@@ -11,8 +11,8 @@
 var (
 	// ErrUnavailable means that the platform or the engine can't be reached.
 	ErrUnavailable = merry.Sentinel("engine command not sent")
-	// ErrOvertaken means that another command was sent in the meantime.
-	ErrOvertaken = merry.Sentinel("superseded by another engine command")
+	// ErrSuperseded means that another command was sent in the meantime.
+	ErrSuperseded = merry.Sentinel("superseded by another engine command")
 	// ErrNotOwner means that another instance owns the engine, or that this one has to wait until
 	// its ownership is valid.
 	ErrNotOwner = merry.Sentinel("not the owner of the backend server")
--- a/internal/engineorder/handler.go
+++ b/internal/engineorder/handler.go
@@ -51,7 +51,7 @@
 		return resultNotOwner
 	case errors.Is(err, ErrInvalid):
 		return resultInvalid
-	case errors.Is(err, ErrOvertaken):
+	case errors.Is(err, ErrSuperseded):
 		return resultOvertaken
 	case errors.Is(err, ErrUnavailable):
 		return resultUnavailable
@@ -72,7 +72,7 @@
 	case resultInvalid:
 		return outcome, merry.Append(ErrInvalid, res.GetMessage())
 	case resultOvertaken:
-		return outcome, ErrOvertaken
+		return outcome, ErrSuperseded
 	case resultUnavailable:
 		return outcome, merry.Append(ErrUnavailable, res.GetMessage())
 	}
--- a/internal/engineorder/lock.go
+++ b/internal/engineorder/lock.go
@@ -73,7 +73,7 @@
 		lock.fencingToken = o.Version
 		return lock, nil
 	case errors.As(err, &conflict):
-		return commandLock{}, ErrOvertaken
+		return commandLock{}, ErrSuperseded
 	case errors.Is(err, objectapi.ErrUnknownOutcome):
 		return s.confirmWrite(ctx, lock)
 	}
@@ -89,7 +89,7 @@
 		return commandLock{}, err
 	}
 	if held.Record.Token != lock.record.Token {
-		return commandLock{}, ErrOvertaken
+		return commandLock{}, ErrSuperseded
 	}
 	lock.fencingToken = held.Version
 	return lock, nil
--- a/internal/engineorder/run.go
+++ b/internal/engineorder/run.go
@@ -60,14 +60,14 @@
 	// If the process was paused after it started to acquire the lock, another instance may already
 	// treat the command as over.
 	if !order.MaySend(now, g.opts.Timing, lock.acquireStarted) || !g.isOwner(now, j) {
-		return outcome, true, ErrOvertaken
+		return outcome, true, ErrSuperseded
 	}
 	_, err = g.opts.Engines.Order(sendCtx, j.server.Address, engine.Command{
 		FencingToken: lock.fencingToken, Kind: engine.CommandLoadModel, Name: j.command.Model, Version: j.command.Version,
 	})
 	switch {
 	case errors.Is(err, engine.ErrStaleFencing):
-		return outcome, true, ErrOvertaken
+		return outcome, true, ErrSuperseded
 	case errors.Is(err, engine.ErrNotSent):
 		return outcome, true, unavailable(err)
 	case errors.Is(err, engine.ErrRefused), errors.Is(err, engine.ErrBadRequest):
@@ -86,7 +86,7 @@
 	case err != nil:
 		return outcome, true, merry.Wrap(ErrInvalid, merry.WithCause(err), merry.AppendMessage("the engine failed to execute the command"))
 	}
-	return outcome, true, ErrOvertaken
+	return outcome, true, ErrSuperseded
 }
 
 func (g *Executor) isOwner(now time.Time, j *commandRun) bool {
@@ -120,7 +120,7 @@
 			if busy == nil || full.For < busy.For {
 				busy = full
 			}
-		case !errors.Is(err, ErrOvertaken):
+		case !errors.Is(err, ErrSuperseded):
 			return commandLock{}, err
 		}
 	}
--- a/internal/serve/models.go
+++ b/internal/serve/models.go
@@ -59,7 +59,7 @@
 func orderError(err error) error {
 	var busy *engineorder.BusyError
 	switch {
-	case errors.As(err, &busy), errors.Is(err, engineorder.ErrInvalid), errors.Is(err, engineorder.ErrOvertaken):
+	case errors.As(err, &busy), errors.Is(err, engineorder.ErrInvalid), errors.Is(err, engineorder.ErrSuperseded):
 		return merry.Append(operator.ErrRefused, err.Error())
 	case errors.Is(err, engineorder.ErrNotOwner):
 		return merry.Append(operator.ErrUnavailable, "the backend server is changing its owner; repeat the order")
