--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -207,7 +207,7 @@
 	f := start(t, longTiming, pollenspindle.FencingIgnored)
 	f.engines.err, f.engines.noEffect = engine.ErrUnknownOutcome, true
 	_, err := f.load(t, "engine-1")
-	require.ErrorIs(t, err, engineorder.ErrUnknown)
+	require.ErrorIs(t, err, engineorder.ErrUnknownOutcome)
 	require.False(t, f.platform.record(t).Ended)
 	var busy *engineorder.BusyError
 	_, err = f.load(t, "engine-1")
--- a/internal/engineorder/errors.go
+++ b/internal/engineorder/errors.go
@@ -7,7 +7,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Errors of engine commands. After all of them but [ErrUnknown], no command took effect.
+// Errors of engine commands. After all of them but [ErrUnknownOutcome], no command took effect.
 var (
 	// ErrUnavailable means that the platform or the engine can't be reached.
 	ErrUnavailable = merry.Sentinel("engine command not sent")
@@ -18,8 +18,8 @@
 	ErrNotOwner = merry.Sentinel("not the owner of the backend server")
 	// ErrInvalid means that the configuration or the engine doesn't allow the command.
 	ErrInvalid = merry.Sentinel("engine command not allowed")
-	// ErrUnknown means that the command may have taken effect, or may still do so.
-	ErrUnknown = merry.Sentinel("outcome of the engine command unknown")
+	// ErrUnknownOutcome means that the command may have taken effect, or may still do so.
+	ErrUnknownOutcome = merry.Sentinel("outcome of the engine command unknown")
 )
 
 // BusyError means that another command may be running.
--- a/internal/engineorder/handler.go
+++ b/internal/engineorder/handler.go
@@ -76,5 +76,5 @@
 	case resultUnavailable:
 		return outcome, merry.Append(ErrUnavailable, res.GetMessage())
 	}
-	return outcome, merry.Append(ErrUnknown, res.GetMessage())
+	return outcome, merry.Append(ErrUnknownOutcome, res.GetMessage())
 }
--- a/internal/engineorder/run.go
+++ b/internal/engineorder/run.go
@@ -82,7 +82,7 @@
 		outcome.State = StateLoaded
 		return outcome, true, nil
 	case stateErr != nil || errors.Is(err, engine.ErrUnknownOutcome):
-		return outcome, false, merry.Wrap(ErrUnknown, merry.WithCause(errors.Join(err, stateErr)))
+		return outcome, false, merry.Wrap(ErrUnknownOutcome, merry.WithCause(errors.Join(err, stateErr)))
 	case err != nil:
 		return outcome, true, merry.Wrap(ErrInvalid, merry.WithCause(err), merry.AppendMessage("the engine failed to execute the command"))
 	}
--- a/internal/serve/models.go
+++ b/internal/serve/models.go
@@ -49,7 +49,7 @@
 		Server: o.Server, Model: o.Model, Version: o.Version,
 	})
 	if err != nil {
-		return engineorder.Outcome{}, merry.Wrap(engineorder.ErrUnknown, merry.WithCause(err),
+		return engineorder.Outcome{}, merry.Wrap(engineorder.ErrUnknownOutcome, merry.WithCause(err),
 			merry.AppendMessagef("owner %s gave no answer; repeat the order, it reads the state first", to.ID))
 	}
 	return engineorder.FromPeer(res)
