--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -194,7 +194,7 @@
 		if current.command == j.command {
 			return current, nil
 		}
-		return nil, &BusyError{Holder: g.opts.Self, For: g.opts.Timing.RunFor}
+		return nil, &BusyError{Holder: g.opts.Self, RetryAfter: g.opts.Timing.RunFor}
 	}
 	err := g.pool.Submit(func() {
 		j.outcome, j.err = g.run(g.ctx, j)
@@ -204,7 +204,7 @@
 		close(j.done)
 	})
 	if err != nil {
-		return nil, &BusyError{Holder: g.opts.Self, For: g.opts.Timing.SendWithin}
+		return nil, &BusyError{Holder: g.opts.Self, RetryAfter: g.opts.Timing.SendWithin}
 	}
 	g.running[j.command.Server] = j
 	return j, nil
--- a/internal/engineorder/errors.go
+++ b/internal/engineorder/errors.go
@@ -24,13 +24,13 @@
 
 // BusyError means that another command may be running.
 type BusyError struct {
-	Holder string
-	For    time.Duration
+	Holder     string
+	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("an engine command of %s may be running for another %s", e.Holder, e.For.Round(time.Second))
+	return fmt.Sprintf("an engine command of %s may be running for another %s", e.Holder, e.RetryAfter.Round(time.Second))
 }
 
 func unavailable(err error) error {
--- a/internal/engineorder/handler.go
+++ b/internal/engineorder/handler.go
@@ -33,7 +33,7 @@
 	res := &peerv1.LoadModelResponse{Result: resultOf(err), FencingNumber: outcome.FencingToken, State: string(outcome.State)}
 	var busy *BusyError
 	if errors.As(err, &busy) {
-		res.Message, res.RetryAfterMillis = busy.Holder, busy.For.Milliseconds()
+		res.Message, res.RetryAfterMillis = busy.Holder, busy.RetryAfter.Milliseconds()
 	} else if err != nil {
 		res.Message = err.Error()
 	}
@@ -66,7 +66,7 @@
 	case resultDone:
 		return outcome, nil
 	case resultBusy:
-		return outcome, &BusyError{Holder: res.GetMessage(), For: time.Duration(res.GetRetryAfterMillis()) * time.Millisecond}
+		return outcome, &BusyError{Holder: res.GetMessage(), RetryAfter: time.Duration(res.GetRetryAfterMillis()) * time.Millisecond}
 	case resultNotOwner:
 		return outcome, ErrNotOwner
 	case resultInvalid:
--- a/internal/engineorder/run.go
+++ b/internal/engineorder/run.go
@@ -117,7 +117,7 @@
 		var full *BusyError
 		switch {
 		case errors.As(err, &full):
-			if busy == nil || full.For < busy.For {
+			if busy == nil || full.RetryAfter < busy.RetryAfter {
 				busy = full
 			}
 		case !errors.Is(err, ErrSuperseded):
@@ -125,7 +125,7 @@
 		}
 	}
 	if busy == nil {
-		busy = &BusyError{Holder: "other instances", For: g.opts.Timing.SendWithin}
+		busy = &BusyError{Holder: "other instances", RetryAfter: g.opts.Timing.SendWithin}
 	}
 	return commandLock{}, busy
 }
