--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -54,11 +54,11 @@
 
 // Options configures a [Executor].
 type Options struct {
-	Self    string
-	Objects Objects
-	Engines Engines
-	Rights  Rights
-	Config  func() *config.Snapshot
+	Self      string
+	Objects   Objects
+	Engines   Engines
+	Ownership Rights
+	Config    func() *config.Snapshot
 	// Timing defaults to [order.DefaultTiming]; tests set it.
 	Timing order.Timing
 	Log    zerolog.Logger
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -153,7 +153,7 @@
 	}
 	snap := config.NewSnapshot(1, cfg)
 	giver, err := engineorder.New(engineorder.Options{
-		Self: "entry-1", Objects: f.platform, Engines: f.engines, Rights: f.ownership, Timing: timing,
+		Self: "entry-1", Objects: f.platform, Engines: f.engines, Ownership: f.ownership, Timing: timing,
 		Config: func() *config.Snapshot { return snap }, Log: zerolog.Nop(),
 	})
 	require.NoError(t, err)
--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -151,12 +151,12 @@
 	})
 	p.peerServer.HandleQueries(p.fleet.Handler())
 	p.orders, err = engineorder.New(engineorder.Options{
-		Self:    p.settings.Instance,
-		Objects: p.objects,
-		Engines: p.engines,
-		Rights:  p.members,
-		Config:  p.store.Snapshot,
-		Log:     telemetry.Part(p.tel.Log, "order"),
+		Self:      p.settings.Instance,
+		Objects:   p.objects,
+		Engines:   p.engines,
+		Ownership: p.members,
+		Config:    p.store.Snapshot,
+		Log:       telemetry.Part(p.tel.Log, "order"),
 	})
 	if err != nil {
 		return err
