--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -47,8 +47,8 @@
 	Order(ctx context.Context, address string, o engine.Command) (engine.State, error)
 }
 
-// Rights tells what this instance may do for an engine; *member.Member implements it.
-type Rights interface {
+// Ownership tells what this instance may do for an engine; *member.Member implements it.
+type Ownership interface {
 	Right(now time.Time, s roster.Server) permit.Right
 }
 
@@ -57,7 +57,7 @@
 	Self      string
 	Objects   Objects
 	Engines   Engines
-	Ownership Rights
+	Ownership Ownership
 	Config    func() *config.Snapshot
 	// Timing defaults to [order.DefaultTiming]; tests set it.
 	Timing order.Timing
