--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -204,7 +204,7 @@
 		close(j.done)
 	})
 	if err != nil {
-		return nil, &BusyError{Holder: g.opts.Self, RetryAfter: g.opts.Timing.SendWithin}
+		return nil, &BusyError{Holder: g.opts.Self, RetryAfter: g.opts.Timing.SendTimeout}
 	}
 	g.running[j.command.Server] = j
 	return j, nil
--- a/internal/engineorder/run.go
+++ b/internal/engineorder/run.go
@@ -125,7 +125,7 @@
 		}
 	}
 	if busy == nil {
-		busy = &BusyError{Holder: "other instances", RetryAfter: g.opts.Timing.SendWithin}
+		busy = &BusyError{Holder: "other instances", RetryAfter: g.opts.Timing.SendTimeout}
 	}
 	return commandLock{}, busy
 }
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -23,7 +23,7 @@
 type Timing struct {
 	// SendTimeout is how long after starting to acquire its lock a holder may still send its
 	// command.
-	SendWithin time.Duration
+	SendTimeout time.Duration
 	// MaxDuration is the maximum time from sending a command to its effect.
 	RunFor time.Duration
 }
@@ -31,7 +31,7 @@
 // DefaultTiming suits loads from a shared weight store. If MaxDuration were shorter than the
 // longest load, a command that is still changing the engine would count as over. Only an instance
 // that takes over from a crashed holder waits for it.
-var DefaultTiming = Timing{SendWithin: 2 * time.Second, RunFor: 10 * time.Minute}
+var DefaultTiming = Timing{SendTimeout: 2 * time.Second, RunFor: 10 * time.Minute}
 
 // Record is the value of the lock object.
 type Record struct {
@@ -75,7 +75,7 @@
 	if held.Version == 0 || held.Record.Ended || checksFencing {
 		return Take{held.Version}
 	}
-	remaining := held.SeenAt.Add(t.SendWithin + t.RunFor).Sub(now)
+	remaining := held.SeenAt.Add(t.SendTimeout + t.RunFor).Sub(now)
 	if remaining > 0 {
 		return Wait{remaining}
 	}
@@ -86,5 +86,5 @@
 // given time. It must be called immediately before sending the first byte: a process that was
 // paused since could send a command that another instance already counts as over.
 func MaySend(now time.Time, t Timing, started time.Time) bool {
-	return now.Before(started.Add(t.SendWithin))
+	return now.Before(started.Add(t.SendTimeout))
 }
