--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -194,7 +194,7 @@
 		if current.command == j.command {
 			return current, nil
 		}
-		return nil, &BusyError{Holder: g.opts.Self, RetryAfter: g.opts.Timing.RunFor}
+		return nil, &BusyError{Holder: g.opts.Self, RetryAfter: g.opts.Timing.MaxDuration}
 	}
 	err := g.pool.Submit(func() {
 		j.outcome, j.err = g.run(g.ctx, j)
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -22,7 +22,7 @@
 )
 
 // longTiming is for tests in which nothing may time out.
-var longTiming = order.Timing{SendTimeout: time.Hour, RunFor: time.Hour}
+var longTiming = order.Timing{SendTimeout: time.Hour, MaxDuration: time.Hour}
 
 // platform is an object store. The next lose writes take effect without a response; the next drop
 // writes neither take effect nor get a response.
@@ -230,7 +230,7 @@
 	_, err := f.load(t, "engine-1")
 	require.NoError(t, err)
 
-	f = start(t, order.Timing{SendTimeout: time.Second, RunFor: time.Second}, pollenspindle.FencingIgnored)
+	f = start(t, order.Timing{SendTimeout: time.Second, MaxDuration: time.Second}, pollenspindle.FencingIgnored)
 	f.platform.addHeldLock(t, "engine-1")
 	started := time.Now()
 	var busy *engineorder.BusyError
@@ -260,7 +260,7 @@
 	_, err = f.load(t, "engine-1")
 	require.ErrorIs(t, err, engineorder.ErrNotOwner)
 
-	f = start(t, order.Timing{SendTimeout: time.Nanosecond, RunFor: time.Hour}, pollenspindle.FencingChecked)
+	f = start(t, order.Timing{SendTimeout: time.Nanosecond, MaxDuration: time.Hour}, pollenspindle.FencingChecked)
 	_, err = f.load(t, "engine-1")
 	require.ErrorIs(t, err, engineorder.ErrSuperseded)
 	require.Zero(t, f.engines.commandCount())
--- a/internal/engineorder/run.go
+++ b/internal/engineorder/run.go
@@ -54,7 +54,7 @@
 // send sends the command. over is true if the command can't take effect any more.
 func (g *Executor) send(ctx context.Context, j *commandRun, lock commandLock) (outcome Outcome, over bool, err error) {
 	outcome.FencingToken = lock.fencingToken
-	sendCtx, cancel := context.WithTimeout(ctx, g.opts.Timing.RunFor)
+	sendCtx, cancel := context.WithTimeout(ctx, g.opts.Timing.MaxDuration)
 	defer cancel()
 	now := time.Now()
 	// If the process was paused after it started to acquire the lock, another instance may already
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -25,13 +25,13 @@
 	// command.
 	SendTimeout time.Duration
 	// MaxDuration is the maximum time from sending a command to its effect.
-	RunFor time.Duration
+	MaxDuration time.Duration
 }
 
 // DefaultTiming suits loads from a shared weight store. If MaxDuration were shorter than the
 // longest load, a command that is still changing the engine would count as over. Only an instance
 // that takes over from a crashed holder waits for it.
-var DefaultTiming = Timing{SendTimeout: 2 * time.Second, RunFor: 10 * time.Minute}
+var DefaultTiming = Timing{SendTimeout: 2 * time.Second, MaxDuration: 10 * time.Minute}
 
 // Record is the value of the lock object.
 type Record struct {
@@ -75,7 +75,7 @@
 	if held.Version == 0 || held.Record.Ended || checksFencing {
 		return Take{held.Version}
 	}
-	remaining := held.SeenAt.Add(t.SendTimeout + t.RunFor).Sub(now)
+	remaining := held.SeenAt.Add(t.SendTimeout + t.MaxDuration).Sub(now)
 	if remaining > 0 {
 		return Wait{remaining}
 	}
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -247,7 +247,7 @@
 // continues. In no interleaving may a command undo a later one. The cases with a missing safeguard
 // show that the search detects its absence.
 func TestNoCommandUndoesALaterOne(t *testing.T) {
-	sound := order.Timing{SendTimeout: time.Second, RunFor: runFor}
+	sound := order.Timing{SendTimeout: time.Second, MaxDuration: runFor}
 	tests := map[string]struct {
 		timing   order.Timing
 		checked  bool
@@ -255,9 +255,9 @@
 	}{
 		"engine checks tokens":              {sound, true, false},
 		"engine ignores tokens":             {sound, false, false},
-		"tokens ignored, no send timeout":   {order.Timing{SendTimeout: time.Hour, RunFor: 2*time.Second - time.Hour}, false, true},
+		"tokens ignored, no send timeout":   {order.Timing{SendTimeout: time.Hour, MaxDuration: 2*time.Second - time.Hour}, false, true},
 		"tokens ignored, no duration limit": {order.Timing{SendTimeout: time.Second}, false, true},
-		"tokens ignored, no waiting":        {order.Timing{SendTimeout: time.Second, RunFor: -time.Second}, false, true},
+		"tokens ignored, no waiting":        {order.Timing{SendTimeout: time.Second, MaxDuration: -time.Second}, false, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
