--- a/internal/engineorder/lock.go
+++ b/internal/engineorder/lock.go
@@ -102,17 +102,17 @@
 	_, _ = s.write(ctx, lock.name, lock.fencingToken, lock.record)
 }
 
-func (s *lockStore) read(ctx context.Context, name string) (order.Held, error) {
+func (s *lockStore) read(ctx context.Context, name string) (order.LockState, error) {
 	o, err := s.objects.Get(ctx, kind, name)
 	if errors.Is(err, objectapi.ErrNotFound) {
-		return order.Held{}, nil
+		return order.LockState{}, nil
 	}
 	if err != nil {
-		return order.Held{}, unavailable(err)
+		return order.LockState{}, unavailable(err)
 	}
-	held := order.Held{Version: o.Version}
+	held := order.LockState{Version: o.Version}
 	if err := json.Unmarshal(o.Value, &held.Record); err != nil {
-		return order.Held{}, unavailable(err)
+		return order.LockState{}, unavailable(err)
 	}
 	held.SeenAt = s.firstSeen(time.Now(), name, o.Version)
 	return held, nil
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -44,8 +44,8 @@
 	Ended bool `json:"ended"`
 }
 
-// Held is the state of the lock object as it was read.
-type Held struct {
+// LockState is the state of the lock object as it was read.
+type LockState struct {
 	// Version is 0 if there is no object.
 	Version int64
 	Record  Record
@@ -71,7 +71,7 @@
 // that case, so there is no need to wait. Otherwise a command whose lock is held counts as running
 // until it must have been sent and executed. That time is counted from when the lock was first
 // seen, which is after it was acquired.
-func Decide(now time.Time, t Timing, held Held, checksFencing bool) Decision {
+func Decide(now time.Time, t Timing, held LockState, checksFencing bool) Decision {
 	if held.Version == 0 || held.Record.Ended || checksFencing {
 		return Take{held.Version}
 	}
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -176,7 +176,7 @@
 	if h.seen != w.version {
 		h.seen, h.seenAt = w.version, w.now
 	}
-	held := order.Held{Version: w.version, Record: order.Record{Ended: w.ended}, SeenAt: at(h.seenAt)}
+	held := order.LockState{Version: w.version, Record: order.Record{Ended: w.ended}, SeenAt: at(h.seenAt)}
 	if take, ok := order.Decide(at(w.now), s.timing, held, s.checked).(order.Take); ok {
 		h.phase, h.base = decided, take.Version
 		h.started = w.now
