--- a/internal/engineorder/lock.go
+++ b/internal/engineorder/lock.go
@@ -60,7 +60,7 @@
 	switch d := order.Decide(time.Now(), s.timing, held, checksFencing).(type) {
 	case order.Wait:
 		return commandLock{}, &BusyError{Holder: held.Record.Holder, RetryAfter: d.For}
-	case order.Take:
+	case order.Acquire:
 		base = d.Version
 	}
 	lock := commandLock{name: name, acquireStarted: time.Now(), record: order.Record{
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -54,17 +54,17 @@
 	SeenAt time.Time
 }
 
-// Decision is [Take] or [Wait].
+// Decision is [Acquire] or [Wait].
 type Decision interface{ decision() }
 
-// Take permits replacing the object at Version; 0 creates it.
-type Take struct{ Version int64 }
+// Acquire permits replacing the object at Version; 0 creates it.
+type Acquire struct{ Version int64 }
 
 // Wait means that another command may still be running.
 type Wait struct{ For time.Duration }
 
-func (Take) decision() {}
-func (Wait) decision() {}
+func (Acquire) decision() {}
+func (Wait) decision()    {}
 
 // Decide decides whether the lock of an engine may be acquired: a command must not take effect
 // after one that was sent later. An engine that checks fencing tokens refuses the earlier one in
@@ -73,13 +73,13 @@
 // seen, which is after it was acquired.
 func Decide(now time.Time, t Timing, held LockState, checksFencing bool) Decision {
 	if held.Version == 0 || held.Record.Ended || checksFencing {
-		return Take{held.Version}
+		return Acquire{held.Version}
 	}
 	remaining := held.SeenAt.Add(t.SendTimeout + t.MaxDuration).Sub(now)
 	if remaining > 0 {
 		return Wait{remaining}
 	}
-	return Take{held.Version}
+	return Acquire{held.Version}
 }
 
 // MaySend reports whether a command may still be sent if the acquiring of its lock started at the
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -177,7 +177,7 @@
 		h.seen, h.seenAt = w.version, w.now
 	}
 	held := order.LockState{Version: w.version, Record: order.Record{Ended: w.ended}, SeenAt: at(h.seenAt)}
-	if take, ok := order.Decide(at(w.now), s.timing, held, s.checked).(order.Take); ok {
+	if take, ok := order.Decide(at(w.now), s.timing, held, s.checked).(order.Acquire); ok {
 		h.phase, h.base = decided, take.Version
 		h.started = w.now
 		h.attempts++
