--- a/internal/engineorder/lock.go
+++ b/internal/engineorder/lock.go
@@ -59,7 +59,7 @@
 	var base int64
 	switch d := order.Decide(time.Now(), s.timing, held, checksFencing).(type) {
 	case order.Wait:
-		return commandLock{}, &BusyError{Holder: held.Record.Holder, RetryAfter: d.For}
+		return commandLock{}, &BusyError{Holder: held.Record.Holder, RetryAfter: d.Delay}
 	case order.Acquire:
 		base = d.Version
 	}
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -61,7 +61,7 @@
 type Acquire struct{ Version int64 }
 
 // Wait means that another command may still be running.
-type Wait struct{ For time.Duration }
+type Wait struct{ Delay time.Duration }
 
 func (Acquire) decision() {}
 func (Wait) decision()    {}
