--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -82,7 +82,7 @@
 
 // addHeldLock adds a lock held by another instance that has crashed.
 func (p *platform) addHeldLock(t *testing.T, name string) {
-	value, err := json.Marshal(order.Record{Token: "other", Holder: "entry-2"})
+	value, err := json.Marshal(order.Record{WriteID: "other", Holder: "entry-2"})
 	require.NoError(t, err)
 	_, err = p.Create(t.Context(), "fencing", name, value)
 	require.NoError(t, err)
--- a/internal/engineorder/lock.go
+++ b/internal/engineorder/lock.go
@@ -64,7 +64,7 @@
 		base = d.Version
 	}
 	lock := commandLock{name: name, acquireStarted: time.Now(), record: order.Record{
-		Token: uuid.NewString(), Holder: s.holder, Model: model, Version: version,
+		WriteID: uuid.NewString(), Holder: s.holder, Model: model, Version: version,
 	}}
 	o, err := s.write(ctx, name, base, lock.record)
 	var conflict *objectapi.ConflictError
@@ -88,7 +88,7 @@
 	if err != nil {
 		return commandLock{}, err
 	}
-	if held.Record.Token != lock.record.Token {
+	if held.Record.WriteID != lock.record.WriteID {
 		return commandLock{}, ErrSuperseded
 	}
 	lock.fencingToken = held.Version
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -35,8 +35,8 @@
 
 // Record is the value of the lock object.
 type Record struct {
-	// Token is random. After a lost response the holder recognizes its own write by it.
-	Token   string `json:"token"`
+	// WriteID is random. After a lost response the holder recognizes its own write by it.
+	WriteID string `json:"token"`
 	Holder  string `json:"holder"`
 	Model   string `json:"model"`
 	Version string `json:"version,omitempty"`
