--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -145,9 +145,9 @@
 		t.Run(name, func(t *testing.T) {
 			address := startEngine(t, func(o *standin.Options) { o.CheckFencing = tt.checks; o.LoadTime = 0 })
 			c, ctx := newClient(t), testContext(t)
-			_, err := c.Order(ctx, address, engine.Command{FencingToken: 7, Kind: engine.CommandLoadModel, Name: "glide-7b", Version: "2"})
+			_, err := c.SendCommand(ctx, address, engine.Command{FencingToken: 7, Kind: engine.CommandLoadModel, Name: "glide-7b", Version: "2"})
 			require.NoError(t, err)
-			_, err = c.Order(ctx, address, engine.Command{FencingToken: 6, Kind: engine.CommandLoadModel, Name: "glide-7b", Version: "1"})
+			_, err = c.SendCommand(ctx, address, engine.Command{FencingToken: 6, Kind: engine.CommandLoadModel, Name: "glide-7b", Version: "1"})
 			require.ErrorIs(t, err, tt.err)
 			state, err := c.State(ctx, address)
 			require.NoError(t, err)
--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -122,11 +122,11 @@
 	Version      string      `json:"version,omitempty"`
 }
 
-// Order sends a command and returns the state after it. An engine that checks fencing tokens
+// SendCommand sends a command and returns the state after it. An engine that checks fencing tokens
 // answers an old one with [ErrStaleFencing]. After [ErrUnknownOutcome] the command may have been executed:
 // read the state.
-func (c *Client) Order(ctx context.Context, address string, order Command) (State, error) {
-	body, err := json.Marshal(order)
+func (c *Client) SendCommand(ctx context.Context, address string, command Command) (State, error) {
+	body, err := json.Marshal(command)
 	if err != nil {
 		return State{}, merry.Wrap(ErrBadRequest, merry.WithCause(err))
 	}
--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -44,7 +44,7 @@
 // Engines calls model engines; *engine.Client implements it.
 type Engines interface {
 	State(ctx context.Context, address string) (engine.State, error)
-	Order(ctx context.Context, address string, o engine.Command) (engine.State, error)
+	SendCommand(ctx context.Context, address string, o engine.Command) (engine.State, error)
 }
 
 // Ownership tells what this instance may do for an engine; *member.Member implements it.
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -105,7 +105,7 @@
 	return e.state, nil
 }
 
-func (e *engines) Order(_ context.Context, _ string, o engine.Command) (engine.State, error) {
+func (e *engines) SendCommand(_ context.Context, _ string, o engine.Command) (engine.State, error) {
 	e.mu.Lock()
 	e.commands = append(e.commands, o)
 	hold := e.hold
--- a/internal/engineorder/run.go
+++ b/internal/engineorder/run.go
@@ -62,7 +62,7 @@
 	if !order.MaySend(now, g.opts.Timing, lock.acquireStarted) || !g.isOwner(now, j) {
 		return outcome, true, ErrSuperseded
 	}
-	_, err = g.opts.Engines.Order(sendCtx, j.server.Address, engine.Command{
+	_, err = g.opts.Engines.SendCommand(sendCtx, j.server.Address, engine.Command{
 		FencingToken: lock.fencingToken, Kind: engine.CommandLoadModel, Name: j.command.Model, Version: j.command.Version,
 	})
 	switch {
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -276,7 +276,7 @@
 	_, err := b.start("r1", long, 5)
 	require.ErrorIs(t, err, client.ErrUnknownModel)
 	began := time.Now()
-	_, err = b.client.Order(b.ctx, b.address, client.Command{FencingToken: 1, Kind: client.CommandLoadModel, Name: "m", Version: "2"})
+	_, err = b.client.SendCommand(b.ctx, b.address, client.Command{FencingToken: 1, Kind: client.CommandLoadModel, Name: "m", Version: "2"})
 	require.NoError(t, err)
 	// One MiB at four a second, less the first burst, can't come faster.
 	require.Greater(t, time.Since(began), 200*time.Millisecond)
