--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -8,10 +8,10 @@
 //
 // # Usage
 //
-//	b := balancer.New(balancer.Bounds{ColdOverage: 1.5, ColdSlack: 5}, rng, nil)
+//	b := balancer.New(balancer.ColdLimits{ColdOverage: 1.5, ColdSlack: 5}, rng, nil)
 //	choice := b.Pick(now, balancer.Request{...}, candidates)
 //	if picked, ok := choice.(balancer.Picked); ok {
-//		defer b.Done(picked.Place)
+//		defer b.Release(picked.Placement)
 //	}
 package balancer
 
@@ -135,8 +135,8 @@
 
 // New returns a balancer. othersLoad returns the load of other instances on a server; nil means
 // that it isn't known.
-func New(bounds ColdLimits, rng *rand.Rand, othersLoad func(now time.Time, id string) Load) *Balancer {
-	return &Balancer{coldLimits: bounds, rng: rng, own: map[string]*serverState{}, othersLoad: othersLoad, changed: make(chan struct{}, 1)}
+func New(limits ColdLimits, rng *rand.Rand, othersLoad func(now time.Time, id string) Load) *Balancer {
+	return &Balancer{coldLimits: limits, rng: rng, own: map[string]*serverState{}, othersLoad: othersLoad, changed: make(chan struct{}, 1)}
 }
 
 // Pick chooses a server and counts the load on it.
@@ -214,7 +214,8 @@
 	return Picked{Placement: Placement{Server: servers[best], Tokens: r.Tokens, PromptTokens: r.PromptTokens}, Score: bestScore}
 }
 
-// FreeServers returns the servers with capacity for a request, best first. It doesn't count any load.
+// FreeServers returns the servers with capacity for a request, best first. It doesn't count any
+// load.
 func (b *Balancer) FreeServers(now time.Time, r Request, servers []observed.Server) []observed.Server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -132,8 +132,8 @@
 }
 
 // Seven instances choose targets for the generations of two engines that shut down, and don't see
-// each other's choices. If all chose the freest engine, their copies would share one link and be
-// migrated again when that engine shuts down.
+// each other's choices. If all chose the freest engine, their copies would share one link and
+// the generations would be migrated again when that engine shuts down.
 func TestMigratedGenerationsSpread(t *testing.T) {
 	list := servers(10, 24)
 	loads := func(_ time.Time, id string) Load {
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -14,11 +14,11 @@
 	// ErrRefused means that the engine refused the request before running it. errors.As with a
 	// *Refusal gives the details.
 	ErrRefused = merry.Sentinel("engine: request refused")
-	// ErrUnknownOutcome means that the connection failed before the stream began. The engine may run the
-	// request.
+	// ErrUnknownOutcome means that the connection failed before the stream began. The engine may
+	// run the request.
 	ErrUnknownOutcome = merry.Sentinel("engine: outcome of the request unknown")
-	// ErrStreamInterrupted means that the stream ended without its last event. The generation may still run
-	// and can be resumed.
+	// ErrStreamInterrupted means that the stream ended without its last event. The generation may
+	// still run and can be resumed.
 	ErrStreamInterrupted = merry.Sentinel("engine: stream interrupted")
 	// ErrUnknownStream means that the engine doesn't have the stream to resume, or no longer has
 	// it.
@@ -63,5 +63,5 @@
 	return fmt.Sprintf("engine: stale fencing token, highest accepted is %d", s.Highest)
 }
 
-// Is makes errors.Is(err, ErrStaleFencing) true for a StaleFencing.
+// Is makes errors.Is(err, ErrStaleFencing) true for a StaleFencingError.
 func (s *StaleFencingError) Is(target error) bool { return target == ErrStaleFencing }
--- a/internal/engine/reports.go
+++ b/internal/engine/reports.go
@@ -123,8 +123,8 @@
 }
 
 // SendCommand sends a command and returns the state after it. An engine that checks fencing tokens
-// answers an old one with [ErrStaleFencing]. After [ErrUnknownOutcome] the command may have been executed:
-// read the state.
+// answers an old one with [ErrStaleFencing]. After [ErrUnknownOutcome] the command may have been
+// executed: read the state.
 func (c *Client) SendCommand(ctx context.Context, address string, command Command) (State, error) {
 	body, err := json.Marshal(command)
 	if err != nil {
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -46,8 +46,8 @@
 func (s *Stream) LastPosition() int64 { return s.sequence.LastPosition() }
 
 // Next waits for the next event. After the last event it returns io.EOF. A stream that ends without
-// its last event returns [ErrStreamInterrupted]; missing positions return [ErrGap]. Repeated positions are
-// skipped.
+// its last event returns [ErrStreamInterrupted]; missing positions return [ErrGap]. Repeated
+// positions are skipped.
 func (s *Stream) Next() (Event, error) {
 	for {
 		raw, err := s.events.Next()
--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -5,9 +5,9 @@
 //
 // # Usage
 //
-//	g, err := engineorder.New(engineorder.Options{Self: id, Objects: objects, Engines: engines, Rights: member, ...})
+//	g, err := engineorder.New(engineorder.Options{Self: id, Objects: objects, Engines: engines, Ownership: member, ...})
 //	defer g.Close()
-//	outcome, err := g.Load(ctx, engineorder.Order{Server: "engine-1", Model: "briefing", Version: "3"})
+//	outcome, err := g.Load(ctx, engineorder.Command{Server: "engine-1", Model: "briefing", Version: "3"})
 package engineorder
 
 import (
@@ -77,7 +77,7 @@
 	running map[string]*commandRun
 }
 
-// New returns a Giver. Close it after use.
+// New returns an executor. Close it after use.
 func New(opts Options) (*Executor, error) {
 	if opts.Timing == (order.Timing{}) {
 		opts.Timing = order.DefaultTiming
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -138,7 +138,7 @@
 	platform  *platform
 	engines   *engines
 	ownership *fakeOwnership
-	giver     *engineorder.Executor
+	executor  *engineorder.Executor
 }
 
 func start(t *testing.T, timing order.Timing, fencing pollenspindle.Fencing) *fixture {
@@ -152,18 +152,18 @@
 		cfg.Servers = append(cfg.Servers, pollenspindle.Server{Name: name, Service: "s", Fencing: fencing})
 	}
 	snap := config.NewSnapshot(1, cfg)
-	giver, err := engineorder.New(engineorder.Options{
+	executor, err := engineorder.New(engineorder.Options{
 		Self: "entry-1", Objects: f.platform, Engines: f.engines, Ownership: f.ownership, Timing: timing,
 		Config: func() *config.Snapshot { return snap }, Log: zerolog.Nop(),
 	})
 	require.NoError(t, err)
-	t.Cleanup(giver.Close)
-	f.giver = giver
+	t.Cleanup(executor.Close)
+	f.executor = executor
 	return f
 }
 
 func (f *fixture) load(t *testing.T, server string) (engineorder.Outcome, error) {
-	return f.giver.Load(t.Context(), engineorder.Command{Server: server, Model: "briefing"})
+	return f.executor.Load(t.Context(), engineorder.Command{Server: server, Model: "briefing"})
 }
 
 func TestLoadReadsTheStateBeforeAndAfter(t *testing.T) {
@@ -181,7 +181,7 @@
 	f.engines.state, f.engines.noEffect = engine.State{}, true
 	_, err = f.load(t, "engine-1")
 	require.ErrorIs(t, err, engineorder.ErrSuperseded, "the engine accepted the command without effect")
-	_, err = f.giver.Load(t.Context(), engineorder.Command{Server: "engine-1", Model: "foreign"})
+	_, err = f.executor.Load(t.Context(), engineorder.Command{Server: "engine-1", Model: "foreign"})
 	require.ErrorIs(t, err, engineorder.ErrInvalid)
 }
 
@@ -285,7 +285,7 @@
 	}
 	require.Eventually(t, func() bool { return f.engines.commandCount() == 1 }, time.Minute, time.Millisecond)
 	var busy *engineorder.BusyError
-	_, err := f.giver.Load(t.Context(), engineorder.Command{Server: "engine-1", Model: "briefing", Version: "4"})
+	_, err := f.executor.Load(t.Context(), engineorder.Command{Server: "engine-1", Model: "briefing", Version: "4"})
 	require.ErrorAs(t, err, &busy)
 	_, err = f.load(t, "engine-2")
 	require.ErrorAs(t, err, &busy, "both load slots are in use")
@@ -293,7 +293,7 @@
 	wg.Wait()
 	require.Equal(t, 1, f.engines.commandCount(), "one command for repeated calls")
 	require.Eventually(t, func() bool {
-		_, err = f.giver.Load(t.Context(), engineorder.Command{Server: "engine-2", Model: "briefing", Version: "4"})
+		_, err = f.executor.Load(t.Context(), engineorder.Command{Server: "engine-2", Model: "briefing", Version: "4"})
 		return err == nil
 	}, time.Minute, time.Millisecond)
 }
--- a/internal/engineorder/handler.go
+++ b/internal/engineorder/handler.go
@@ -25,11 +25,11 @@
 // Handler returns the handler of commands that peers forward.
 func (g *Executor) Handler() peerv1connect.OrderServiceHandler { return &handler{g} }
 
-type handler struct{ giver *Executor }
+type handler struct{ executor *Executor }
 
 // LoadModel implements the service.
 func (h *handler) LoadModel(ctx context.Context, req *peerv1.LoadModelRequest) (*peerv1.LoadModelResponse, error) {
-	outcome, err := h.giver.Load(ctx, Command{Server: req.GetServer(), Model: req.GetModel(), Version: req.GetVersion()})
+	outcome, err := h.executor.Load(ctx, Command{Server: req.GetServer(), Model: req.GetModel(), Version: req.GetVersion()})
 	res := &peerv1.LoadModelResponse{Result: resultOf(err), FencingNumber: outcome.FencingToken, State: string(outcome.State)}
 	var busy *BusyError
 	if errors.As(err, &busy) {
--- a/internal/engineorder/lock.go
+++ b/internal/engineorder/lock.go
@@ -49,7 +49,7 @@
 	at      time.Time
 }
 
-// acquire acquires the lock with this name for a command. It fails with *BusyError, ErrOvertaken,
+// acquire acquires the lock with this name for a command. It fails with *BusyError, ErrSuperseded,
 // or ErrUnavailable.
 func (s *lockStore) acquire(ctx context.Context, name string, checksFencing bool, model, version string) (commandLock, error) {
 	held, err := s.read(ctx, name)
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -11,8 +11,8 @@
 // # Usage
 //
 //	switch d := order.Decide(now, timing, held, checksFencing).(type) {
-//	case order.Take: // conditional update on d.Version
-//	case order.Wait: // retry after d.For
+//	case order.Acquire: // conditional update on d.Version
+//	case order.Wait: // retry after d.Delay
 //	}
 //	if order.MaySend(time.Now(), timing, started) { ... }
 package order
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -17,7 +17,7 @@
 	runFor = time.Second
 )
 
-// attemptsOf is the number of attempts of each holder; the second holder may be the one that loses.
+// attemptsOf is the number of attempts of each holder; the second holder may lose.
 var attemptsOf = [holders]int8{2, 1}
 
 // phase is the progress of a holder's command.
@@ -177,8 +177,8 @@
 		h.seen, h.seenAt = w.version, w.now
 	}
 	held := order.LockState{Version: w.version, Record: order.Record{Ended: w.ended}, SeenAt: at(h.seenAt)}
-	if take, ok := order.Decide(at(w.now), s.timing, held, s.checked).(order.Acquire); ok {
-		h.phase, h.base = decided, take.Version
+	if acquire, ok := order.Decide(at(w.now), s.timing, held, s.checked).(order.Acquire); ok {
+		h.phase, h.base = decided, acquire.Version
 		h.started = w.now
 		h.attempts++
 		h.writeID = int8(i*maxAttempts) + h.attempts
--- a/internal/planner/groups.go
+++ b/internal/planner/groups.go
@@ -126,7 +126,7 @@
 }
 
 // sortedGroups returns the groups in the order in which they are asked: by the scores of their last
-// placements, with the requester's zone first among groups without one.
+// placements or, without a recent one, by a default score that prefers the requester's zone.
 func (p *Planner) sortedGroups(now time.Time, groups []group, zone, request string) []group {
 	if len(groups) == 1 {
 		return groups
--- a/internal/planner/loads.go
+++ b/internal/planner/loads.go
@@ -69,7 +69,7 @@
 	l.stale = true
 }
 
-// Apply stores a report unless a later one is current, and drops the assignments that it includes.
+// Apply stores a report unless a later one is stored, and drops the assignments that it includes.
 func (l *Loads) Apply(now time.Time, r Report) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -83,7 +83,7 @@
 		return TransferResponse{}, ErrUnavailable
 	}
 	now = p.opts.Now()
-	slot, ok := p.schedule.Slot(now, l.Engine, l.GenerationID, &targetFinder{p: p, now: now, service: service, leaving: l})
+	slot, ok := p.schedule.Slot(now, l.Engine, l.GenerationID, &targetFinder{p: p, now: now, service: service, request: l})
 	if !ok {
 		return TransferResponse{}, ErrUnavailable
 	}
@@ -98,15 +98,15 @@
 	p          *Planner
 	now        time.Time
 	service    *routes.Service
-	leaving    TransferRequest
+	request    TransferRequest
 	candidates map[string]observed.Server
 }
 
-// Candidates returns the engines with free capacity, best first. Engines of the group, whose loads
-// are known, come before all others.
+// Candidates returns the engines with free capacity, best first: those of the group, whose loads
+// are known, or, if there are none, any engines of the service.
 func (r *targetFinder) Candidates(c Copy) []Target {
 	all := r.p.opts.State.Servers(r.service.Name)
-	free := r.freeEngines(c, r.p.groupEngines(r.service.Name, r.leaving.Zone, r.leaving.Engine))
+	free := r.freeEngines(c, r.p.groupEngines(r.service.Name, r.request.Zone, r.request.Engine))
 	if len(free) == 0 {
 		free = r.freeEngines(c, all)
 	}
@@ -114,14 +114,14 @@
 	targets := make([]Target, 0, len(free))
 	for _, server := range free {
 		r.candidates[server.ID] = server
-		targets = append(targets, Target{ID: server.ID, Duration: migration.CopyTime(*r.service.Engine, c.Tokens, server.Zone != r.leaving.Zone)})
+		targets = append(targets, Target{ID: server.ID, Duration: migration.CopyTime(*r.service.Engine, c.Tokens, server.Zone != r.request.Zone)})
 	}
 	return targets
 }
 
 func (r *targetFinder) freeEngines(c Copy, engines []observed.Server) []observed.Server {
 	return r.p.loadBalancer.FreeServers(r.now, balancer.Request{
-		Service: r.service, Zone: r.leaving.Zone, Tokens: r.requiredTokens(c), Excluded: map[string]bool{r.leaving.Engine: true},
+		Service: r.service, Zone: r.request.Zone, Tokens: r.requiredTokens(c), Excluded: map[string]bool{r.request.Engine: true},
 		Instances: r.p.opts.Table.Count(r.now),
 	}, engines)
 }
@@ -129,8 +129,8 @@
 // requiredTokens returns the expected memory demand of a copy: the requester's estimate, or for
 // other copies from the same engine their current size and a default.
 func (r *targetFinder) requiredTokens(c Copy) int {
-	if c.GenerationID == r.leaving.GenerationID {
-		return r.leaving.RequiredTokens
+	if c.GenerationID == r.request.GenerationID {
+		return r.request.RequiredTokens
 	}
 	return c.Tokens + defaultRemainingTokens
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -94,10 +94,10 @@
 	// MaxScore is the score above which no engine is assigned because the requester has other
 	// groups to ask; 0 means no limit.
 	MaxScore float64 `json:"most,omitempty"`
-	// MaxPrefillWaitMillis limits how long the generation waits for the prefill of earlier prompts;
-	// beyond it the request is refused. 0 means no limit.
+	// MaxPrefillWaitMillis is the time in which the first token is wanted; a request whose prefill
+	// would end later is refused. 0 means no limit.
 	MaxPrefillWaitMillis int64 `json:"within,omitempty"`
-	// Force assigns the lowest loaded engine if all are full.
+	// Force assigns the least loaded engine if all are full.
 	Force bool `json:"anyway,omitempty"`
 	// Excluded are the IDs of engines that must not be assigned.
 	Excluded []string `json:"excluded,omitempty"`
@@ -165,8 +165,8 @@
 	}
 }
 
-// RequestTransfer requests a transfer slot from the instance that plans for the group of the engine that shuts
-// down.
+// RequestTransfer requests a transfer slot from the instance that plans for the group of the engine
+// that shuts down.
 func (p *Planner) RequestTransfer(ctx context.Context, l TransferRequest) (TransferResponse, error) {
 	l.Instance = p.opts.Self
 	address, ok := p.plannerAddress(p.groupKeyOf(l.Service, l.Zone, l.Engine), 0)
@@ -189,8 +189,8 @@
 }
 
 // Place returns the engine that a generation starts on. If the engines of one group are busy or
-// full, the next group is asked. If all groups are, the generation queues at the lowest loaded
-// engine of the lowest busy group.
+// full, the next group is asked. If all groups are, the generation queues at the least loaded
+// engine of the least busy group.
 func (p *Planner) Place(ctx context.Context, r PlacementRequest) (string, error) {
 	r.Instance = p.opts.Self
 	all, _ := p.groups(r.Service)
@@ -199,7 +199,7 @@
 	if len(groups) > 1 {
 		r.MaxScore = busyScore
 	}
-	lowest, lowestScore, err := "", float64(fullScore), ErrUnavailable
+	bestGroup, bestScore, err := "", float64(fullScore), ErrUnavailable
 	for _, g := range groups {
 		r.Group = g.key
 		res, failure := p.placeIn(ctx, r)
@@ -211,16 +211,16 @@
 			res.Score = fullScore
 		}
 		p.recordScore(g.key, p.opts.Now(), res.Score)
-		if failure == nil && res.Score < lowestScore {
-			lowest, lowestScore = g.key, res.Score
+		if failure == nil && res.Score < bestScore {
+			bestGroup, bestScore = g.key, res.Score
 		}
 		if failure != nil && !errors.Is(err, ErrFull) {
 			err = failure
 		}
 	}
 	switch {
-	case lowest != "":
-		r.Group, r.MaxScore = lowest, 0
+	case bestGroup != "":
+		r.Group, r.MaxScore = bestGroup, 0
 	case errors.Is(err, ErrFull):
 		r.Group, r.MaxScore, r.Force = groups[0].key, 0, true
 	default:
