--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -223,7 +223,7 @@
 
 // Guards against late first tokens under bursts, with all callers in one zone, with long and short
 // generations mixed, and while engines are replaced.
-func TestFirstTokensInTime(t *testing.T) {
+func TestFirstTokensAreOnTime(t *testing.T) {
 	small := workload{instances: 7, engines: 12, zones: 3, requestsPerSecond: 11, replaced: 2, planned: true}
 	large := workload{instances: 295, engines: 97, zones: 5, requestsPerSecond: 127, replaced: 16, planned: true}
 	with := func(l workload, change func(*workload)) workload { change(&l); return l }
@@ -254,7 +254,7 @@
 
 // Guards against queues in which every request is late. At twice the load that the engines can
 // prefill, accepted requests get their first token in time and the others are refused at once.
-func TestOverloadRefusesAtOnce(t *testing.T) {
+func TestSaturationRefusesAtOnce(t *testing.T) {
 	got := simulate(t, workload{instances: 78, engines: 20, zones: 4, requestsPerSecond: 90, planned: true})
 	t.Logf("%+v", got)
 	served := got.requests - got.refused
@@ -265,7 +265,7 @@
 
 // Guards against a planner that is no better than placing by an instance's own load, the fallback
 // of instances that reach no planner.
-func TestPlannerBeatsLocalPlacement(t *testing.T) {
+func TestPlanBeatsPlacingAlone(t *testing.T) {
 	l := workload{instances: 295, engines: 97, zones: 5, requestsPerSecond: 127, replaced: 16}
 	local := simulate(t, l)
 	l.planned = true
