--- a/internal/engineorder/handler.go
+++ b/internal/engineorder/handler.go
@@ -11,7 +11,7 @@
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1/peerv1connect"
 )
 
-// The results of orders between instances.
+// Results of commands between instances.
 const (
 	resultDone        = "done"
 	resultBusy        = "busy"
@@ -22,18 +22,18 @@
 	resultUnknown     = "unknown"
 )
 
-// Handler returns what carries out the orders that peers pass on.
-func (g *Giver) Handler() peerv1connect.OrderServiceHandler { return &handler{g} }
+// Handler returns the handler of commands that peers forward.
+func (g *Executor) Handler() peerv1connect.OrderServiceHandler { return &handler{g} }
 
-type handler struct{ giver *Giver }
+type handler struct{ executor *Executor }
 
 // LoadModel implements the service.
 func (h *handler) LoadModel(ctx context.Context, req *peerv1.LoadModelRequest) (*peerv1.LoadModelResponse, error) {
-	outcome, err := h.giver.Load(ctx, Order{Server: req.GetServer(), Model: req.GetModel(), Version: req.GetVersion()})
-	res := &peerv1.LoadModelResponse{Result: resultOf(err), FencingNumber: outcome.Number, State: string(outcome.State)}
+	outcome, err := h.executor.Load(ctx, Command{Server: req.GetServer(), Model: req.GetModel(), Version: req.GetVersion()})
+	res := &peerv1.LoadModelResponse{Result: resultOf(err), FencingNumber: outcome.FencingToken, State: string(outcome.State)}
 	var busy *BusyError
 	if errors.As(err, &busy) {
-		res.Message, res.RetryAfterMillis = busy.Holder, busy.For.Milliseconds()
+		res.Message, res.RetryAfterMillis = busy.Holder, busy.RetryAfter.Milliseconds()
 	} else if err != nil {
 		res.Message = err.Error()
 	}
@@ -51,7 +51,7 @@
 		return resultNotOwner
 	case errors.Is(err, ErrInvalid):
 		return resultInvalid
-	case errors.Is(err, ErrOvertaken):
+	case errors.Is(err, ErrSuperseded):
 		return resultOvertaken
 	case errors.Is(err, ErrUnavailable):
 		return resultUnavailable
@@ -59,22 +59,22 @@
 	return resultUnknown
 }
 
-// FromPeer reads the answer of a peer that an order was passed on to.
+// FromPeer converts the response of a peer that a command was forwarded to.
 func FromPeer(res *peerv1.LoadModelResponse) (Outcome, error) {
-	outcome := Outcome{Number: res.GetFencingNumber(), State: State(res.GetState())}
+	outcome := Outcome{FencingToken: res.GetFencingNumber(), State: State(res.GetState())}
 	switch res.GetResult() {
 	case resultDone:
 		return outcome, nil
 	case resultBusy:
-		return outcome, &BusyError{Holder: res.GetMessage(), For: time.Duration(res.GetRetryAfterMillis()) * time.Millisecond}
+		return outcome, &BusyError{Holder: res.GetMessage(), RetryAfter: time.Duration(res.GetRetryAfterMillis()) * time.Millisecond}
 	case resultNotOwner:
 		return outcome, ErrNotOwner
 	case resultInvalid:
 		return outcome, merry.Append(ErrInvalid, res.GetMessage())
 	case resultOvertaken:
-		return outcome, ErrOvertaken
+		return outcome, ErrSuperseded
 	case resultUnavailable:
 		return outcome, merry.Append(ErrUnavailable, res.GetMessage())
 	}
-	return outcome, merry.Append(ErrUnknown, res.GetMessage())
+	return outcome, merry.Append(ErrUnknownOutcome, res.GetMessage())
 }
--- a/internal/ingress/active_streams.go
+++ b/internal/ingress/active_streams.go
@@ -17,7 +17,7 @@
 
 func newActiveStreams() *activeStreams { return &activeStreams{all: map[*activeStream]struct{}{}} }
 
-func (a *activeStreams) add(req *request, place balancer.Place) *activeStream {
+func (a *activeStreams) add(req *request, place balancer.Placement) *activeStream {
 	st := &activeStream{request: req, placement: place, lastID: req.lastEventID, cutover: make(chan resumePoint, 1)}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -44,7 +44,7 @@
 
 // resumePoint says where a generation that was stopped or copied can resume.
 type resumePoint struct {
-	target        balancer.Place
+	target        balancer.Placement
 	sourceAddress string
 	handle        string
 	// unconfirmed says that the source engine hasn't confirmed that it stopped the generation.
@@ -61,7 +61,7 @@
 	cutover chan resumePoint
 
 	mu        sync.Mutex
-	placement balancer.Place
+	placement balancer.Placement
 	lastID    int64
 	// lastEventAt is when the last event arrived; abort interrupts the read of the next one.
 	lastEventAt time.Time
@@ -164,14 +164,14 @@
 	return a.placement.Server
 }
 
-func (a *activeStream) currentPlacement() balancer.Place {
+func (a *activeStream) currentPlacement() balancer.Placement {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.placement
 }
 
 // releaseUnclaimed releases the load of a cutover result that no handler waited for.
-func (a *activeStream) releaseUnclaimed(release func(balancer.Place)) {
+func (a *activeStream) releaseUnclaimed(release func(balancer.Placement)) {
 	select {
 	case point := <-a.cutover:
 		if point.err == nil {
@@ -298,7 +298,7 @@
 }
 
 // resumeAt records the server on which the stream resumes; it may be migrated again from there.
-func (a *activeStream) resumeAt(place balancer.Place) {
+func (a *activeStream) resumeAt(place balancer.Placement) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.placement, a.cuttingOver, a.cutoverAwaited = place, false, false
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -112,7 +112,7 @@
 }
 
 // attempt sends the request to one backend server.
-func (s *Server) attempt(ctx context.Context, c *app.RequestContext, r *request, place balancer.Place, t *attempts) result {
+func (s *Server) attempt(ctx context.Context, c *app.RequestContext, r *request, place balancer.Placement, t *attempts) result {
 	now := s.opts.Now()
 	deadline := r.startDeadline
 	if r.route.Repeatable() && t.possibleRuns+1 < r.route.MaxAttempts {
@@ -123,7 +123,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, deadline.Sub(now))
 	defer cancel()
-	defer s.opts.Balancer.Done(place)
+	defer s.opts.Balancer.Release(place)
 	response, err := s.upstream.Do(ctx, place.Server.Address, s.upstreamRequest(now, r, place, nil), false)
 	if err != nil {
 		return classifyError(err)
@@ -132,7 +132,7 @@
 }
 
 // upstreamRequest returns the request that is sent to the server, with additional header fields.
-func (s *Server) upstreamRequest(now time.Time, r *request, place balancer.Place, extra []service.Header) upstream.Request {
+func (s *Server) upstreamRequest(now time.Time, r *request, place balancer.Placement, extra []service.Header) upstream.Request {
 	deadline := r.callerDeadline
 	if r.route.Kind != routes.Stream {
 		deadline = r.startDeadline
@@ -196,7 +196,7 @@
 )
 
 // handleResult reports whether to make another attempt, or responds to the caller.
-func (s *Server) handleResult(ctx context.Context, c *app.RequestContext, r *request, place balancer.Place, t *attempts, res result) (bool, error) {
+func (s *Server) handleResult(ctx context.Context, c *app.RequestContext, r *request, place balancer.Placement, t *attempts, res result) (bool, error) {
 	now := s.opts.Now()
 	id := place.Server.ID
 	switch res := res.(type) {
@@ -224,7 +224,7 @@
 			s.reportCrash(place.Server, r)
 		}
 		if res.cause != retry.CauseRefused {
-			s.opts.Balancer.Failed(now, id)
+			s.opts.Balancer.RecordFailure(now, id)
 		}
 		if res.cause == retry.CauseNotSent {
 			t.failedDials++
--- a/internal/ingress/migrations.go
+++ b/internal/ingress/migrations.go
@@ -107,7 +107,7 @@
 	st.cutover <- resumePoint{target: m.target, sourceAddress: source.Address, handle: migrated.Handle}
 	st.abortRead()
 	if st.finished() {
-		st.releaseUnclaimed(s.opts.Balancer.Done)
+		st.releaseUnclaimed(s.opts.Balancer.Release)
 	}
 }
 
--- a/internal/ingress/migrator.go
+++ b/internal/ingress/migrator.go
@@ -58,8 +58,8 @@
 		return false
 	}
 	r := m.stream.request
-	slot, err := m.s.opts.Planner.Ask(ctx, planner.Leaving{
-		Run: r.id, Service: r.service.Name, Engine: m.source.ID, Zone: m.source.Zone, Tokens: r.promptTokens + m.stream.generatedTokens(), Need: m.requiredTokens(),
+	slot, err := m.s.opts.Planner.RequestTransfer(ctx, planner.TransferRequest{
+		GenerationID: r.id, Service: r.service.Name, Engine: m.source.ID, Zone: m.source.Zone, Tokens: r.promptTokens + m.stream.generatedTokens(), RequiredTokens: m.requiredTokens(),
 	})
 	if err != nil {
 		m.s.log.Info().Str("request", r.id).Str("server", m.source.ID).Err(err).Msg("migration without a transfer slot")
@@ -68,10 +68,10 @@
 	if objectapi.Pause(ctx, slot.Wait()) != nil {
 		return false
 	}
-	server, ok := m.s.opts.State.Server(slot.To)
+	server, ok := m.s.opts.State.Server(slot.Target)
 	now := m.s.opts.Now()
-	if ok && !server.Leaving && !m.stream.finished() && m.s.opts.Balancer.Failures(now, slot.To) < maxRecentFailures {
-		m.target, m.reserved = balancer.Place{Server: server, Tokens: m.requiredTokens()}, true
+	if ok && !server.Leaving && !m.stream.finished() && m.s.opts.Balancer.Failures(now, slot.Target) < maxRecentFailures {
+		m.target, m.reserved = balancer.Placement{Server: server, Tokens: m.requiredTokens()}, true
 		m.s.opts.Balancer.Reserve(now, m.target)
 	}
 	return true
@@ -101,7 +101,7 @@
 	excluded map[string]bool
 	// target is the engine that the KV cache is copied to. Its reserved load belongs to the
 	// migrator while reserved is set, and to the stream's copy afterwards.
-	target   balancer.Place
+	target   balancer.Placement
 	reserved bool
 }
 
@@ -118,7 +118,7 @@
 	if err != nil {
 		m.excluded[m.target.Server.ID] = true
 		if status == http.StatusServiceUnavailable && elapsed >= minUnreachableTime {
-			m.s.opts.Balancer.Failed(m.s.opts.Now(), m.target.Server.ID)
+			m.s.opts.Balancer.RecordFailure(m.s.opts.Now(), m.target.Server.ID)
 		}
 		m.releaseReservation()
 		return elapsed, err
@@ -133,10 +133,10 @@
 	r := m.stream.request
 	choice := m.s.opts.Balancer.Pick(m.s.opts.Now(), balancer.Request{
 		Service: r.service, Zone: m.source.Zone, Tokens: m.requiredTokens(), Excluded: m.excluded, Instances: m.s.opts.Instances(),
-		Spread: xxhash.Sum64String(r.id),
+		SpreadKey: xxhash.Sum64String(r.id),
 	}, m.s.opts.State.Servers(r.service.Name))
 	picked, ok := choice.(balancer.Picked)
-	m.target, m.reserved = picked.Place, ok
+	m.target, m.reserved = picked.Placement, ok
 	return ok
 }
 
@@ -148,7 +148,7 @@
 
 func (m *migrator) releaseReservation() {
 	if m.reserved {
-		m.s.opts.Balancer.Done(m.target)
+		m.s.opts.Balancer.Release(m.target)
 		m.reserved = false
 	}
 }
@@ -178,9 +178,9 @@
 	case err != nil && migrated.Handle != "":
 		// The engine has stopped the generation and keeps its KV cache; it resumes there.
 		if copied {
-			m.s.opts.Balancer.Done(point.target)
+			m.s.opts.Balancer.Release(point.target)
 		}
-		point = resumePoint{target: balancer.Place{Server: m.source, Tokens: m.requiredTokens()}, sourceAddress: m.source.Address, handle: migrated.Handle}
+		point = resumePoint{target: balancer.Placement{Server: m.source, Tokens: m.requiredTokens()}, sourceAddress: m.source.Address, handle: migrated.Handle}
 		m.s.opts.Balancer.Reserve(m.s.opts.Now(), point.target)
 	case err != nil && !copied:
 		point = resumePoint{err: err}
@@ -191,7 +191,7 @@
 	}
 	m.stream.cutover <- point
 	if m.stream.finished() {
-		m.stream.releaseUnclaimed(m.s.opts.Balancer.Done)
+		m.stream.releaseUnclaimed(m.s.opts.Balancer.Release)
 	}
 }
 
@@ -202,7 +202,7 @@
 	if !ok {
 		return
 	}
-	m.s.opts.Balancer.Done(point.target)
+	m.s.opts.Balancer.Release(point.target)
 	m.s.freeCopy(ctx, point)
 }
 
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -23,7 +23,7 @@
 )
 
 // chooseServer chooses a backend server for an attempt and reserves its load.
-func (s *Server) chooseServer(ctx context.Context, now time.Time, r *request, t *attempts) (balancer.Place, *answer.Failure) {
+func (s *Server) chooseServer(ctx context.Context, now time.Time, r *request, t *attempts) (balancer.Placement, *answer.Failure) {
 	if place, ok := s.placeOnCanary(now, r, t); ok {
 		return place, nil
 	}
@@ -32,42 +32,42 @@
 	case err == nil:
 		return place, nil
 	case errors.Is(err, planner.ErrFull):
-		return balancer.Place{}, s.fullFailure()
+		return balancer.Placement{}, s.fullFailure()
 	}
 	choice := s.opts.Balancer.Pick(now, balancer.Request{
-		Service: r.service, Zone: s.opts.Zone, Tokens: r.promptTokens + r.expectedOutput, Prompt: r.promptTokens, Excluded: t.excluded, Instances: s.opts.Instances(),
-		Repeatable: r.route.Repeatable(),
+		Service: r.service, Zone: s.opts.Zone, Tokens: r.promptTokens + r.expectedOutput, PromptTokens: r.promptTokens, Excluded: t.excluded, Instances: s.opts.Instances(),
+		Retryable: r.route.Repeatable(),
 	}, s.opts.State.Servers(r.service.Name))
 	switch choice := choice.(type) {
 	case balancer.Picked:
-		s.log.Info().Str("request", r.id).Str("server", choice.Place.Server.ID).Str("zone", choice.Place.Server.Zone).
-			Float64("load", choice.Score).Int("attempt", t.sends+1).Int("tokens", choice.Place.Tokens).Msg("request placed")
-		return choice.Place, nil
+		s.log.Info().Str("request", r.id).Str("server", choice.Placement.Server.ID).Str("zone", choice.Placement.Server.Zone).
+			Float64("load", choice.Score).Int("attempt", t.sends+1).Int("tokens", choice.Placement.Tokens).Msg("request placed")
+		return choice.Placement, nil
 	case balancer.Full:
-		return balancer.Place{}, s.fullFailure()
+		return balancer.Placement{}, s.fullFailure()
 	}
 	f := answer.NotRun(http.StatusServiceUnavailable, answer.CodeBackendLost, "no backend server is available")
 	f.RetryAfter = noServerRetryAfter
-	return balancer.Place{}, f
+	return balancer.Placement{}, f
 }
 
 // placeOnCanary chooses a canary server for the first attempt of a request that is sampled for the
 // rollout. A second attempt goes to the version that is known to be good.
-func (s *Server) placeOnCanary(now time.Time, r *request, t *attempts) (balancer.Place, bool) {
+func (s *Server) placeOnCanary(now time.Time, r *request, t *attempts) (balancer.Placement, bool) {
 	if s.opts.Rollouts == nil || t.sends+t.failedDials > 0 || t.resuming {
-		return balancer.Place{}, false
+		return balancer.Placement{}, false
 	}
 	servers, ok := s.opts.Rollouts.Canary(now, r.service.Name, s.rng().Float64())
 	if !ok {
-		return balancer.Place{}, false
+		return balancer.Placement{}, false
 	}
 	picked, ok := s.opts.Balancer.Pick(now, balancer.Request{
-		Service: r.service, Zone: s.opts.Zone, Tokens: r.promptTokens + r.expectedOutput, Prompt: r.promptTokens, Instances: s.opts.Instances(), Whole: true,
+		Service: r.service, Zone: s.opts.Zone, Tokens: r.promptTokens + r.expectedOutput, PromptTokens: r.promptTokens, Instances: s.opts.Instances(), CompareAll: true,
 	}, servers).(balancer.Picked)
 	if ok {
-		s.log.Info().Str("request", r.id).Str("server", picked.Place.Server.ID).Str("version", picked.Place.Server.Version).Msg("request placed on a canary")
+		s.log.Info().Str("request", r.id).Str("server", picked.Placement.Server.ID).Str("version", picked.Placement.Server.Version).Msg("request placed on a canary")
 	}
-	return picked.Place, ok
+	return picked.Placement, ok
 }
 
 // recordOutcome counts the outcome of a request for outlier detection and for a rollout of the
@@ -89,29 +89,29 @@
 
 // placeByPlanner lets the planner choose an engine. The choice is used only if this instance knows
 // no reason against it.
-func (s *Server) placeByPlanner(ctx context.Context, r *request, t *attempts) (balancer.Place, error) {
+func (s *Server) placeByPlanner(ctx context.Context, r *request, t *attempts) (balancer.Placement, error) {
 	if s.opts.Planner == nil || !r.isGeneration() {
-		return balancer.Place{}, planner.ErrUnavailable
+		return balancer.Placement{}, planner.ErrUnavailable
 	}
-	req := planner.Placing{
-		Request: r.id, Service: r.service.Name, Zone: s.opts.Zone, Prompt: r.promptTokens, Need: r.promptTokens + r.expectedOutput,
-		Excluded: slices.Collect(maps.Keys(t.excluded)), Within: r.route.TargetLatency.Milliseconds(),
+	req := planner.PlacementRequest{
+		RequestID: r.id, Service: r.service.Name, Zone: s.opts.Zone, PromptTokens: r.promptTokens, RequiredTokens: r.promptTokens + r.expectedOutput,
+		Excluded: slices.Collect(maps.Keys(t.excluded)), MaxPrefillWaitMillis: r.route.TargetLatency.Milliseconds(),
 	}
 	id, err := s.opts.Planner.Place(ctx, req)
 	if err != nil {
-		return balancer.Place{}, err
+		return balancer.Placement{}, err
 	}
 	if t.excluded[id] || s.opts.Balancer.Failures(s.opts.Now(), id) >= maxRecentFailures {
-		return balancer.Place{}, planner.ErrUnavailable
+		return balancer.Placement{}, planner.ErrUnavailable
 	}
 	for _, server := range s.opts.State.Servers(r.service.Name) {
 		if server.ID == id {
-			place := balancer.Place{Server: server, Tokens: req.Need, Prompt: r.promptTokens}
+			place := balancer.Placement{Server: server, Tokens: req.RequiredTokens, PromptTokens: r.promptTokens}
 			s.opts.Balancer.Reserve(s.opts.Now(), place)
 			s.log.Info().Str("request", r.id).Str("server", id).Str("zone", server.Zone).Int("attempt", t.sends+1).
 				Int("tokens", place.Tokens).Msg("request placed by the planner")
 			return place, nil
 		}
 	}
-	return balancer.Place{}, planner.ErrUnavailable
+	return balancer.Placement{}, planner.ErrUnavailable
 }
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -65,7 +65,7 @@
 
 // stream sends a streaming request to one server and relays its events. The first event must arrive
 // within limit.
-func (s *Server) stream(ctx context.Context, c *app.RequestContext, r *request, place balancer.Place, limit time.Duration) result {
+func (s *Server) stream(ctx context.Context, c *app.RequestContext, r *request, place balancer.Placement, limit time.Duration) result {
 	cs := &callerStream{s: s, c: c, r: r, stream: s.streams.add(r, place), sentAt: s.opts.Now()}
 	defer cs.end()
 	ctx, cancel := context.WithCancel(ctx)
@@ -99,7 +99,7 @@
 			return cs.abort(failed{cause: retry.CauseLost, mayHaveRun: true, err: err})
 		case !cs.stream.isCuttingOver():
 			server := cs.stream.server()
-			s.opts.Balancer.Failed(s.opts.Now(), server.ID)
+			s.opts.Balancer.RecordFailure(s.opts.Now(), server.ID)
 			s.reportCrash(server, r)
 			if known, ok := s.opts.State.Server(server.ID); ok && !known.Leaving {
 				s.recordOutcome(server, r, rollout.MetricAnswer, true, 0)
@@ -119,17 +119,17 @@
 // end releases the load on the stream's server and on the target of an unfinished migration.
 func (cs *callerStream) end() {
 	cs.s.streams.remove(cs.stream)
-	cs.s.opts.Balancer.Done(cs.stream.currentPlacement())
-	cs.stream.releaseUnclaimed(cs.s.opts.Balancer.Done)
+	cs.s.opts.Balancer.Release(cs.stream.currentPlacement())
+	cs.stream.releaseUnclaimed(cs.s.opts.Balancer.Release)
 	if point, ok := cs.stream.takeCopy(); ok {
-		cs.s.opts.Balancer.Done(point.target)
+		cs.s.opts.Balancer.Release(point.target)
 		cs.s.discardCopy(point)
 	}
 }
 
 // switchTo records the server on which the stream resumes; its load is reserved already.
-func (cs *callerStream) switchTo(place balancer.Place) {
-	cs.s.opts.Balancer.Done(cs.stream.currentPlacement())
+func (cs *callerStream) switchTo(place balancer.Placement) {
+	cs.s.opts.Balancer.Release(cs.stream.currentPlacement())
 	cs.stream.resumeAt(place)
 }
 
@@ -263,7 +263,7 @@
 // still running, is told to stop first: the generation must not run on two engines.
 func (cs *callerStream) resumeFromCopy(ctx context.Context, point resumePoint) (*upstream.Response, error) {
 	if !cs.stopSource(ctx, point) {
-		cs.s.opts.Balancer.Done(point.target)
+		cs.s.opts.Balancer.Release(point.target)
 		return nil, errSourceStillRuns
 	}
 	return cs.resumeAt(ctx, point)
@@ -313,7 +313,7 @@
 	return cs.send(ctx, place)
 }
 
-func (cs *callerStream) send(ctx context.Context, place balancer.Place, extra ...service.Header) (*upstream.Response, error) {
+func (cs *callerStream) send(ctx context.Context, place balancer.Placement, extra ...service.Header) (*upstream.Response, error) {
 	if last := cs.stream.lastEventID(); last > 0 {
 		extra = append(extra, service.Header{Name: cs.s.fields.LastEventID, Value: strconv.FormatInt(last, 10)})
 	}
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -41,14 +41,14 @@
 	in.table = membership.NewTable(membership.Record{
 		ID: cfg.Instance, Peer: cfg.PeerAddress, Caller: cfg.CallerAddress, Zone: cfg.Zone, StartedAt: time.Now().UnixMilli(),
 	})
-	bounds := balancer.Bounds{ColdOverage: cfg.ColdOverage, ColdSlack: cfg.ColdSlack}
+	bounds := balancer.ColdLimits{ColdOverage: cfg.ColdOverage, ColdSlack: cfg.ColdSlack}
 	lb := balancer.New(bounds, rand.New(rand.NewPCG(rand.Uint64(), 1)), nil)
 	key, err := peer.NewKey(cfg.PeerKey)
 	if err != nil {
 		return err
 	}
 	in.planner = planner.New(planner.Options{
-		Self: cfg.Instance, Table: in.table, Key: key, State: in.state, Bounds: bounds, Own: lb.Load, Changed: lb.Changed(), Failures: lb.Failures,
+		Self: cfg.Instance, Table: in.table, Key: key, State: in.state, ColdLimits: bounds, OwnLoads: lb.Loads, LoadChanged: lb.Changed(), Failures: lb.Failures,
 		Log: telemetry.Part(in.tel.Log, "planner"), Now: time.Now,
 	})
 	in.buildRollouts(key, objects, lb)
@@ -102,7 +102,7 @@
 	in.rollouts = rolloutpeer.New(rolloutpeer.Options{
 		Self: in.cfg.Instance, Table: in.table, Key: key, State: in.state, Objects: objects, Dialect: in.opts.Dialect,
 		Limits:    rollout.Limits{Share: in.cfg.ExposureShare, Slack: in.cfg.ExposureSlack},
-		Remaining: func(server string) int { return lb.On(server).Running }, StageChanged: func() { in.gossip.Broadcast() },
+		Remaining: func(server string) int { return lb.LoadOn(server).Running }, StageChanged: func() { in.gossip.Broadcast() },
 		Log: telemetry.Part(in.tel.Log, "rollout"), Scope: in.tel.Metrics.SubScope("rollout"), Now: time.Now,
 	})
 }
--- a/internal/serve/models.go
+++ b/internal/serve/models.go
@@ -23,22 +23,22 @@
 type models struct {
 	self  string
 	fleet *fleet.Fleet
-	local *engineorder.Giver
+	local *engineorder.Executor
 	peers *peer.Pool
 }
 
 // Load implements operator.Models.
 func (m models) Load(ctx context.Context, _ time.Time, model string, o operatorapi.Order) (operatorapi.OrderOutcome, error) {
-	outcome, err := m.give(ctx, engineorder.Order{Server: o.Server, Model: model, Version: o.Version})
+	outcome, err := m.give(ctx, engineorder.Command{Server: o.Server, Model: model, Version: o.Version})
 	if err != nil {
 		return operatorapi.OrderOutcome{}, orderError(err)
 	}
 	return operatorapi.OrderOutcome{
-		Server: o.Server, Model: model, FencingNumber: outcome.Number, State: string(outcome.State),
+		Server: o.Server, Model: model, FencingNumber: outcome.FencingToken, State: string(outcome.State),
 	}, nil
 }
 
-func (m models) give(ctx context.Context, o engineorder.Order) (engineorder.Outcome, error) {
+func (m models) give(ctx context.Context, o engineorder.Command) (engineorder.Outcome, error) {
 	to, ok := m.fleet.Owner(o.Server)
 	if !ok || to.ID == m.self {
 		return m.local.Load(ctx, o)
@@ -49,7 +49,7 @@
 		Server: o.Server, Model: o.Model, Version: o.Version,
 	})
 	if err != nil {
-		return engineorder.Outcome{}, merry.Wrap(engineorder.ErrUnknown, merry.WithCause(err),
+		return engineorder.Outcome{}, merry.Wrap(engineorder.ErrUnknownOutcome, merry.WithCause(err),
 			merry.AppendMessagef("owner %s gave no answer; repeat the order, it reads the state first", to.ID))
 	}
 	return engineorder.FromPeer(res)
@@ -59,7 +59,7 @@
 func orderError(err error) error {
 	var busy *engineorder.BusyError
 	switch {
-	case errors.As(err, &busy), errors.Is(err, engineorder.ErrInvalid), errors.Is(err, engineorder.ErrOvertaken):
+	case errors.As(err, &busy), errors.Is(err, engineorder.ErrInvalid), errors.Is(err, engineorder.ErrSuperseded):
 		return merry.Append(operator.ErrRefused, err.Error())
 	case errors.Is(err, engineorder.ErrNotOwner):
 		return merry.Append(operator.ErrUnavailable, "the backend server is changing its owner; repeat the order")
--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -49,7 +49,7 @@
 	owner      *owner.Owner
 	router     *router.Router
 	fleet      *fleet.Fleet
-	orders     *engineorder.Giver
+	orders     *engineorder.Executor
 	models     models
 	journal    *journal.Journal
 	peerServer *peer.Server
@@ -69,7 +69,7 @@
 	p.objects = objectapi.NewClient(s.PlatformURL, objectapi.Options{OnCall: p.countCall})
 	p.store = config.NewStore(config.StoreOptions{Objects: p.objects, Log: telemetry.Part(tel.Log, "config")})
 	p.claims = claim.NewStore(p.claimOptions())
-	p.engines = engine.NewClient(engine.Options{Loads: p.costs.Of(control.RoleLoadPolls)})
+	p.engines = engine.NewClient(engine.Options{LoadMeter: p.costs.Of(control.RoleLoadPolls)})
 	p.services = service.NewClient(service.Options{LoadMeter: p.costs.Of(control.RoleLoadPolls)})
 	p.retries = retry.NewBudgets(rand.New(rand.NewPCG(seed(s, 3), 0)))
 	return p, p.newPeers()
@@ -151,12 +151,12 @@
 	})
 	p.peerServer.HandleQueries(p.fleet.Handler())
 	p.orders, err = engineorder.New(engineorder.Options{
-		Self:    p.settings.Instance,
-		Objects: p.objects,
-		Engines: p.engines,
-		Rights:  p.members,
-		Config:  p.store.Snapshot,
-		Log:     telemetry.Part(p.tel.Log, "order"),
+		Self:      p.settings.Instance,
+		Objects:   p.objects,
+		Engines:   p.engines,
+		Ownership: p.members,
+		Config:    p.store.Snapshot,
+		Log:       telemetry.Part(p.tel.Log, "order"),
 	})
 	if err != nil {
 		return err
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -60,22 +60,22 @@
 
 func (s *Server) state() engine.State {
 	return engine.State{
-		Incarnation:          s.incarnation,
-		Role:                 s.orders.role,
-		Models:               append([]engine.ModelVersion{}, s.orders.models...),
-		Adapters:             append([]engine.ModelVersion{}, s.orders.adapters...),
-		HighestFencingNumber: s.orders.highest,
+		Incarnation:         s.incarnation,
+		Role:                s.orders.role,
+		Models:              append([]engine.ModelVersion{}, s.orders.models...),
+		Adapters:            append([]engine.ModelVersion{}, s.orders.adapters...),
+		HighestFencingToken: s.orders.highest,
 	}
 }
 
 func (s *Server) handleOrder(ctx context.Context, c *app.RequestContext) {
-	var order engine.Order
+	var order engine.Command
 	if err := json.Unmarshal(c.Request.Body(), &order); err != nil || order.Name == "" {
 		writeRefusal(c, &refusal{status: http.StatusBadRequest, code: "badOrder"})
 		return
 	}
-	if highest, ok := s.fence(order.FencingNumber); !ok {
-		c.JSON(http.StatusConflict, engine.StaleFencing{Highest: highest})
+	if highest, ok := s.fence(order.FencingToken); !ok {
+		c.JSON(http.StatusConflict, engine.StaleFencingError{Highest: highest})
 		return
 	}
 	if err := s.readWeights(ctx, order); err != nil {
@@ -84,17 +84,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.opts.CheckFencing && order.FencingNumber < s.orders.highest {
+	if s.opts.CheckFencing && order.FencingToken < s.orders.highest {
 		// A later order came while this one read its weights.
-		c.JSON(http.StatusConflict, engine.StaleFencing{Highest: s.orders.highest})
+		c.JSON(http.StatusConflict, engine.StaleFencingError{Highest: s.orders.highest})
 		return
 	}
 	switch order.Kind {
-	case engine.OrderLoadModel:
+	case engine.CommandLoadModel:
 		s.orders.setModel(order.Name, order.Version)
-	case engine.OrderLoadAdapter:
+	case engine.CommandLoadAdapter:
 		s.orders.adapters = setVersion(s.orders.adapters, order.Name, order.Version)
-	case engine.OrderSetRole:
+	case engine.CommandSetRole:
 		s.orders.role = order.Name
 	default:
 		writeRefusal(c, &refusal{status: http.StatusBadRequest, code: "badOrder"})
@@ -115,8 +115,8 @@
 }
 
 // readWeights takes the time of reading weights.
-func (s *Server) readWeights(ctx context.Context, order engine.Order) error {
-	if order.Kind == engine.OrderSetRole {
+func (s *Server) readWeights(ctx context.Context, order engine.Command) error {
+	if order.Kind == engine.CommandSetRole {
 		return nil
 	}
 	if s.opts.WeightStore == "" {
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -121,8 +121,8 @@
 		first := b.mustStart("r1", long, 1000)
 		before := b.load().Incarnation
 		_, err := b.start("r2", long, 1000)
-		require.ErrorIs(t, err, client.ErrLost)
-		require.ErrorIs(t, drain(first), client.ErrStreamCut)
+		require.ErrorIs(t, err, client.ErrUnknownOutcome)
+		require.ErrorIs(t, drain(first), client.ErrStreamInterrupted)
 		require.NotEqual(t, before, b.load().Incarnation)
 		for _, entry := range b.ledger().Generations {
 			require.Equal(t, engine.EndingLost, entry.Ending)
@@ -162,8 +162,8 @@
 			}
 			require.Eventually(t, func() bool { r := b.load(); return len(r.Running) == 1 && r.State == want }, patience, time.Millisecond)
 			_, err := b.start("r2", long, 1000)
-			require.ErrorIs(t, err, client.ErrLost)
-			require.ErrorIs(t, drain(first), client.ErrStreamCut)
+			require.ErrorIs(t, err, client.ErrUnknownOutcome)
+			require.ErrorIs(t, drain(first), client.ErrStreamInterrupted)
 		})
 	}
 }
@@ -174,8 +174,8 @@
 			b := newBench(t, func(o *engine.Options) { o.PoisonMarker = "xyzzy"; o.Crash = crash })
 			neighbour := b.mustStart("r1", long, 1000)
 			_, err := b.start("r2", "say xyzzy", 10)
-			require.ErrorIs(t, err, client.ErrLost)
-			require.ErrorIs(t, drain(neighbour), client.ErrStreamCut)
+			require.ErrorIs(t, err, client.ErrUnknownOutcome)
+			require.ErrorIs(t, drain(neighbour), client.ErrStreamInterrupted)
 			if crash == engine.CrashRestart {
 				b.mustStart("r3", long, 10)
 				return
@@ -197,7 +197,7 @@
 	_, err = s.Next()
 	require.NoError(t, err, "what runs goes on until the end of the notice")
 	b.control("leave", `{"noticeMillis":1}`)
-	require.ErrorIs(t, drain(s), client.ErrStreamCut)
+	require.ErrorIs(t, drain(s), client.ErrStreamInterrupted)
 	require.ErrorIs(t, <-b.ended, engine.ErrCrashed)
 }
 
@@ -214,7 +214,7 @@
 	require.Equal(t, []string{"r1", "r2"}, []string{l.Generations[0].RequestID, l.Generations[1].RequestID})
 	require.Positive(t, l.Generations[1].Preemptions)
 	require.Positive(t, l.Generations[1].StallMillis)
-	require.Equal(t, int64(l.Generations[1].OutputTokens)+1, second.Last())
+	require.Equal(t, int64(l.Generations[1].OutputTokens)+1, second.LastPosition())
 }
 
 func TestFullEngineRefuses(t *testing.T) {
@@ -276,7 +276,7 @@
 	_, err := b.start("r1", long, 5)
 	require.ErrorIs(t, err, client.ErrUnknownModel)
 	began := time.Now()
-	_, err = b.client.Order(b.ctx, b.address, client.Order{FencingNumber: 1, Kind: client.OrderLoadModel, Name: "m", Version: "2"})
+	_, err = b.client.SendCommand(b.ctx, b.address, client.Command{FencingToken: 1, Kind: client.CommandLoadModel, Name: "m", Version: "2"})
 	require.NoError(t, err)
 	// One MiB at four a second, less the first burst, can't come faster.
 	require.Greater(t, time.Since(began), 200*time.Millisecond)
--- a/test/outcome/world_test.go
+++ b/test/outcome/world_test.go
@@ -216,7 +216,7 @@
 	for i, n := range nodes {
 		d := n.state.Acquire(w.now, w.askOf(c, len(nodes) == 1))
 		if no, ok := d.(admission.Unavailable); ok {
-			w.views[n.server.Name] = placement.View{LoadPermille: no.LoadPermille, At: w.now}
+			w.views[n.server.Name] = placement.View{LoadPermille: no.LoadPermille, ObservedAt: w.now}
 			if i+1 < len(nodes) {
 				continue
 			}
@@ -235,9 +235,9 @@
 	if w.policy.place != nil {
 		return w.policy.place(w, c)
 	}
-	a := placement.Ask{
+	a := placement.Query{
 		Hash: c.prefix, Zone: "zone-0", Request: &permit.Request{},
-		Takes: func(s *pollenspindle.Server) bool { return !w.out[s.Zone] },
+		Accepts: func(s *pollenspindle.Server) bool { return !w.out[s.Zone] },
 	}
 	var nodes []*node
 	for _, s := range placement.Choose(w.now, w.ring, a, w.views, w.rng) {
