--- a/internal/standin/batch/batch.go
+++ b/internal/standin/batch/batch.go
@@ -1,13 +1,12 @@
-// Package batch is the scheduler of the model engine stand-in: continuous
-// batching in bounded memory, with a prefix cache, priorities, and preemption
-// with recompute. It has no clock and no goroutine; the engine around it does
-// one step after the other.
+// Package batch is the scheduler of the model engine stand-in: continuous batching
+// with a memory limit, a prefix cache, priorities, and preemption with recomputation.
+// It has no clock and no goroutines; the engine runs it step by step.
 //
 // # Usage
 //
 //	b := batch.New(batch.DefaultParams())
 //	b.Add(&batch.Sequence{ID: "r1", PromptTokens: 300, Length: 80})
-//	step := b.Step() // step.Emitted got a token after step.Duration
+//	step := b.Step() // each sequence in step.Emitted gets a token after step.Duration
 package batch
 
 import (
@@ -15,34 +14,35 @@
 	"time"
 )
 
-// Params are the speed and size of a batch.
+// Params configures the speed and capacity of a batch.
 type Params struct {
-	// BaseToken is the time of a step with nothing in it, PerSequence what
-	// each decoding sequence adds, PerKiloToken what each thousand tokens
-	// held by running sequences add.
-	BaseToken    time.Duration
-	PerSequence  time.Duration
-	PerKiloToken time.Duration
-	// PrefillTokensPerSecond is the speed of reading prompts, PrefillChunk
-	// how many prompt tokens one step reads at most.
+	// A step takes BaseStepTime, plus StepTimePerSequence for each decoding
+	// sequence, plus StepTimePerKiloToken for each thousand tokens in use by
+	// running sequences.
+	BaseStepTime         time.Duration
+	StepTimePerSequence  time.Duration
+	StepTimePerKiloToken time.Duration
+	// PrefillTokensPerSecond is the prefill speed, PrefillChunkTokens the
+	// maximum number of prompt tokens processed in one step.
 	PrefillTokensPerSecond int
-	PrefillChunk           int
-	MaxBatch               int
-	// MemoryTokens bounds the tokens of running sequences and of the cache.
+	PrefillChunkTokens     int
+	// MaxSequences limits the running sequences.
+	MaxSequences int
+	// MemoryTokens limits the tokens of running sequences and of the cache.
 	MemoryTokens int
 	BlockTokens  int
 }
 
-// DefaultParams returns a small engine: 20 ms between tokens when alone,
-// some 40 ms with 16 sequences.
+// DefaultParams returns the parameters of a small engine: 20 ms between tokens for a
+// single sequence, some 40 ms with 16 sequences.
 func DefaultParams() Params {
 	return Params{
-		BaseToken:              19 * time.Millisecond,
-		PerSequence:            time.Millisecond,
-		PerKiloToken:           250 * time.Microsecond,
+		BaseStepTime:           19 * time.Millisecond,
+		StepTimePerSequence:    time.Millisecond,
+		StepTimePerKiloToken:   250 * time.Microsecond,
 		PrefillTokensPerSecond: 8000,
-		PrefillChunk:           256,
-		MaxBatch:               32,
+		PrefillChunkTokens:     256,
+		MaxSequences:           32,
 		MemoryTokens:           16000,
 		BlockTokens:            16,
 	}
@@ -53,46 +53,49 @@
 	ID           string
 	Priority     int // lower runs first
 	PromptTokens int
-	// Blocks are the hashes of the prompt's full blocks, each including those
-	// before it.
+	// Blocks are the hashes of the prompt's full blocks. Each hash also covers
+	// the preceding blocks.
 	Blocks []uint64
-	// Length is the number of tokens after which the generation ends.
+	// Length is the number of output tokens after which the generation ends.
 	Length int
 
-	// Produced counts the tokens so far, Preemptions how often the sequence
-	// lost its memory.
+	// Produced counts the output tokens so far, Preemptions how often the
+	// sequence was preempted.
 	Produced    int
 	Preemptions int
 
 	arrival int64
-	// held is the memory of its own, cached the blocks referenced, missing
-	// the tokens still to be computed before it can decode.
-	held    int
-	cached  int
-	missing int
+	// privateTokens is the memory outside the prefix cache, cachedBlocks the
+	// number of referenced blocks in the cache, and prefillRemaining the number
+	// of tokens to process before the sequence can decode.
+	privateTokens    int
+	cachedBlocks     int
+	prefillRemaining int
 }
 
-// Done reports whether all tokens have been produced.
+// Done reports whether all output tokens have been produced.
 func (s *Sequence) Done() bool { return s.Produced >= s.Length }
 
-// Step is what one step of a batch did.
+// Step is the result of one step of a batch.
 type Step struct {
 	Duration time.Duration
-	// Emitted produced a token each; those that are Done have left the batch.
+	// Emitted are the sequences that produced a token. Those that are Done have
+	// been removed from the batch.
 	Emitted   []*Sequence
 	Preempted []*Sequence
 	Cache     []CacheChange
 }
 
-// Batch runs sequences step by step in bounded memory. It has no clock and is
-// used by one goroutine at a time.
+// Batch runs sequences step by step within a memory limit. It isn't safe for
+// concurrent use.
 type Batch struct {
-	params   Params
-	cache    *prefixCache
-	waiting  []*Sequence
-	running  []*Sequence
-	held     int
-	arrivals int64
+	params  Params
+	cache   *prefixCache
+	waiting []*Sequence
+	running []*Sequence
+	// privateTokens is the sum over the running sequences.
+	privateTokens int
+	arrivalCount  int64
 }
 
 // New returns an empty batch.
@@ -100,42 +103,43 @@
 	return &Batch{params: params, cache: newPrefixCache(params.BlockTokens)}
 }
 
-// Running returns the sequences in memory, Waiting the others.
+// Running returns the sequences in memory.
 func (b *Batch) Running() []*Sequence { return b.running }
 
-// Waiting returns the sequences that wait for memory, the first one first.
+// Waiting returns the sequences that wait for memory, in the order of admission.
 func (b *Batch) Waiting() []*Sequence { return b.waiting }
 
-// Used returns the tokens that running sequences hold, shared blocks once.
-func (b *Batch) Used() int { return b.held + b.cache.tokens() - b.cache.evictable() }
+// UsedTokens returns the tokens in use by running sequences, with shared blocks
+// counted once.
+func (b *Batch) UsedTokens() int { return b.privateTokens + b.cache.tokens() - b.cache.evictable() }
 
-// Cached returns the tokens of the prefix cache.
-func (b *Batch) Cached() int { return b.cache.tokens() }
+// CachedTokens returns the size of the prefix cache.
+func (b *Batch) CachedTokens() int { return b.cache.tokens() }
 
-// Fits reports whether the sequence could run if it were alone.
+// Fits reports whether the sequence could run in an otherwise empty batch.
 func (b *Batch) Fits(s *Sequence) bool { return s.PromptTokens < b.params.MemoryTokens }
 
-// Add puts a sequence into the queue.
+// Add queues a sequence.
 func (b *Batch) Add(s *Sequence) {
-	b.arrivals++
-	s.arrival = b.arrivals
+	b.arrivalCount++
+	s.arrival = b.arrivalCount
 	b.enqueue(s)
 }
 
 func (b *Batch) enqueue(s *Sequence) {
-	i, _ := slices.BinarySearchFunc(b.waiting, s, before)
+	i, _ := slices.BinarySearchFunc(b.waiting, s, compareSequences)
 	b.waiting = slices.Insert(b.waiting, i, s)
 }
 
-// before orders sequences: by priority, then by arrival.
-func before(a, c *Sequence) int {
+// compareSequences orders sequences by priority, then by arrival.
+func compareSequences(a, c *Sequence) int {
 	if a.Priority != c.Priority {
 		return a.Priority - c.Priority
 	}
 	return int(a.arrival - c.arrival)
 }
 
-// Remove takes a sequence out and frees its memory.
+// Remove removes a sequence and frees its memory.
 func (b *Batch) Remove(s *Sequence) {
 	if i := slices.Index(b.waiting, s); i >= 0 {
 		b.waiting = slices.Delete(b.waiting, i, i+1)
@@ -143,19 +147,19 @@
 	}
 	if i := slices.Index(b.running, s); i >= 0 {
 		b.running = slices.Delete(b.running, i, i+1)
-		b.release(s)
+		b.freeMemory(s)
 	}
 }
 
-// Step admits what fits, reads prompts and produces one token for each
-// sequence whose prompt has been read.
+// Step admits waiting sequences that fit, runs a chunk of prefill and produces one
+// token for each sequence whose prefill is complete.
 func (b *Batch) Step() Step {
 	var step Step
 	b.admit(&step)
-	read := b.prefill()
+	prefilled := b.prefill()
 	b.decode(&step)
-	step.Duration = b.duration(len(step.Emitted), read)
-	b.leave(step.Emitted)
+	step.Duration = b.duration(len(step.Emitted), prefilled)
+	b.removeFinished(step.Emitted)
 	step.Cache = b.cache.takeChanges()
 	return step
 }
@@ -164,9 +168,9 @@
 	for len(b.waiting) > 0 {
 		s := b.waiting[0]
 		for !b.reserve(s) {
-			// A waiting sequence takes the place of a running one only when
-			// its priority is strictly higher; equals would swap for ever.
-			v := b.victim()
+			// A waiting sequence preempts only a running one of strictly lower
+			// priority; equals would preempt each other forever.
+			v := b.preemptionVictim()
 			if v == nil || v.Priority <= s.Priority {
 				return
 			}
@@ -177,37 +181,38 @@
 	}
 }
 
-// reserve takes the memory for a sequence's prompt and the tokens it has. It
-// leaves a hundredth of the memory free, since a sequence admitted to the last
-// token would be preempted again in the same step.
+// reserve allocates the memory for a sequence's prompt and its output so far. It
+// leaves 1% of the memory free: a sequence that takes the last free token would be
+// preempted in the same step.
 func (b *Batch) reserve(s *Sequence) bool {
-	if len(b.running) >= b.params.MaxBatch {
+	if len(b.running) >= b.params.MaxSequences {
 		return false
 	}
 	hits := b.cache.match(s.Blocks)
 	for _, hash := range s.Blocks[:hits] {
-		b.cache.ref(hash)
+		b.cache.acquire(hash)
 	}
-	need := s.PromptTokens + s.Produced - hits*b.params.BlockTokens
-	room := need
+	requiredTokens := s.PromptTokens + s.Produced - hits*b.params.BlockTokens
+	minFreeTokens := requiredTokens
 	if len(b.running) > 0 {
-		room += 1 + b.params.MemoryTokens/100
+		minFreeTokens += 1 + b.params.MemoryTokens/100
 	}
-	if !b.makeRoom(room) {
-		b.cache.unref(s.Blocks[:hits])
+	if !b.evictUntilFree(minFreeTokens) {
+		b.cache.release(s.Blocks[:hits])
 		return false
 	}
-	s.cached, s.held, s.missing = hits, need, need
-	b.held += need
+	s.cachedBlocks, s.privateTokens, s.prefillRemaining = hits, requiredTokens, requiredTokens
+	b.privateTokens += requiredTokens
 	return true
 }
 
-// makeRoom evicts cached blocks until n tokens are free.
-func (b *Batch) makeRoom(n int) bool {
-	if b.Used()+n > b.params.MemoryTokens {
+// evictUntilFree evicts cached blocks until n tokens are free, and reports whether
+// they are.
+func (b *Batch) evictUntilFree(n int) bool {
+	if b.UsedTokens()+n > b.params.MemoryTokens {
 		return false
 	}
-	for b.held+b.cache.tokens()+n > b.params.MemoryTokens {
+	for b.privateTokens+b.cache.tokens()+n > b.params.MemoryTokens {
 		if !b.cache.evict() {
 			return false
 		}
@@ -215,40 +220,40 @@
 	return true
 }
 
-// prefill reads prompts, the first come first, and returns the tokens read.
+// prefill processes prompt tokens in the order of admission and returns their number.
 func (b *Batch) prefill() int {
-	budget := b.params.PrefillChunk
+	tokenBudget := b.params.PrefillChunkTokens
 	for _, s := range b.running {
-		n := min(s.missing, budget)
+		n := min(s.prefillRemaining, tokenBudget)
 		if n == 0 {
 			continue
 		}
-		s.missing -= n
-		budget -= n
-		if s.missing == 0 {
-			b.store(s)
+		s.prefillRemaining -= n
+		tokenBudget -= n
+		if s.prefillRemaining == 0 {
+			b.cachePrompt(s)
 		}
 	}
-	return b.params.PrefillChunk - budget
+	return b.params.PrefillChunkTokens - tokenBudget
 }
 
-// store moves the prompt's blocks from the sequence into the cache, where
-// others find them.
-func (b *Batch) store(s *Sequence) {
-	for _, hash := range s.Blocks[s.cached:] {
-		b.cache.ref(hash)
-		s.held -= b.params.BlockTokens
-		b.held -= b.params.BlockTokens
+// cachePrompt moves the prompt's blocks from the sequence into the cache, so that
+// other sequences can share them.
+func (b *Batch) cachePrompt(s *Sequence) {
+	for _, hash := range s.Blocks[s.cachedBlocks:] {
+		b.cache.acquire(hash)
+		s.privateTokens -= b.params.BlockTokens
+		b.privateTokens -= b.params.BlockTokens
 	}
-	s.cached = len(s.Blocks)
+	s.cachedBlocks = len(s.Blocks)
 }
 
 func (b *Batch) decode(step *Step) {
 	for _, s := range slices.Clone(b.running) {
-		if s.missing > 0 || !slices.Contains(b.running, s) {
+		if s.prefillRemaining > 0 || !slices.Contains(b.running, s) {
 			continue
 		}
-		if !b.grow(s, step) {
+		if !b.allocateToken(s, step) {
 			continue
 		}
 		s.Produced++
@@ -256,13 +261,13 @@
 	}
 }
 
-// grow takes memory for one more token, from others if needed, and reports
-// whether the sequence may go on.
-func (b *Batch) grow(s *Sequence, step *Step) bool {
-	for !b.makeRoom(1) {
-		v := b.victim()
+// allocateToken allocates memory for one more token, preempting sequences if needed.
+// It reports whether s may continue.
+func (b *Batch) allocateToken(s *Sequence, step *Step) bool {
+	for !b.evictUntilFree(1) {
+		v := b.preemptionVictim()
 		if v == s && len(b.running) == 1 {
-			// Alone and still too large: the generation ends here.
+			// No other sequence can be preempted, so this token is the last.
 			s.Length = s.Produced + 1
 			return true
 		}
@@ -271,29 +276,29 @@
 			return false
 		}
 	}
-	s.held++
-	b.held++
+	s.privateTokens++
+	b.privateTokens++
 	return true
 }
 
-// victim is the sequence that loses its memory first: the lowest priority, and
-// among equals the latest.
-func (b *Batch) victim() *Sequence {
+// preemptionVictim returns the sequence to preempt next: the one of lowest priority,
+// and among equals the last to arrive.
+func (b *Batch) preemptionVictim() *Sequence {
 	if len(b.running) == 0 {
 		return nil
 	}
-	return slices.MaxFunc(b.running, before)
+	return slices.MaxFunc(b.running, compareSequences)
 }
 
-// preempt frees a sequence's memory. What it had is computed again later, and
-// its stream stands still until then.
+// preempt frees a sequence's memory and queues it again. Its tokens are recomputed
+// when it is admitted, and its stream stalls until then.
 func (b *Batch) preempt(s *Sequence, step *Step) {
 	b.running = slices.DeleteFunc(b.running, func(r *Sequence) bool { return r == s })
-	b.release(s)
+	b.freeMemory(s)
 	s.Preemptions++
 	step.Emitted = slices.DeleteFunc(step.Emitted, func(e *Sequence) bool {
 		if e == s {
-			// Its token of this step is lost with the memory.
+			// The token of this step is discarded with the memory.
 			s.Produced--
 		}
 		return e == s
@@ -302,13 +307,13 @@
 	b.enqueue(s)
 }
 
-func (b *Batch) release(s *Sequence) {
-	b.held -= s.held
-	b.cache.unref(s.Blocks[:s.cached])
-	s.held, s.cached, s.missing = 0, 0, 0
+func (b *Batch) freeMemory(s *Sequence) {
+	b.privateTokens -= s.privateTokens
+	b.cache.release(s.Blocks[:s.cachedBlocks])
+	s.privateTokens, s.cachedBlocks, s.prefillRemaining = 0, 0, 0
 }
 
-func (b *Batch) leave(emitted []*Sequence) {
+func (b *Batch) removeFinished(emitted []*Sequence) {
 	for _, s := range emitted {
 		if s.Done() {
 			b.Remove(s)
@@ -316,9 +321,9 @@
 	}
 }
 
-func (b *Batch) duration(decoding, read int) time.Duration {
+func (b *Batch) duration(decoding, prefilled int) time.Duration {
 	p := b.params
-	d := p.BaseToken + time.Duration(decoding)*p.PerSequence
-	d += time.Duration(int64(p.PerKiloToken) * int64(b.Used()) / 1000)
-	return d + time.Duration(int64(read)*int64(time.Second)/int64(p.PrefillTokensPerSecond))
+	d := p.BaseStepTime + time.Duration(decoding)*p.StepTimePerSequence
+	d += time.Duration(int64(p.StepTimePerKiloToken) * int64(b.UsedTokens()) / 1000)
+	return d + time.Duration(int64(prefilled)*int64(time.Second)/int64(p.PrefillTokensPerSecond))
 }
--- a/internal/standin/batch/batch_test.go
+++ b/internal/standin/batch/batch_test.go
@@ -12,7 +12,7 @@
 func smallBatch(memory int) *Batch {
 	p := DefaultParams()
 	p.MemoryTokens = memory
-	p.MaxBatch = 8
+	p.MaxSequences = 8
 	return New(p)
 }
 
@@ -24,21 +24,21 @@
 	return out
 }
 
-// run steps until the batch is empty and returns the order of endings and the
-// number of preemptions.
-func run(t *testing.T, b *Batch) ([]string, int) {
+// runUntilEmpty steps until the batch is empty. It returns the IDs of the sequences
+// in the order in which they finished, and the number of preemptions.
+func runUntilEmpty(t *testing.T, b *Batch) ([]string, int) {
 	t.Helper()
-	var ended []string
+	var finished []string
 	preempted := 0
 	for range 10_000 {
 		if len(b.Running())+len(b.Waiting()) == 0 {
-			return ended, preempted
+			return finished, preempted
 		}
 		step := b.Step()
 		preempted += len(step.Preempted)
 		for _, s := range step.Emitted {
 			if s.Done() {
-				ended = append(ended, s.ID)
+				finished = append(finished, s.ID)
 			}
 		}
 	}
@@ -51,11 +51,11 @@
 	for i := range 4 {
 		b.Add(&Sequence{ID: fmt.Sprint(i), PromptTokens: 50, Length: 100})
 	}
-	ended, preempted := run(t, b)
+	finished, preempted := runUntilEmpty(t, b)
 	require.Positive(t, preempted)
-	require.Equal(t, "0", ended[0], "the first come is the last to be preempted")
-	require.Len(t, ended, 4)
-	require.Zero(t, b.Used())
+	require.Equal(t, "0", finished[0], "the first to arrive is the last to be preempted")
+	require.Len(t, finished, 4)
+	require.Zero(t, b.UsedTokens())
 }
 
 func TestBatchRunsLowerPriorityFirst(t *testing.T) {
@@ -63,20 +63,20 @@
 	b.Add(&Sequence{ID: "patient", Priority: 5, PromptTokens: 100, Length: 50})
 	b.Step()
 	b.Add(&Sequence{ID: "interactive", Priority: 1, PromptTokens: 100, Length: 20})
-	ended, preempted := run(t, b)
-	require.Equal(t, []string{"interactive", "patient"}, ended)
+	finished, preempted := runUntilEmpty(t, b)
+	require.Equal(t, []string{"interactive", "patient"}, finished)
 	require.Equal(t, 1, preempted)
 }
 
-func TestBatchReadsCachedPrefixFaster(t *testing.T) {
+func TestCachedPrefixShortensPrefill(t *testing.T) {
 	b := smallBatch(16_000)
 	first := &Sequence{ID: "a", PromptTokens: 250, Blocks: hashes(1, 15), Length: 1}
 	b.Add(first)
-	cold := b.Step().Duration
+	uncachedTime := b.Step().Duration
 	second := &Sequence{ID: "b", PromptTokens: 250, Blocks: hashes(1, 15), Length: 1}
 	b.Add(second)
-	warm := b.Step().Duration
-	require.Greater(t, cold-warm, 25*time.Millisecond)
+	cachedTime := b.Step().Duration
+	require.Greater(t, uncachedTime-cachedTime, 25*time.Millisecond)
 }
 
 func TestStepTakesLongerWithMoreSequences(t *testing.T) {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Whatever comes and goes, memory stays within its bound, each sequence gets
-// all of its tokens once, and nothing is held in the end.
+// Under random additions, removals and steps, memory stays within its limit, each
+// sequence gets each of its tokens once, and all memory is free at the end.
 func TestBatchInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const memory = 500
@@ -106,9 +106,9 @@
 			for _, s := range b.Step().Emitted {
 				tokens[s.ID]++
 			}
-			// A sequence that is alone may end one token above the bound.
-			require.LessOrEqual(rt, b.held+b.cache.tokens(), memory+1)
-			require.GreaterOrEqual(rt, b.held, 0)
+			// The last token of a lone sequence may exceed the limit by one.
+			require.LessOrEqual(rt, b.privateTokens+b.cache.tokens(), memory+1)
+			require.GreaterOrEqual(rt, b.privateTokens, 0)
 		}
 		for i := range rapid.IntRange(1, 60).Draw(rt, "actions") {
 			switch rapid.IntRange(0, 5).Draw(rt, "action") {
@@ -135,8 +135,8 @@
 			require.Less(rt, n, 200_000, "the batch doesn't empty")
 			step()
 		}
-		require.Zero(rt, b.held)
-		require.Zero(rt, b.Used())
+		require.Zero(rt, b.privateTokens)
+		require.Zero(rt, b.UsedTokens())
 		for _, s := range all {
 			if !removed[s] {
 				require.Equal(rt, s.Length, tokens[s.ID])
--- a/internal/standin/batch/cache.go
+++ b/internal/standin/batch/cache.go
@@ -2,16 +2,16 @@
 
 import "container/list"
 
-// block is one block of prompt tokens in the prefix cache. Sequences that run
-// hold references; only blocks without any can be evicted.
+// block is a block of prompt tokens in the prefix cache. Running sequences hold
+// references to it; only blocks without references can be evicted.
 type block struct {
 	hash uint64
 	refs int
-	// unused is the block's place in the eviction order, nil while referenced.
+	// unused is the block's element in the eviction list, nil while referenced.
 	unused *list.Element
 }
 
-// prefixCache keeps blocks of prompts, the least recently used first out.
+// prefixCache caches prompt blocks and evicts the least recently used.
 type prefixCache struct {
 	blockTokens int
 	blocks      map[uint64]*block
@@ -29,13 +29,13 @@
 	return &prefixCache{blockTokens: blockTokens, blocks: map[uint64]*block{}, unused: list.New()}
 }
 
-// tokens is the memory that the cache takes.
+// tokens returns the size of the cache.
 func (c *prefixCache) tokens() int { return len(c.blocks) * c.blockTokens }
 
-// evictable is the memory that eviction would free.
+// evictable returns the number of tokens that eviction could free.
 func (c *prefixCache) evictable() int { return c.unused.Len() * c.blockTokens }
 
-// match counts the blocks of a prompt that are cached from its start on.
+// match returns the length in blocks of the longest cached prefix.
 func (c *prefixCache) match(hashes []uint64) int {
 	for i, hash := range hashes {
 		if c.blocks[hash] == nil {
@@ -45,7 +45,8 @@
 	return len(hashes)
 }
 
-func (c *prefixCache) ref(hash uint64) {
+// acquire adds a reference to a block and caches it if it is new.
+func (c *prefixCache) acquire(hash uint64) {
 	b := c.blocks[hash]
 	if b == nil {
 		b = &block{hash: hash}
@@ -59,9 +60,9 @@
 	b.refs++
 }
 
-// unref gives blocks back, the last of the prompt first, so that eviction
-// takes the end of a prefix before its start.
-func (c *prefixCache) unref(hashes []uint64) {
+// release drops references in reverse order, so that eviction removes the end of a
+// prefix before its start.
+func (c *prefixCache) release(hashes []uint64) {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		b := c.blocks[hashes[i]]
 		b.refs--
@@ -71,7 +72,7 @@
 	}
 }
 
-// evict frees one block and reports whether there was one to free.
+// evict removes one unreferenced block and reports whether there was one.
 func (c *prefixCache) evict() bool {
 	front := c.unused.Front()
 	if front == nil {
@@ -83,7 +84,7 @@
 	return true
 }
 
-// takeChanges returns the changes since the last call.
+// takeChanges returns and clears the changes since the last call.
 func (c *prefixCache) takeChanges() []CacheChange {
 	changes := c.changes
 	c.changes = nil
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of the stand-ins, one command for each
-// outside system.
+// Package command is the command line of the stand-ins, with one command for each
+// external system.
 //
 // # Usage
 //
@@ -20,34 +20,34 @@
 	"pollenspindle.example/pollenspindle/internal/standin/engine"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	ExitOK      = 0
 	ExitFailure = 1
 	ExitUsage   = 2
-	// ExitCrashed is that of an engine that died as it was told to.
+	// ExitCrashed is the exit code of an engine after a simulated crash.
 	ExitCrashed = 3
 )
 
-// CLI is the grammar of the command line.
+// CLI defines the commands.
 type CLI struct {
 	Engine   EngineCmd   `cmd:"" help:"Run a model engine."`
-	Service  ServiceCmd  `cmd:"" help:"Run a plain service with a ledger of its effects."`
+	Service  ServiceCmd  `cmd:"" help:"Run a plain service that records its side effects in a ledger."`
 	Weights  WeightsCmd  `cmd:"" help:"Run a rate-limited weight store."`
 	Platform PlatformCmd `cmd:"" help:"Run the platform's object API and instance list."`
 }
 
-// streams are where commands write.
+// streams holds the standard streams of a command.
 type streams struct {
 	out io.Writer
 	err io.Writer
 }
 
-// ready prints the address, for whoever has started the stand-in.
+// ready prints the listening address for the process that started the stand-in.
 func (s *streams) ready(address string) { fmt.Fprintf(s.out, "listening %s\n", address) }
 
-// Main runs the command line args until it ends or SIGTERM comes, and returns
-// the exit code.
+// Main runs the command given by args until it returns, or until SIGTERM or an
+// interrupt arrives, and returns the exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	var cli CLI
 	exited := false
--- a/internal/standin/command/command_test.go
+++ b/internal/standin/command/command_test.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// Whoever started the engine sees from its exit code that it crashed as told.
-func TestCrashEndsProcessWithItsOwnCode(t *testing.T) {
+// A crash requested through the control endpoint has its own exit code, so that the
+// parent process can tell it from other failures.
+func TestCrashHasOwnExitCode(t *testing.T) {
 	out, w := io.Pipe()
 	code := make(chan int, 1)
 	go func() { code <- Main([]string{"engine", "--address", "127.0.0.1:0"}, w, io.Discard) }()
--- a/internal/standin/command/engine.go
+++ b/internal/standin/command/engine.go
@@ -7,40 +7,40 @@
 	"pollenspindle.example/pollenspindle/internal/standin/engine"
 )
 
-// EngineCmd runs a model engine. All times are nominal, in milliseconds.
+// EngineCmd runs a model engine. All times are nominal milliseconds: see engine.Options.
 type EngineCmd struct {
 	Address   string   `default:"127.0.0.1:0" help:"Address to listen on."`
-	Name      string   `default:"engine" help:"Start of the incarnation's name."`
-	Model     []string `help:"Model that is loaded; may be repeated. Without any, all names are taken."`
-	TimeScale float64  `default:"1" help:"How many times faster than nominal the time passes."`
-	Seed      int64    `default:"1" help:"Seed of output lengths and lost events."`
+	Name      string   `default:"engine" help:"Prefix of the incarnation names."`
+	Model     []string `help:"Loaded model; may be repeated. Without any, every model name is accepted."`
+	TimeScale float64  `default:"1" help:"Factor by which all times are divided."`
+	Seed      int64    `default:"1" help:"Random seed of output lengths and lost events."`
 
-	BaseTokenMillis        float64 `default:"19" help:"Time of a step without sequences."`
-	PerSequenceMillis      float64 `default:"1" help:"Time that each sequence adds to a step."`
-	PerKiloTokenMillis     float64 `default:"0.25" help:"Time that each thousand resident tokens add to a step."`
-	PrefillTokensPerSecond int     `default:"8000" help:"Speed of reading prompts."`
-	MaxBatch               int     `default:"32" help:"Sequences that run at once."`
+	BaseTokenMillis        float64 `default:"19" help:"Duration of a step without sequences."`
+	PerSequenceMillis      float64 `default:"1" help:"Duration added to a step by each sequence."`
+	PerKiloTokenMillis     float64 `default:"0.25" help:"Duration added to a step by each thousand tokens in memory."`
+	PrefillTokensPerSecond int     `default:"8000" help:"Prefill speed."`
+	MaxBatch               int     `default:"32" help:"Maximum number of running sequences."`
 	MemoryTokens           int     `default:"16000" help:"Memory for sequences and cached prefixes, in tokens."`
-	MaxWaiting             int     `default:"256" help:"Requests that wait before more are refused."`
+	MaxWaiting             int     `default:"256" help:"Maximum number of queued requests; more are refused."`
 
-	ColdLimit    int     `default:"2" help:"Requests that it can handle while cold."`
-	ColdMillis   int64   `default:"5000" help:"Time for which it is cold after its start."`
-	ColdOverload string  `default:"crash" enum:"crash,slow,refuse" help:"What it does above the cold limit (crash, slow, refuse)."`
-	ColdSlowdown float64 `default:"10" help:"Factor for the times of an overloaded cold engine."`
-	PoisonMarker string  `help:"Text in a prompt that crashes the engine."`
-	Crash        string  `default:"exit" enum:"exit,restart" help:"Whether a crash ends the process or restarts the engine in it."`
+	ColdLimit    int     `default:"2" help:"Number of requests that the engine can handle while cold."`
+	ColdMillis   int64   `default:"5000" help:"How long the engine is cold after its start."`
+	ColdOverload string  `default:"crash" enum:"crash,slow,refuse" help:"Behavior above the cold limit (crash, slow, refuse)."`
+	ColdSlowdown float64 `default:"10" help:"Factor by which an overloaded cold engine is slower."`
+	PoisonMarker string  `help:"Text that crashes the engine when it occurs in a prompt."`
+	Crash        string  `default:"exit" enum:"exit,restart" help:"Whether a crash ends the process or restarts the engine within it."`
 
 	ReportLagMillis int64   `default:"200" help:"Age of load reports."`
 	EventLagMillis  int64   `default:"500" help:"Age of cache events."`
-	EventLoss       float64 `default:"0.02" help:"Share of cache events that is lost."`
-	CrossEvery      int     `default:"0" help:"Answer each so many-th request with the stream of another; 0 for never."`
-	KeepMillis      int64   `default:"30000" help:"Time for which a finished stream can be resumed."`
-	AbandonMillis   int64   `default:"30000" help:"Time after which a stream that nobody reads is ended."`
+	EventLoss       float64 `default:"0.02" help:"Fraction of cache events that are lost."`
+	CrossEvery      int     `default:"0" help:"Respond to every n-th request with the stream of another request; 0 for never."`
+	KeepMillis      int64   `default:"30000" help:"How long a finished stream can be resumed."`
+	AbandonMillis   int64   `default:"30000" help:"Time without a reader after which a generation is ended."`
 
-	Stamp         bool   `help:"Add to each chunk when it was written, for loadgen pair."`
-	IgnoreFencing bool   `help:"Carry out orders with an old fencing number."`
+	Stamp         bool   `help:"Add the write time to each chunk, for loadgen pair."`
+	IgnoreFencing bool   `help:"Run commands with a stale fencing token."`
 	WeightStore   string `help:"Base URL of the weight store."`
-	LoadMillis    int64  `default:"2000" help:"Time of a load without a weight store."`
+	LoadMillis    int64  `default:"2000" help:"Duration of a model load without a weight store."`
 }
 
 // Run runs the engine.
@@ -57,26 +57,26 @@
 	opts.Models = e.Model
 	opts.TimeScale = e.TimeScale
 	opts.Seed = e.Seed
-	opts.Batch.BaseToken = floatMillis(e.BaseTokenMillis)
-	opts.Batch.PerSequence = floatMillis(e.PerSequenceMillis)
-	opts.Batch.PerKiloToken = floatMillis(e.PerKiloTokenMillis)
+	opts.Batch.BaseStepTime = floatMillis(e.BaseTokenMillis)
+	opts.Batch.StepTimePerSequence = floatMillis(e.PerSequenceMillis)
+	opts.Batch.StepTimePerKiloToken = floatMillis(e.PerKiloTokenMillis)
 	opts.Batch.PrefillTokensPerSecond = e.PrefillTokensPerSecond
-	opts.Batch.MaxBatch = e.MaxBatch
+	opts.Batch.MaxSequences = e.MaxBatch
 	opts.Batch.MemoryTokens = e.MemoryTokens
 	opts.MaxWaiting = e.MaxWaiting
 	opts.ColdLimit = e.ColdLimit
 	opts.ColdTime = millis(e.ColdMillis)
-	opts.ColdOverload = engine.Overload(e.ColdOverload)
+	opts.ColdOverload = engine.OverloadMode(e.ColdOverload)
 	opts.ColdSlowdown = e.ColdSlowdown
 	opts.PoisonMarker = e.PoisonMarker
-	opts.Crash = engine.Crash(e.Crash)
+	opts.CrashMode = engine.CrashMode(e.Crash)
 	opts.ReportLag = millis(e.ReportLagMillis)
 	opts.EventLag = millis(e.EventLagMillis)
 	opts.EventLoss = e.EventLoss
-	opts.CrossEvery = e.CrossEvery
-	opts.KeepFinished = millis(e.KeepMillis)
+	opts.SwapStreamEvery = e.CrossEvery
+	opts.FinishedRetention = millis(e.KeepMillis)
 	opts.AbandonAfter = millis(e.AbandonMillis)
-	opts.Stamp = e.Stamp
+	opts.EmitTimestamps = e.Stamp
 	opts.CheckFencing = !e.IgnoreFencing
 	opts.WeightStore = e.WeightStore
 	opts.LoadTime = millis(e.LoadMillis)
--- a/internal/standin/command/platform.go
+++ b/internal/standin/command/platform.go
@@ -9,10 +9,10 @@
 // PlatformCmd runs the platform.
 type PlatformCmd struct {
 	Address         string  `default:"127.0.0.1:0" help:"Address to listen on."`
-	LagMillis       int64   `default:"0" help:"Time for which a change of the instance list stays unseen."`
-	ReadsPerSecond  float64 `default:"0" help:"Reads a second above which calls are refused; 0 for no limit."`
-	WritesPerSecond float64 `default:"0" help:"Writes a second above which calls are refused; 0 for no limit."`
-	History         int     `default:"0" help:"Changes that are kept for watches; 0 for the default."`
+	LagMillis       int64   `default:"0" help:"Delay before a change of the instance list becomes visible."`
+	ReadsPerSecond  float64 `default:"0" help:"Maximum number of reads per second; more are refused. 0 for no limit."`
+	WritesPerSecond float64 `default:"0" help:"Maximum number of writes per second; more are refused. 0 for no limit."`
+	History         int     `default:"0" help:"Number of changes kept for watches; 0 for the default."`
 }
 
 // Run runs the platform.
--- a/internal/standin/command/service.go
+++ b/internal/standin/command/service.go
@@ -10,12 +10,12 @@
 // ServiceCmd runs a plain service.
 type ServiceCmd struct {
 	Address         string `default:"127.0.0.1:0" help:"Address to listen on."`
-	Name            string `default:"service" help:"Start of the incarnation's name."`
-	DelayMillis     int64  `default:"5" help:"Time that each request takes."`
-	ColdLimit       int    `default:"2" help:"Requests that it can handle at once while cold."`
-	ColdMillis      int64  `default:"2000" help:"Time for which it is cold after its start."`
-	ColdRefuses     bool   `help:"Refuse above the cold limit instead of crashing."`
-	RepeatMillis    int64  `default:"0" help:"Time after which each answer to a read is sent again on its connection; 0 for never."`
+	Name            string `default:"service" help:"Prefix of the incarnation names."`
+	DelayMillis     int64  `default:"5" help:"Duration of each request."`
+	ColdLimit       int    `default:"2" help:"Number of concurrent requests that the service can handle while cold."`
+	ColdMillis      int64  `default:"2000" help:"How long the service is cold after its start."`
+	ColdRefuses     bool   `help:"Refuse requests above the cold limit instead of crashing."`
+	RepeatMillis    int64  `default:"0" help:"Time after which the response to a read is sent again on the same connection; 0 for never."`
 	ReportLagMillis int64  `default:"100" help:"Age of load reports."`
 }
 
@@ -38,7 +38,7 @@
 type WeightsCmd struct {
 	Address        string `default:"127.0.0.1:0" help:"Address to listen on."`
 	Bytes          int64  `default:"33554432" help:"Size of each model's weights."`
-	BytesPerSecond int64  `default:"33554432" help:"Rate of all readers together."`
+	BytesPerSecond int64  `default:"33554432" help:"Total rate of all readers."`
 }
 
 // Run runs the weight store.
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -10,7 +10,7 @@
 	"github.com/cloudwego/hertz/pkg/app/server"
 )
 
-func (s *Server) registerControl(h *server.Hertz) {
+func (s *Server) registerControlEndpoints(h *server.Hertz) {
 	h.POST("/control/cold", s.handleCold)
 	h.POST("/control/warm", s.handleWarm)
 	h.POST("/control/leave", s.handleLeave)
@@ -21,9 +21,9 @@
 
 // coldRequest is the body of /control/cold.
 type coldRequest struct {
-	// Hidden keeps the load reports saying warm.
+	// Hidden makes the load reports state that the engine is warm.
 	Hidden bool `json:"hidden"`
-	// Millis is how long it stays cold, nominal; 0 takes Options.ColdTime.
+	// Millis is how long the engine stays cold, nominal; 0 means Options.ColdTime.
 	Millis int64 `json:"millis"`
 }
 
@@ -39,8 +39,8 @@
 	if req.Millis > 0 {
 		d = time.Duration(req.Millis) * time.Millisecond
 	}
-	s.coldUntil = now.Add(s.opts.real(d))
-	s.hidden = req.Hidden
+	s.coldUntil = now.Add(s.opts.realDuration(d))
+	s.reportWarm = req.Hidden
 	c.SetStatusCode(http.StatusNoContent)
 }
 
@@ -53,8 +53,8 @@
 
 // leaveRequest is the body of /control/leave.
 type leaveRequest struct {
-	// NoticeMillis is the time until the engine dies, nominal. Without it the
-	// engine goes on with what it has until another call says so.
+	// NoticeMillis is the nominal time until the engine crashes. Without it the
+	// running generations continue until a later call sets it.
 	NoticeMillis *int64 `json:"noticeMillis"`
 }
 
@@ -67,15 +67,15 @@
 	defer s.mu.Unlock()
 	s.leaving = true
 	if req.NoticeMillis != nil {
-		notice := s.opts.real(time.Duration(*req.NoticeMillis) * time.Millisecond)
-		time.AfterFunc(notice, func() { s.die(ErrCrashed) })
+		notice := s.opts.realDuration(time.Duration(*req.NoticeMillis) * time.Millisecond)
+		time.AfterFunc(notice, func() { s.terminate(ErrCrashed) })
 	}
 	c.SetStatusCode(http.StatusNoContent)
 }
 
 // slowRequest is the body of /control/slow.
 type slowRequest struct {
-	// Factor multiplies the duration of every step; 1 ends it.
+	// Factor multiplies the duration of every step; 1 restores the normal speed.
 	Factor float64 `json:"factor"`
 }
 
@@ -90,7 +90,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = req.Factor
+	s.slowFactor = req.Factor
 	c.SetStatusCode(http.StatusNoContent)
 }
 
@@ -101,10 +101,10 @@
 	c.SetStatusCode(http.StatusNoContent)
 }
 
-// Ledger is the answer of /control/ledger.
+// Ledger is the response body of /control/ledger.
 type Ledger struct {
 	Incarnation string `json:"incarnation"`
-	// Preemptions counts those of this incarnation.
+	// Preemptions counts the preemptions of this incarnation.
 	Preemptions int64   `json:"preemptions"`
 	Generations []Entry `json:"generations"`
 }
@@ -124,13 +124,13 @@
 	for _, g := range s.ledger {
 		entry := g.entry
 		entry.Preemptions = g.sequence.Preemptions
-		entry.AcceptedUnixMillis = g.accepted.UnixMilli()
+		entry.AcceptedUnixMillis = g.acceptedAt.UnixMilli()
 		ledger.Generations = append(ledger.Generations, entry)
 	}
 	return ledger
 }
 
-// readControl reads an optional JSON body and reports whether it was valid.
+// readControl decodes an optional JSON body and reports whether it was valid.
 func readControl(c *app.RequestContext, v any) bool {
 	body := c.Request.Body()
 	if len(body) == 0 {
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -10,65 +10,66 @@
 	"pollenspindle.example/pollenspindle/internal/standin/batch"
 )
 
-// Ending says how a generation ended.
+// Ending is the state of a generation in the ledger.
 type Ending string
 
-// The endings in the ledger.
+// States of a generation.
 const (
 	EndingRunning   Ending = "running"
 	EndingFinished  Ending = "finished"
 	EndingCancelled Ending = "cancelled"
-	// EndingAbandoned means that nobody read the stream for too long.
+	// EndingAbandoned means that the stream had no reader for too long.
 	EndingAbandoned Ending = "abandoned"
-	// EndingLost means that the engine crashed.
+	// EndingLost means that the engine crashed during the generation.
 	EndingLost Ending = "lost"
 )
 
-// Entry is one generation in the ledger.
+// Entry describes one generation in the ledger.
 type Entry struct {
 	RequestID   string `json:"requestId"`
 	Incarnation string `json:"incarnation"`
-	// ArrivedAt is when the request arrived, by the clock.
+	// ArrivedAt is the wall-clock time at which the request arrived.
 	ArrivedAt    time.Time `json:"arrivedAt"`
 	Model        string    `json:"model"`
 	Priority     int       `json:"priority"`
 	PromptTokens int       `json:"promptTokens"`
-	// OutputTokens counts the tokens produced.
+	// OutputTokens counts the output tokens produced.
 	OutputTokens int    `json:"outputTokens"`
 	Ending       Ending `json:"ending"`
 	Preemptions  int    `json:"preemptions"`
-	// StallMillis is the time between losing memory and the next token, in
-	// milliseconds of the clock.
+	// StallMillis is the total time between preemptions and the next tokens, in
+	// wall-clock milliseconds.
 	StallMillis int64 `json:"stallMillis"`
-	// QueueMillis is the time from arrival to the first token.
+	// QueueMillis is the time from arrival to the first token, in wall-clock
+	// milliseconds.
 	QueueMillis int64 `json:"queueMillis"`
-	// AcceptedUnixMillis is when it arrived, in milliseconds since 1970.
+	// AcceptedUnixMillis is the time of arrival in milliseconds since 1970.
 	AcceptedUnixMillis int64 `json:"acceptedUnixMillis"`
 }
 
-// generation is one request and what is known about its stream.
+// generation is one request with the state of its stream.
 type generation struct {
 	entry    Entry
 	sequence *batch.Sequence
 	chat     bool
 	created  int64
-	tag      string
-	// visible counts the tokens that readers may have. It trails the sequence
-	// by the duration of the step.
-	visible int64
-	limited bool
-	stamp   bool
+	tokenTag string
+	// visibleTokens counts the tokens that readers can get. It lags behind the
+	// sequence by the duration of a step.
+	visibleTokens  int64
+	hitTokenLimit  bool
+	emitTimestamps bool
 
-	accepted  time.Time
-	stalled   time.Time // zero unless preempted
-	endedAt   time.Time
-	readAt    time.Time
-	readers   map[*reader]bool
-	firstSeen bool
+	acceptedAt          time.Time
+	stalledAt           time.Time // zero unless preempted
+	endedAt             time.Time
+	lastReadAt          time.Time
+	readers             map[*reader]bool
+	firstTokenPublished bool
 }
 
-// reader is one open response. Wake holds one notice: a second one while the
-// first is unread would say the same.
+// reader is an open response. wake has capacity 1, since one pending signal is
+// enough to make the reader check for new tokens.
 type reader struct {
 	wake chan struct{}
 }
@@ -84,23 +85,24 @@
 	}
 }
 
-// tagFor names a generation in its tokens, so that a mix of two is seen.
-func tagFor(incarnation, requestID string) string {
+// generationTag returns a tag that is part of every token of a generation, so that
+// tests can detect streams that mix tokens of two generations.
+func generationTag(incarnation, requestID string) string {
 	return fmt.Sprintf("%08x", uint32(xxhash.Sum64String(incarnation+"/"+requestID)))
 }
 
-// Token is the text of the token at a position, fixed for one generation.
+// Token returns the text of the token at a position of a generation.
 func Token(position int64, tag string) string {
 	return "w" + strconv.FormatInt(position, 10) + "-" + tag + " "
 }
 
-// appendEvent appends the server-sent event at position: a token, or behind
-// the last one the finish reason.
+// appendEvent appends the server-sent event at position: a token, or the finish
+// reason after the last token.
 func (g *generation) appendEvent(buf []byte, position int64, last bool) []byte {
 	buf = append(buf, "id: "...)
 	buf = strconv.AppendInt(buf, position, 10)
 	buf = append(buf, "\ndata: {\"id\":\""...)
-	buf = append(buf, g.tag...)
+	buf = append(buf, g.tokenTag...)
 	buf = append(buf, "\",\"object\":\""...)
 	if g.chat {
 		buf = append(buf, "chat.completion.chunk"...)
@@ -116,7 +118,7 @@
 	if last {
 		finish = g.finishReason()
 	} else {
-		text = Token(position, g.tag)
+		text = Token(position, g.tokenTag)
 	}
 	if g.chat {
 		buf = append(buf, "\"delta\":{"...)
@@ -134,8 +136,8 @@
 	buf = append(buf, "\"finish_reason\":"...)
 	buf = append(buf, finish...)
 	buf = append(buf, "}]"...)
-	if g.stamp {
-		// Whoever reads on the same machine sees how long the token took.
+	if g.emitTimestamps {
+		// A reader on the same machine can compute the latency of the token.
 		buf = append(buf, ",\"emittedNanos\":"...)
 		buf = strconv.AppendInt(buf, time.Now().UnixNano(), 10)
 	}
@@ -143,7 +145,7 @@
 }
 
 func (g *generation) finishReason() string {
-	if g.limited {
+	if g.hitTokenLimit {
 		return `"length"`
 	}
 	return `"stop"`
--- a/internal/standin/engine/handlers.go
+++ b/internal/standin/engine/handlers.go
@@ -15,22 +15,22 @@
 	"pollenspindle.example/pollenspindle/internal/standin/httpserver"
 )
 
-// Run runs an engine until ctx ends, which is no error, or until it dies, which
-// is [ErrCrashed].
+// Run runs an engine until ctx is done, which isn't an error, or until a simulated
+// crash, which returns [ErrCrashed].
 func Run(ctx context.Context, opts Options) error {
 	if err := opts.validate(); err != nil {
 		return err
 	}
-	ctx, die := context.WithCancelCause(ctx)
-	defer die(nil)
-	s := newServer(opts, time.Now(), die)
-	// Without the step loop the open streams would wait for ever.
+	ctx, terminate := context.WithCancelCause(ctx)
+	defer terminate(nil)
+	s := newServer(opts, time.Now(), terminate)
+	// Open streams would wait forever once the step loop has ended, so stop closes them.
 	stop := context.AfterFunc(ctx, s.stop)
 	defer stop()
-	loopDone := make(chan struct{})
+	stepsDone := make(chan struct{})
 	go func() {
-		defer close(loopDone)
-		s.loop(ctx)
+		defer close(stepsDone)
+		s.runSteps(ctx)
 	}()
 	reportsDone := make(chan struct{})
 	go func() {
@@ -38,8 +38,8 @@
 		s.reportLoop(ctx)
 	}()
 	err := httpserver.Run(ctx, opts.Address, opts.Ready, s.register)
-	die(err)
-	<-loopDone
+	terminate(err)
+	<-stepsDone
 	<-reportsDone
 	if cause := context.Cause(ctx); errors.Is(cause, ErrCrashed) {
 		return ErrCrashed
@@ -54,9 +54,9 @@
 	h.DELETE("/v1/streams/:id", s.handleCancel)
 	h.GET("/v1/load", s.handleLoad)
 	h.GET("/v1/cache/events", s.handleCacheEvents)
-	h.POST("/v1/orders", s.handleOrder)
+	h.POST("/v1/orders", s.handleCommand)
 	h.GET("/v1/state", s.handleState)
-	s.registerControl(h)
+	s.registerControlEndpoints(h)
 }
 
 func (s *Server) handleStart(ctx context.Context, c *app.RequestContext, chat bool) {
@@ -71,10 +71,10 @@
 		return
 	}
 	if g == nil {
-		httpserver.Cut(c)
+		httpserver.CloseConnection(c)
 		return
 	}
-	s.stream(ctx, c, s.crossed(g), 0)
+	s.stream(ctx, c, s.selectStream(g), 0)
 }
 
 func (s *Server) handleResume(ctx context.Context, c *app.RequestContext) {
@@ -83,7 +83,7 @@
 		writeRefusal(c, &refusal{status: http.StatusBadRequest, code: "badPosition"})
 		return
 	}
-	g := s.find(c.Param("id"))
+	g := s.findResumable(c.Param("id"))
 	if g == nil {
 		writeRefusal(c, &refusal{status: http.StatusNotFound, code: "unknownStream"})
 		return
@@ -96,37 +96,37 @@
 	c.SetStatusCode(http.StatusNoContent)
 }
 
-// stream writes the events after a position until the generation ends, the
-// caller leaves, or the engine dies.
+// stream writes the events after a position until the generation ends, the caller
+// disconnects, or the engine crashes.
 func (s *Server) stream(ctx context.Context, c *app.RequestContext, g *generation, after int64) {
-	r := s.attach(g)
-	defer func() { s.detach(g, r, time.Now()) }()
+	r := s.addReader(g)
+	defer func() { s.removeReader(g, r, time.Now()) }()
 	c.Header("X-Engine-Incarnation", g.entry.Incarnation)
 	c.Header("X-Request-Id", g.entry.RequestID)
 	c.Header("Cache-Control", "no-cache")
 	c.SetContentType("text/event-stream; charset=utf-8")
 	w := resp.NewChunkedBodyWriter(&c.Response, c.GetWriter())
 	c.Response.HijackWriter(w)
-	// The headers go out at once, with an empty write: a caller that waits for
-	// the first token knows then that its request was accepted.
+	// An empty write sends the headers at once, so that the caller knows that its
+	// request was accepted before the first token is ready.
 	if _, err := w.Write(nil); err != nil || w.Flush() != nil {
 		return
 	}
 	var buf []byte
 	position := after
 	for {
-		state := s.readable(g)
+		state := s.streamState(g)
 		buf = buf[:0]
-		for position < state.visible {
+		for position < state.visibleTokens {
 			position++
 			buf = g.appendEvent(buf, position, false)
 		}
 		switch state.ending {
 		case EndingRunning:
 		case EndingFinished:
-			buf = s.appendEnd(buf, g, position)
+			buf = s.appendStreamEnd(buf, g, position)
 		default:
-			httpserver.Cut(c)
+			httpserver.CloseConnection(c)
 			return
 		}
 		if len(buf) > 0 {
@@ -148,9 +148,9 @@
 	}
 }
 
-func (s *Server) appendEnd(buf []byte, g *generation, position int64) []byte {
-	// A caller that has the last event already gets the end marker only.
-	if position == s.readable(g).visible {
+func (s *Server) appendStreamEnd(buf []byte, g *generation, position int64) []byte {
+	// A caller that already has the last event gets only the end marker.
+	if position == s.streamState(g).visibleTokens {
 		buf = g.appendEvent(buf, position+1, true)
 	}
 	return append(buf, "data: [DONE]\n\n"...)
--- a/internal/standin/engine/lengths.go
+++ b/internal/standin/engine/lengths.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// LengthProfile is a distribution of output lengths: a lognormal body and a
-// Pareto tail.
+// LengthProfile is a distribution of output lengths: a lognormal body with a Pareto
+// tail.
 type LengthProfile struct {
-	// Match chooses the profile for prompts that contain it; empty matches all.
+	// Match selects the profile for prompts that contain it; empty matches all.
 	Match string
-	// Median and Sigma shape the body.
+	// Median and Sigma are the parameters of the body.
 	Median float64
 	Sigma  float64
-	// TailShare is the share of outputs from the tail, which begins at
-	// TailMin and falls with TailAlpha. Below 2 its variance has no bound.
+	// TailShare is the fraction of outputs drawn from the tail. The tail has the
+	// minimum TailMin and the exponent TailAlpha; below 2 its variance is infinite.
 	TailShare float64
 	TailMin   float64
 	TailAlpha float64
 }
 
-// lengthProfiles are the kinds of work of the two deployments. The first match
-// counts.
+// lengthProfiles are the profiles of the workloads of the two deployments. The first
+// match applies.
 var lengthProfiles = []LengthProfile{
 	{Match: "verdict", Median: 24, Sigma: 0.5, TailShare: 0.02, TailMin: 80, TailAlpha: 1.6},
 	{Match: "delivery note", Median: 60, Sigma: 0.6, TailShare: 0.04, TailMin: 150, TailAlpha: 1.5},
@@ -31,12 +31,12 @@
 	{Median: 120, Sigma: 0.8, TailShare: 0.06, TailMin: 400, TailAlpha: 1.3},
 }
 
-// maxOutputTokens bounds an output for which the request gives no bound.
+// maxOutputTokens limits every output, also without a limit in the request.
 const maxOutputTokens = 32000
 
-// outputLength draws the length of the output for a prompt. It depends on the
-// prompt and the seeds only, so the same request has the same length on every
-// engine and under every policy that is measured.
+// outputLength draws the output length for a prompt. It depends only on the prompt,
+// the seed and maxTokens, so that a request has the same length on every engine and
+// under every scheduling policy that is compared.
 func outputLength(prompt string, promptHash uint64, seed int64, maxTokens int) int {
 	rng := rand.New(rand.NewPCG(promptHash, uint64(seed)))
 	n := drawLength(profileFor(prompt), rng)
--- a/internal/standin/engine/lengths_test.go
+++ b/internal/standin/engine/lengths_test.go
@@ -10,19 +10,19 @@
 func TestOutputLengthsHaveHeavyTail(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	profile := profileFor("briefing")
-	short, long := 0, 0
+	shortCount, longCount := 0, 0
 	const n = 20_000
 	for range n {
 		switch x := drawLength(profile, rng); {
 		case x <= 260:
-			short++
+			shortCount++
 		case x > 2600:
-			long++
+			longCount++
 		}
 	}
-	require.InDelta(t, 0.45, float64(short)/n, 0.03)
-	// The lognormal alone would give one in two thousand above ten medians.
-	require.Greater(t, float64(long)/n, 0.01)
+	require.InDelta(t, 0.45, float64(shortCount)/n, 0.03)
+	// Without the tail, only one in two thousand would exceed ten medians.
+	require.Greater(t, float64(longCount)/n, 0.01)
 	require.Equal(t, outputLength("plan", 9, 1, 0), outputLength("plan", 9, 1, 0))
 	require.LessOrEqual(t, outputLength("plan", 9, 1, 7), 7)
 }
--- a/internal/standin/engine/changes.go
+++ b/internal/standin/engine/loadreportdelta.go
@@ -2,12 +2,12 @@
 
 import "pollenspindle.example/pollenspindle/internal/engine"
 
-// keepServed is how many of the reports it has served an engine can tell the
-// changes to: one for each that polls it, and a few whose answer was lost.
-const keepServed = 8
+// maxServedReports is the number of served reports that an engine keeps to send
+// deltas against: one for each client that polls it, and a few for lost responses.
+const maxServedReports = 8
 
-// LoadChanges is a load report as the changes to one served before.
-type LoadChanges struct {
+// LoadReportDelta is a load report encoded as the difference from an earlier one.
+type LoadReportDelta struct {
 	Tag                 string                   `json:"tag"`
 	After               string                   `json:"after"`
 	MeasuredMillisAgo   int64                    `json:"measuredMillisAgo"`
@@ -25,19 +25,19 @@
 	Outputs             []int                    `json:"outputs,omitempty"`
 }
 
-// ChangesSince returns what differs between two reports of one incarnation.
-func ChangesSince(before, after engine.LoadReport) LoadChanges {
-	c := LoadChanges{
+// ChangesSince returns the difference between two reports of one incarnation.
+func ChangesSince(before, after engine.LoadReport) LoadReportDelta {
+	c := LoadReportDelta{
 		Tag:               after.Tag,
 		After:             before.Tag,
 		MeasuredMillisAgo: after.MeasuredMillisAgo,
-		UsedTokens:        changedInt(before.UsedTokens, after.UsedTokens),
-		CachedTokens:      changedInt(before.CachedTokens, after.CachedTokens),
-		Waiting:           changedInt(before.Waiting, after.Waiting),
-		Preemptions:       changedCount(before.Preemptions, after.Preemptions),
-		AcceptedTotal:     changedCount(before.AcceptedTotal, after.AcceptedTotal),
-		FinishedTotal:     changedCount(before.FinishedTotal, after.FinishedTotal),
-		RefusedTotal:      changedCount(before.RefusedTotal, after.RefusedTotal),
+		UsedTokens:        diffInt(before.UsedTokens, after.UsedTokens),
+		CachedTokens:      diffInt(before.CachedTokens, after.CachedTokens),
+		Waiting:           diffInt(before.Waiting, after.Waiting),
+		Preemptions:       diffInt64(before.Preemptions, after.Preemptions),
+		AcceptedTotal:     diffInt64(before.AcceptedTotal, after.AcceptedTotal),
+		FinishedTotal:     diffInt64(before.FinishedTotal, after.FinishedTotal),
+		RefusedTotal:      diffInt64(before.RefusedTotal, after.RefusedTotal),
 	}
 	if before.State != after.State {
 		c.State = after.State
@@ -45,34 +45,34 @@
 	if before.TokenIntervalMillis != after.TokenIntervalMillis {
 		c.TokenIntervalMillis = &after.TokenIntervalMillis
 	}
-	now := map[string]engine.RunningSequence{}
+	currentByID := map[string]engine.RunningSequence{}
 	for _, s := range after.Running {
-		now[s.ID] = s
+		currentByID[s.ID] = s
 	}
 	for i, s := range before.Running {
-		if still, ok := now[s.ID]; ok {
-			c.Outputs = append(c.Outputs, still.OutputTokens)
-			delete(now, s.ID)
+		if current, ok := currentByID[s.ID]; ok {
+			c.Outputs = append(c.Outputs, current.OutputTokens)
+			delete(currentByID, s.ID)
 		} else {
 			c.Ended = append(c.Ended, i)
 		}
 	}
 	for _, s := range after.Running {
-		if _, started := now[s.ID]; started {
+		if _, started := currentByID[s.ID]; started {
 			c.Running = append(c.Running, s)
 		}
 	}
 	return c
 }
 
-func changedInt(before, after int) *int {
+func diffInt(before, after int) *int {
 	if before == after {
 		return nil
 	}
 	return &after
 }
 
-func changedCount(before, after int64) *int64 {
+func diffInt64(before, after int64) *int64 {
 	if before == after {
 		return nil
 	}
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -1,9 +1,9 @@
-// Package engine is the stand-in for a model engine. It batches continuously
-// in a bounded memory, caches prompt prefixes, preempts and recomputes, starts
-// cold, and fails in the ways engines fail. Only its tokens mean nothing.
+// Package engine is a stand-in for a model engine. It simulates continuous batching
+// with a memory limit, prefix caching, preemption with recomputation, cold starts and
+// the failures of real engines. Its output is meaningless text.
 //
-// The batch ([Batch]) is apart from HTTP and from the clock, so that its rules
-// are tested step by step.
+// Scheduling is in package batch, which is independent of HTTP and of the clock, so
+// that it can be tested step by step.
 //
 // # Usage
 //
@@ -12,14 +12,15 @@
 //	opts.Ready = func(address string) { ... }
 //	err := engine.Run(ctx, opts)
 //
-// Beside the protocol of docs/design/outside-protocols.md it has, for tests:
+// Besides the protocol of docs/design/outside-protocols.md it has control endpoints
+// for tests:
 //
-//	POST /control/cold    turns it cold; body {"hidden":true} keeps reporting warm
-//	POST /control/warm    turns it warm
-//	POST /control/leave   body {"noticeMillis":500}: leaves, then dies
-//	POST /control/slow    body {"factor":3}: everything takes three times as long
-//	POST /control/crash   dies as Options.Crash says
-//	GET  /control/ledger  every generation that was started
+//	POST /control/cold    makes the engine cold; body {"hidden":true} keeps reporting warm
+//	POST /control/warm    makes it warm
+//	POST /control/leave   body {"noticeMillis":500}: refuses new requests, then crashes
+//	POST /control/slow    body {"factor":3}: every step takes three times as long
+//	POST /control/crash   crashes as set in Options.CrashMode
+//	GET  /control/ledger  returns the [Ledger] of all generations
 package engine
 
 import (
@@ -30,31 +31,31 @@
 	"pollenspindle.example/pollenspindle/internal/standin/batch"
 )
 
-// ErrCrashed is returned by [Run] when the engine died as a process does.
+// ErrCrashed is returned by [Run] after a simulated crash.
 var ErrCrashed = merry.Sentinel("engine stand-in crashed")
 
-// Overload says what a cold engine does above its limit.
-type Overload string
+// OverloadMode is the behavior of a cold engine above its limit.
+type OverloadMode string
 
-// The ways in which a cold engine has too much load.
+// Behaviors of an overloaded cold engine: it crashes, slows down, or refuses requests.
 const (
-	OverloadCrash  Overload = "crash"
-	OverloadSlow   Overload = "slow"
-	OverloadRefuse Overload = "refuse"
+	OverloadCrash  OverloadMode = "crash"
+	OverloadSlow   OverloadMode = "slow"
+	OverloadRefuse OverloadMode = "refuse"
 )
 
-// Crash says how an engine dies.
-type Crash string
+// CrashMode is the behavior of an engine on a crash.
+type CrashMode string
 
-// The ways to die: the process ends, or it comes back at once with a new
-// incarnation and nothing of what it had.
+// Behaviors on a crash: [Run] returns, or the engine restarts at once with a new
+// incarnation and without its former state.
 const (
-	CrashExit    Crash = "exit"
-	CrashRestart Crash = "restart"
+	CrashExit    CrashMode = "exit"
+	CrashRestart CrashMode = "restart"
 )
 
-// Options are the properties of one engine. Times are nominal: they pass
-// TimeScale times faster.
+// Options configures one engine. Durations are nominal: the actual ones are shorter
+// by the factor TimeScale.
 type Options struct {
 	Address   string
 	Name      string
@@ -63,71 +64,74 @@
 	Seed      int64
 
 	Batch batch.Params
-	// MaxWaiting bounds the queue; above it the engine refuses with 429.
+	// MaxWaiting limits the queue; further requests get status 429.
 	MaxWaiting int
 
-	// ColdLimit is how many requests a cold engine can handle, ColdTime how long
-	// it stays cold after its start. No ColdTime starts it warm.
+	// ColdLimit is how many requests a cold engine can handle, ColdTime how long it
+	// stays cold after its start; 0 means that it starts warm.
 	ColdLimit    int
 	ColdTime     time.Duration
-	ColdOverload Overload
-	// ColdSlowdown multiplies times while a cold engine has too much load.
+	ColdOverload OverloadMode
+	// ColdSlowdown multiplies step durations while a cold engine is overloaded in
+	// mode OverloadSlow.
 	ColdSlowdown float64
 
-	// PoisonMarker in a prompt makes the engine crash when it runs it.
+	// PoisonMarker is a text that crashes the engine when it occurs in a prompt;
+	// empty disables this.
 	PoisonMarker string
-	Crash        Crash
+	CrashMode    CrashMode
 
-	// ReportLag is the age of load reports, EventLag that of cache events;
-	// EventLoss is the share of cache events that is lost.
+	// ReportLag is the age of load reports, EventLag that of cache events.
+	// EventLoss is the fraction of cache events that are lost.
 	ReportLag time.Duration
 	EventLag  time.Duration
 	EventLoss float64
 
-	// CrossEvery answers each so many-th request with the stream of another one
-	// that runs; its own runs on. 0 is never.
-	CrossEvery int
+	// SwapStreamEvery makes the engine respond to every n-th request with the
+	// stream of another running generation; its own keeps running. 0 is never.
+	SwapStreamEvery int
 
-	// KeepFinished is how long a finished generation can be resumed.
-	// AbandonAfter ends a generation that nobody has read for so long.
-	KeepFinished time.Duration
-	AbandonAfter time.Duration
+	// FinishedRetention is how long a finished generation can be resumed.
+	// AbandonAfter is the time without a reader after which a generation ends.
+	FinishedRetention time.Duration
+	AbandonAfter      time.Duration
 
+	// CheckFencing makes the engine reject commands with a stale fencing token.
 	CheckFencing bool
-	// WeightStore is the base URL from which models are loaded; when empty a
+	// WeightStore is the base URL from which models are loaded. If it is empty, a
 	// load takes LoadTime.
 	WeightStore string
 	LoadTime    time.Duration
 
-	// Stamp adds to each chunk when it was written, as emittedNanos, in
+	// EmitTimestamps adds the write time to each chunk as emittedNanos, in
 	// nanoseconds since 1970.
-	Stamp bool
+	EmitTimestamps bool
 
-	// Ready is called with the address when the engine accepts connections.
+	// Ready is called with the address once the engine accepts connections.
 	Ready func(address string)
 }
 
-// DefaultOptions returns an engine of the size used in the measurements.
+// DefaultOptions returns the default options. The engine has the size that benchmarks use.
 func DefaultOptions() Options {
 	return Options{
-		Address:      "127.0.0.1:0",
-		Name:         "engine",
-		TimeScale:    1,
-		Seed:         1,
-		Batch:        batch.DefaultParams(),
-		MaxWaiting:   256,
-		ColdLimit:    2,
-		ColdTime:     5 * time.Second,
-		ColdOverload: OverloadCrash,
-		ColdSlowdown: 10,
-		Crash:        CrashRestart,
-		ReportLag:    200 * time.Millisecond,
-		EventLag:     500 * time.Millisecond,
-		EventLoss:    0.02,
-		KeepFinished: 30 * time.Second,
-		AbandonAfter: 30 * time.Second,
-		CheckFencing: true,
-		LoadTime:     2 * time.Second,
+		Address:           "127.0.0.1:0",
+		Name:              "engine",
+		TimeScale:         1,
+		Seed:              1,
+		Batch:             batch.DefaultParams(),
+		MaxWaiting:        256,
+		ColdLimit:         2,
+		ColdTime:          5 * time.Second,
+		ColdOverload:      OverloadCrash,
+		ColdSlowdown:      10,
+		CrashMode:         CrashRestart,
+		ReportLag:         200 * time.Millisecond,
+		EventLag:          500 * time.Millisecond,
+		EventLoss:         0.02,
+		FinishedRetention: 30 * time.Second,
+		AbandonAfter:      30 * time.Second,
+		CheckFencing:      true,
+		LoadTime:          2 * time.Second,
 	}
 }
 
@@ -135,13 +139,13 @@
 	if o.TimeScale <= 0 {
 		return merry.Sentinel("time scale must be above 0")
 	}
-	if o.Batch.MaxBatch < 1 || o.Batch.MemoryTokens < 1 || o.Batch.PrefillTokensPerSecond < 1 || o.Batch.BlockTokens < 1 {
+	if o.Batch.MaxSequences < 1 || o.Batch.MemoryTokens < 1 || o.Batch.PrefillTokensPerSecond < 1 || o.Batch.BlockTokens < 1 {
 		return merry.Sentinel("batch size, memory, block size and prefill rate must be above 0")
 	}
 	return nil
 }
 
-// real turns a nominal duration into one of the clock.
-func (o Options) real(d time.Duration) time.Duration {
+// realDuration converts a nominal duration into the actual one.
+func (o Options) realDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / o.TimeScale)
 }
--- a/internal/standin/engine/reports.go
+++ b/internal/standin/engine/reports.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// reportsPerLag is how many reports are taken while one ages.
+	// reportsPerLag is the number of reports recorded per ReportLag.
 	reportsPerLag = 4
-	// minReportPeriod bounds the cost of reports at a high time scale.
+	// minReportPeriod limits the cost of reports at a high time scale.
 	minReportPeriod = 5 * time.Millisecond
-	// maxEvents bounds the cache events kept; older ones are lost to callers
-	// that come late.
+	// maxEvents is the number of cache events kept. Callers that poll too rarely
+	// miss older ones.
 	maxEvents = 4096
 )
 
-// timedReport is a load report with the time at which it was true.
+// timedReport is a load report with the time at which it was recorded.
 type timedReport struct {
-	at     time.Time
-	report engine.LoadReport
+	measuredAt time.Time
+	report     engine.LoadReport
 }
 
-// reportLoop takes load reports, which are served when they are old enough.
+// reportLoop records load reports. They are served once they are ReportLag old.
 func (s *Server) reportLoop(ctx context.Context) {
-	period := max(s.opts.real(s.opts.ReportLag)/reportsPerLag, minReportPeriod)
+	period := max(s.opts.realDuration(s.opts.ReportLag)/reportsPerLag, minReportPeriod)
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
@@ -40,34 +40,34 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			s.takeReport(now)
+			s.recordReport(now)
 		}
 	}
 }
 
-func (s *Server) takeReport(now time.Time) {
+func (s *Server) recordReport(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	report := s.measure(now)
-	s.measured++
-	report.Tag = s.tag + strconv.FormatInt(s.measured, 36)
-	s.reports = append(s.reports, timedReport{at: now, report: report})
-	lag := s.opts.real(s.opts.ReportLag)
-	for len(s.reports) > 1 && now.Sub(s.reports[1].at) >= lag {
+	report := s.buildLoadReport(now)
+	s.reportCount++
+	report.Tag = s.reportTagPrefix + strconv.FormatInt(s.reportCount, 36)
+	s.reports = append(s.reports, timedReport{measuredAt: now, report: report})
+	lag := s.opts.realDuration(s.opts.ReportLag)
+	for len(s.reports) > 1 && now.Sub(s.reports[1].measuredAt) >= lag {
 		s.reports = s.reports[1:]
 	}
 }
 
-func (s *Server) measure(now time.Time) engine.LoadReport {
+func (s *Server) buildLoadReport(now time.Time) engine.LoadReport {
 	report := engine.LoadReport{
 		Incarnation:         s.incarnation,
 		State:               engine.LoadWarm,
 		MemoryTokens:        s.opts.Batch.MemoryTokens,
-		UsedTokens:          s.batch.Used(),
-		CachedTokens:        s.batch.Cached(),
+		UsedTokens:          s.batch.UsedTokens(),
+		CachedTokens:        s.batch.CachedTokens(),
 		Running:             []engine.RunningSequence{},
 		Waiting:             len(s.batch.Waiting()),
-		TokenIntervalMillis: float64(s.interval) / float64(time.Millisecond),
+		TokenIntervalMillis: float64(s.lastStepDuration) / float64(time.Millisecond),
 		Preemptions:         s.totals.preemptions,
 		AcceptedTotal:       s.totals.accepted,
 		FinishedTotal:       s.totals.finished,
@@ -76,7 +76,7 @@
 	switch {
 	case s.leaving:
 		report.State = engine.LoadLeaving
-	case s.cold(now) && !s.hidden:
+	case s.isCold(now) && !s.reportWarm:
 		report.State = engine.LoadCold
 	}
 	for _, seq := range s.batch.Running() {
@@ -87,52 +87,52 @@
 	return report
 }
 
-// lateReport returns the newest report that is old enough.
-func (s *Server) lateReport(now time.Time) engine.LoadReport {
+// laggedReport returns the newest report that is at least ReportLag old.
+func (s *Server) laggedReport(now time.Time) engine.LoadReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := s.reports[0]
-	first.report.MeasuredMillisAgo = now.Sub(first.at).Milliseconds()
+	first.report.MeasuredMillisAgo = now.Sub(first.measuredAt).Milliseconds()
 	return first.report
 }
 
 func (s *Server) handleLoad(_ context.Context, c *app.RequestContext) {
-	report := s.lateReport(time.Now())
-	if before, ok := s.serve(report, c.Query("after")); ok {
+	report := s.laggedReport(time.Now())
+	if before, ok := s.recordServed(report, c.Query("after")); ok {
 		c.JSON(http.StatusOK, ChangesSince(before, report))
 		return
 	}
 	c.JSON(http.StatusOK, report)
 }
 
-// serve remembers a report that is served, and returns the one with the tag
-// after if it is remembered.
-func (s *Server) serve(report engine.LoadReport, after string) (before engine.LoadReport, ok bool) {
+// recordServed records a report as served. It also returns the served report with the
+// tag after, if it is still kept.
+func (s *Server) recordServed(report engine.LoadReport, after string) (before engine.LoadReport, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := false
-	for _, r := range s.served {
+	for _, r := range s.servedReports {
 		known = known || r.Tag == report.Tag
 		if r.Tag != "" && r.Tag == after {
 			before, ok = r, true
 		}
 	}
 	if !known {
-		s.served = append(s.served, report)
-		s.served = s.served[max(0, len(s.served)-keepServed):]
+		s.servedReports = append(s.servedReports, report)
+		s.servedReports = s.servedReports[max(0, len(s.servedReports)-maxServedReports):]
 	}
 	return before, ok
 }
 
-// eventLog keeps the cache events. Lost ones leave gaps in the numbers.
+// eventLog keeps the cache events. Lost events leave gaps in the sequence numbers.
 type eventLog struct {
 	seq    int64
 	events []timedEvent
 }
 
 type timedEvent struct {
-	at    time.Time
-	event engine.CacheEvent
+	addedAt time.Time
+	event   engine.CacheEvent
 }
 
 func (l *eventLog) add(changes []batch.CacheChange, now time.Time, loss float64, rng *rand.Rand) {
@@ -145,7 +145,7 @@
 		if change.Evicted {
 			op = engine.CacheEvicted
 		}
-		l.events = append(l.events, timedEvent{at: now, event: engine.CacheEvent{
+		l.events = append(l.events, timedEvent{addedAt: now, event: engine.CacheEvent{
 			Seq: l.seq, PrefixHash: fmt.Sprintf("%016x", change.Hash), Op: op,
 		}})
 	}
@@ -154,14 +154,15 @@
 	}
 }
 
-// after returns the events with higher numbers that are old enough.
+// after returns the events with a sequence number above seq that are no newer than
+// newest.
 func (l *eventLog) after(seq int64, newest time.Time) engine.CacheEvents {
 	page := engine.CacheEvents{Events: []engine.CacheEvent{}, Next: seq + 1}
 	for _, e := range l.events {
 		if e.event.Seq <= seq {
 			continue
 		}
-		if e.at.After(newest) {
+		if e.addedAt.After(newest) {
 			break
 		}
 		page.Events = append(page.Events, e.event)
@@ -177,7 +178,7 @@
 		return
 	}
 	s.mu.Lock()
-	page := s.events.after(after, time.Now().Add(-s.opts.real(s.opts.EventLag)))
+	page := s.events.after(after, time.Now().Add(-s.opts.realDuration(s.opts.EventLag)))
 	s.mu.Unlock()
 	c.JSON(http.StatusOK, page)
 }
--- a/internal/standin/engine/requests.go
+++ b/internal/standin/engine/requests.go
@@ -10,10 +10,10 @@
 	"pollenspindle.example/pollenspindle/internal/standin/batch"
 )
 
-// bytesPerToken is how the stand-in counts prompt tokens.
+// bytesPerToken is the number of bytes that count as one prompt token.
 const bytesPerToken = 4
 
-// completionRequest is what the engine reads of an OpenAI request body.
+// completionRequest holds the fields of an OpenAI request body that the engine uses.
 type completionRequest struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -30,7 +30,7 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// prompt returns the text that is read before the first token.
+// prompt returns the text of the prompt or of all messages.
 func (r completionRequest) prompt() string {
 	if len(r.Messages) == 0 {
 		return textOf(r.Prompt)
@@ -45,7 +45,7 @@
 	return b.String()
 }
 
-// textOf reads a JSON string; other forms of content count as they stand.
+// textOf decodes a JSON string. Content of other types is used as raw JSON.
 func textOf(raw json.RawMessage) string {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
@@ -61,8 +61,8 @@
 	return r.MaxTokens
 }
 
-// blockHashes returns the hash of each full block of the prompt together with
-// all before it.
+// blockHashes returns a hash for each full block of the prompt. Each hash also covers
+// the preceding blocks.
 func blockHashes(prompt string, blockTokens int) []uint64 {
 	size := blockTokens * bytesPerToken
 	hashes := make([]uint64, 0, len(prompt)/size)
@@ -74,7 +74,7 @@
 	return hashes
 }
 
-// refusal is an answer instead of running a request.
+// refusal is an error response to a request that doesn't run.
 type refusal struct {
 	status     int
 	notRun     bool
@@ -82,12 +82,12 @@
 	code       string
 }
 
-// accept starts a generation, or says why not. A nil generation without a
-// refusal means that the engine crashed.
+// accept starts a generation or returns a refusal. If both are nil, the request
+// crashed the engine.
 func (s *Server) accept(id string, req completionRequest, chat bool, now time.Time) (*generation, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.refuse(id, req, now); r != nil {
+	if r := s.checkAdmission(id, req, now); r != nil {
 		s.totals.refused++
 		return nil, r
 	}
@@ -101,27 +101,27 @@
 		s.ledger = append(s.ledger, g)
 	}
 	s.batch.Add(g.sequence)
-	poison := s.opts.PoisonMarker != "" && strings.Contains(req.prompt(), s.opts.PoisonMarker)
-	tooMuch := s.cold(now) && s.opts.ColdOverload == OverloadCrash && s.load() > s.opts.ColdLimit
-	if poison || tooMuch {
+	poisoned := s.opts.PoisonMarker != "" && strings.Contains(req.prompt(), s.opts.PoisonMarker)
+	overloaded := s.isCold(now) && s.opts.ColdOverload == OverloadCrash && s.requestCount() > s.opts.ColdLimit
+	if poisoned || overloaded {
 		s.crash(now)
 		return nil, nil
 	}
-	s.wakeLoop()
+	s.wakeStepLoop()
 	return g, nil
 }
 
-func (s *Server) refuse(id string, req completionRequest, now time.Time) *refusal {
+func (s *Server) checkAdmission(id string, req completionRequest, now time.Time) *refusal {
 	switch {
 	case s.leaving:
 		return &refusal{status: 503, notRun: true, code: "leaving"}
-	case !s.orders.has(req.Model):
+	case !s.commands.hasModel(req.Model):
 		return &refusal{status: 404, code: "modelNotLoaded"}
 	case id == "":
 		return &refusal{status: 400, code: "requestIdMissing"}
 	case s.generations[id] != nil:
 		return &refusal{status: 400, code: "requestIdInUse"}
-	case s.cold(now) && s.opts.ColdOverload == OverloadRefuse && s.load() >= s.opts.ColdLimit:
+	case s.isCold(now) && s.opts.ColdOverload == OverloadRefuse && s.requestCount() >= s.opts.ColdLimit:
 		return &refusal{status: 503, notRun: true, retryAfter: 1, code: "cold"}
 	case len(s.batch.Waiting()) >= s.opts.MaxWaiting:
 		return &refusal{status: 429, retryAfter: 1, code: "full"}
@@ -153,24 +153,24 @@
 			PromptTokens: seq.PromptTokens,
 			Ending:       EndingRunning,
 		},
-		sequence: seq,
-		chat:     chat,
-		created:  now.Unix(),
-		tag:      tagFor(s.incarnation, id),
-		limited:  length == req.maxTokens(),
-		stamp:    s.opts.Stamp,
-		accepted: now,
-		readAt:   now,
-		readers:  map[*reader]bool{},
+		sequence:       seq,
+		chat:           chat,
+		created:        now.Unix(),
+		tokenTag:       generationTag(s.incarnation, id),
+		hitTokenLimit:  length == req.maxTokens(),
+		emitTimestamps: s.opts.EmitTimestamps,
+		acceptedAt:     now,
+		lastReadAt:     now,
+		readers:        map[*reader]bool{},
 	}
 }
 
-// crossed returns the generation whose stream is given for g: g itself, or, as
-// often as the options say, another that runs.
-func (s *Server) crossed(g *generation) *generation {
+// selectStream returns the generation whose stream is sent for g: g itself, or, as
+// often as SwapStreamEvery says, another running one.
+func (s *Server) selectStream(g *generation) *generation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.opts.CrossEvery <= 0 || s.totals.accepted%int64(s.opts.CrossEvery) != 0 {
+	if s.opts.SwapStreamEvery <= 0 || s.totals.accepted%int64(s.opts.SwapStreamEvery) != 0 {
 		return g
 	}
 	for _, other := range s.generations {
@@ -190,12 +190,12 @@
 		return
 	}
 	s.batch.Remove(g.sequence)
-	s.end(g, EndingCancelled, now)
+	s.endGeneration(g, EndingCancelled, now)
 	delete(s.generations, id)
 }
 
-// find returns a generation that can be resumed.
-func (s *Server) find(id string) *generation {
+// findResumable returns the generation with the id, or nil if it can't be resumed.
+func (s *Server) findResumable(id string) *generation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := s.generations[id]
@@ -205,8 +205,8 @@
 	return g
 }
 
-// attach adds a reader, detach takes it away.
-func (s *Server) attach(g *generation) *reader {
+// addReader registers a reader, removeReader removes it.
+func (s *Server) addReader(g *generation) *reader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := &reader{wake: make(chan struct{}, 1)}
@@ -214,21 +214,21 @@
 	return r
 }
 
-func (s *Server) detach(g *generation, r *reader, now time.Time) {
+func (s *Server) removeReader(g *generation, r *reader, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(g.readers, r)
-	g.readAt = now
+	g.lastReadAt = now
 }
 
-// readable is what a reader may have of a generation now.
-type readable struct {
-	visible int64
-	ending  Ending
+// streamState is the state of a generation as its readers see it.
+type streamState struct {
+	visibleTokens int64
+	ending        Ending
 }
 
-func (s *Server) readable(g *generation) readable {
+func (s *Server) streamState(g *generation) streamState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return readable{visible: g.visible, ending: g.entry.Ending}
+	return streamState{visibleTokens: g.visibleTokens, ending: g.entry.Ending}
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -11,108 +11,110 @@
 	"pollenspindle.example/pollenspindle/internal/standin/batch"
 )
 
-// maxLedger bounds the ledger; a bench run starts some tens of thousands.
+// maxLedger limits the ledger; a benchmark starts some tens of thousands of generations.
 const maxLedger = 200_000
 
+// expirePeriod is the interval between scans for expired generations.
 const expirePeriod = 100 * time.Millisecond
 
-// Server is one engine. Its state is under one lock, which the step loop holds
-// only between two steps.
+// Server is one engine. A mutex guards its state; the step loop holds it only between
+// steps.
 type Server struct {
-	opts Options
-	die  context.CancelCauseFunc
-	// work wakes the step loop. One notice is enough: the loop looks at the
-	// whole batch.
-	work chan struct{}
+	opts      Options
+	terminate context.CancelCauseFunc
+	// wake wakes the step loop. Its capacity of 1 is enough, since the loop checks
+	// the whole batch.
+	wake chan struct{}
 
-	mu          sync.Mutex
-	rng         *rand.Rand
-	starts      int
-	incarnation string
-	batch       *batch.Batch
-	generations map[string]*generation
-	// ended holds those that can still be resumed, the oldest first.
-	ended     []*generation
-	ledger    []*generation
-	expired   time.Time
-	coldUntil time.Time
-	hidden    bool
-	leaving   bool
-	slow      float64
-	totals    totals
-	interval  time.Duration
-	reports   []timedReport
-	// measured counts the reports of this incarnation. With tag, which another
-	// one doesn't have, it names a report. Served are the last ones that went
-	// out.
-	measured int64
-	tag      string
-	served   []engine.LoadReport
-	events   eventLog
-	orders   orderState
+	mu               sync.Mutex
+	rng              *rand.Rand
+	incarnationCount int
+	incarnation      string
+	batch            *batch.Batch
+	generations      map[string]*generation
+	// ended holds the ended generations that can be resumed, the oldest first.
+	ended            []*generation
+	ledger           []*generation
+	lastExpiry       time.Time
+	coldUntil        time.Time
+	reportWarm       bool
+	leaving          bool
+	slowFactor       float64
+	totals           totals
+	lastStepDuration time.Duration
+	reports          []timedReport
+	// reportCount counts the reports of this incarnation. A report's tag consists
+	// of reportTagPrefix, which is unique to the incarnation, and this number.
+	// servedReports are the last reports served.
+	reportCount     int64
+	reportTagPrefix string
+	servedReports   []engine.LoadReport
+	events          eventLog
+	commands        commandState
 }
 
 type totals struct {
 	accepted, finished, refused, preemptions int64
 }
 
-// newServer returns an engine that has just started at now.
-func newServer(opts Options, now time.Time, die context.CancelCauseFunc) *Server {
+// newServer returns an engine that starts at now.
+func newServer(opts Options, now time.Time, terminate context.CancelCauseFunc) *Server {
 	s := &Server{
-		opts: opts,
-		die:  die,
-		work: make(chan struct{}, 1),
-		rng:  rand.New(rand.NewPCG(uint64(opts.Seed), 0x656e67696e65)),
-		slow: 1,
+		opts:       opts,
+		terminate:  terminate,
+		wake:       make(chan struct{}, 1),
+		rng:        rand.New(rand.NewPCG(uint64(opts.Seed), 0x656e67696e65)),
+		slowFactor: 1,
 	}
 	for _, model := range opts.Models {
-		s.orders.setModel(model, "1")
+		s.commands.setModel(model, "1")
 	}
-	s.start(now)
+	s.startIncarnation(now)
 	return s
 }
 
-// start begins an incarnation with nothing of the one before.
-func (s *Server) start(now time.Time) {
-	s.starts++
-	// The name differs between processes too, or a restarted one could be
-	// taken for its predecessor.
-	s.incarnation = fmt.Sprintf("%s-%d-%x", s.opts.Name, s.starts, now.UnixNano()&0xffffffffff)
+// startIncarnation starts a new incarnation and clears the state of the former one.
+func (s *Server) startIncarnation(now time.Time) {
+	s.incarnationCount++
+	// The time keeps the name unique across processes: a restarted process must
+	// not be mistaken for its predecessor.
+	s.incarnation = fmt.Sprintf("%s-%d-%x", s.opts.Name, s.incarnationCount, now.UnixNano()&0xffffffffff)
 	s.batch = batch.New(s.opts.Batch)
 	s.generations = map[string]*generation{}
 	s.ended = nil
 	s.totals = totals{}
 	s.events = eventLog{}
-	s.coldUntil = now.Add(s.opts.real(s.opts.ColdTime))
-	s.hidden = false
+	s.coldUntil = now.Add(s.opts.realDuration(s.opts.ColdTime))
+	s.reportWarm = false
 	s.leaving = false
-	s.tag, s.measured, s.served = fmt.Sprintf("%x-%d.", now.UnixNano()&0xffffffff, s.starts), 0, nil
-	s.reports = []timedReport{{at: now, report: s.measure(now)}}
+	s.reportTagPrefix, s.reportCount, s.servedReports = fmt.Sprintf("%x-%d.", now.UnixNano()&0xffffffff, s.incarnationCount), 0, nil
+	s.reports = []timedReport{{measuredAt: now, report: s.buildLoadReport(now)}}
 }
 
-func (s *Server) cold(now time.Time) bool { return now.Before(s.coldUntil) }
+func (s *Server) isCold(now time.Time) bool { return now.Before(s.coldUntil) }
 
-// load is the number of requests that the engine holds now.
-func (s *Server) load() int { return len(s.batch.Running()) + len(s.batch.Waiting()) }
+// requestCount returns the number of running and waiting requests.
+func (s *Server) requestCount() int { return len(s.batch.Running()) + len(s.batch.Waiting()) }
 
-// crash loses everything at once, as a process that dies.
+// crash drops all state at once, as a crashing process does.
 func (s *Server) crash(now time.Time) {
-	s.loseAll()
-	if s.opts.Crash == CrashExit {
-		s.die(ErrCrashed)
+	s.loseGenerations()
+	if s.opts.CrashMode == CrashExit {
+		s.terminate(ErrCrashed)
 		return
 	}
-	s.start(now)
+	s.startIncarnation(now)
 }
 
-// stop cuts the open streams of an engine that ends.
+// stop closes the open streams on shutdown.
 func (s *Server) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseAll()
+	s.loseGenerations()
 }
 
-func (s *Server) loseAll() {
+// loseGenerations marks the running generations as lost and wakes all readers.
+func (s *Server) loseGenerations() {
 	for _, g := range s.generations {
 		if !g.ended() {
 			g.entry.Ending = EndingLost
@@ -121,27 +123,28 @@
 	}
 }
 
-// wakeLoop tells the step loop that there is work.
-func (s *Server) wakeLoop() {
+// wakeStepLoop signals the step loop that there is work.
+func (s *Server) wakeStepLoop() {
 	select {
-	case s.work <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// loop runs the steps. A step's tokens become visible at its end. Steps are
-// laid end to end on the clock, so that a late wake-up isn't added up.
-func (s *Server) loop(ctx context.Context) {
+// runSteps runs the steps. A step's tokens become visible at its end. Each step
+// starts at the scheduled end of the previous one, so that timer delays don't
+// accumulate.
+func (s *Server) runSteps(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	next := time.Now()
 	for {
-		step, of, ok := s.step()
+		step, b, ok := s.runStep()
 		if !ok {
 			select {
 			case <-ctx.Done():
 				return
-			case <-s.work:
+			case <-s.wake:
 			}
 			next = time.Now()
 			continue
@@ -156,44 +159,45 @@
 			return
 		case <-timer.C:
 		}
-		s.publish(step, of, time.Now())
+		s.publish(step, b, time.Now())
 	}
 }
 
-// step runs one step, unless there is nothing to run. The batch returned tells
-// whether the engine crashed meanwhile.
-func (s *Server) step() (batch.Step, *batch.Batch, bool) {
+// runStep runs one step, unless there is nothing to run. It also returns the batch,
+// from which publish detects that the engine crashed in the meantime.
+func (s *Server) runStep() (batch.Step, *batch.Batch, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.load() == 0 {
+	if s.requestCount() == 0 {
 		return batch.Step{}, nil, false
 	}
 	step := s.batch.Step()
 	now := time.Now()
 	for _, seq := range step.Preempted {
 		s.totals.preemptions++
-		if g := s.generations[seq.ID]; g != nil && g.stalled.IsZero() {
-			g.stalled = now
+		if g := s.generations[seq.ID]; g != nil && g.stalledAt.IsZero() {
+			g.stalledAt = now
 		}
 	}
-	step.Duration = s.opts.real(time.Duration(float64(step.Duration) * s.slowdown(now)))
-	s.interval = step.Duration
+	step.Duration = s.opts.realDuration(time.Duration(float64(step.Duration) * s.slowdown(now)))
+	s.lastStepDuration = step.Duration
 	s.events.add(step.Cache, now, s.opts.EventLoss, s.rng)
 	return step, s.batch, true
 }
 
 func (s *Server) slowdown(now time.Time) float64 {
-	if s.cold(now) && s.opts.ColdOverload == OverloadSlow && s.load() > s.opts.ColdLimit {
-		return s.slow * s.opts.ColdSlowdown
+	if s.isCold(now) && s.opts.ColdOverload == OverloadSlow && s.requestCount() > s.opts.ColdLimit {
+		return s.slowFactor * s.opts.ColdSlowdown
 	}
-	return s.slow
+	return s.slowFactor
 }
 
-// publish makes the tokens of a step visible to readers.
-func (s *Server) publish(step batch.Step, of *batch.Batch, now time.Time) {
+// publish makes the tokens of a step visible to readers, unless the engine has
+// crashed since.
+func (s *Server) publish(step batch.Step, b *batch.Batch, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if of != s.batch {
+	if b != s.batch {
 		return
 	}
 	for _, seq := range step.Emitted {
@@ -203,44 +207,44 @@
 		}
 		s.publishToken(g, now)
 	}
-	s.expire(now)
+	s.expireGenerations(now)
 }
 
 func (s *Server) publishToken(g *generation, now time.Time) {
-	g.visible++
-	g.entry.OutputTokens = int(g.visible)
-	if !g.firstSeen {
-		g.firstSeen = true
-		g.entry.QueueMillis = now.Sub(g.accepted).Milliseconds()
+	g.visibleTokens++
+	g.entry.OutputTokens = int(g.visibleTokens)
+	if !g.firstTokenPublished {
+		g.firstTokenPublished = true
+		g.entry.QueueMillis = now.Sub(g.acceptedAt).Milliseconds()
 	}
-	if !g.stalled.IsZero() {
-		g.entry.StallMillis += now.Sub(g.stalled).Milliseconds()
-		g.stalled = time.Time{}
+	if !g.stalledAt.IsZero() {
+		g.entry.StallMillis += now.Sub(g.stalledAt).Milliseconds()
+		g.stalledAt = time.Time{}
 	}
 	if g.sequence.Done() {
 		s.totals.finished++
-		s.end(g, EndingFinished, now)
+		s.endGeneration(g, EndingFinished, now)
 	}
 	g.notify()
 }
 
-// end closes a generation; its tokens stay to be resumed for a while.
-func (s *Server) end(g *generation, how Ending, now time.Time) {
-	g.entry.Ending = how
+// endGeneration ends a generation. It can be resumed for FinishedRetention.
+func (s *Server) endGeneration(g *generation, ending Ending, now time.Time) {
+	g.entry.Ending = ending
 	g.entry.Preemptions = g.sequence.Preemptions
 	g.endedAt = now
 	s.ended = append(s.ended, g)
 	g.notify()
 }
 
-// expire forgets ended generations and ends those that nobody reads. It looks
-// at all of them, so it does so seldom.
-func (s *Server) expire(now time.Time) {
-	if now.Sub(s.expired) < expirePeriod {
+// expireGenerations removes old ended generations and ends those without readers. It
+// scans all generations, so it runs only once per expirePeriod.
+func (s *Server) expireGenerations(now time.Time) {
+	if now.Sub(s.lastExpiry) < expirePeriod {
 		return
 	}
-	s.expired = now
-	keep := s.opts.real(s.opts.KeepFinished)
+	s.lastExpiry = now
+	keep := s.opts.realDuration(s.opts.FinishedRetention)
 	for len(s.ended) > 0 && now.Sub(s.ended[0].endedAt) > keep {
 		old := s.ended[0]
 		if s.generations[old.entry.RequestID] == old {
@@ -248,11 +252,11 @@
 		}
 		s.ended = s.ended[1:]
 	}
-	abandon := s.opts.real(s.opts.AbandonAfter)
+	abandon := s.opts.realDuration(s.opts.AbandonAfter)
 	for _, g := range s.generations {
-		if !g.ended() && len(g.readers) == 0 && now.Sub(g.readAt) > abandon {
+		if !g.ended() && len(g.readers) == 0 && now.Sub(g.lastReadAt) > abandon {
 			s.batch.Remove(g.sequence)
-			s.end(g, EndingAbandoned, now)
+			s.endGeneration(g, EndingAbandoned, now)
 		}
 	}
 }
--- a/internal/standin/httpserver/server.go
+++ b/internal/standin/httpserver/server.go
@@ -1,4 +1,4 @@
-// Package httpserver runs the HTTP server of a stand-in.
+// Package httpserver runs the HTTP server of the stand-ins.
 //
 // # Usage
 //
@@ -19,20 +19,20 @@
 	"github.com/cloudwego/hertz/pkg/network/standard"
 )
 
-// stopTimeout bounds the wait for open connections when a stand-in stops. Unused
-// connections of clients that keep them count as open, so most stops take it.
+// stopTimeout limits the wait for open connections on shutdown. Idle keep-alive
+// connections count as open, so most shutdowns take this long.
 const stopTimeout = 200 * time.Millisecond
 
-// maxBodyBytes bounds a request body.
+// maxBodyBytes is the maximum size of a request body.
 const maxBodyBytes = 16 << 20
 
-// The level of hertz's own log is one variable of the process without a lock,
-// so it is set before any server runs. A stand-in's output is for its commands.
+// The log level of hertz is an unsynchronized global, so it is set before any server
+// runs. hertz must not log, because the output of a stand-in belongs to its commands.
 func init() { hlog.SetLevel(hlog.LevelFatal) }
 
-// Run serves until ctx ends. It calls ready with the address once it accepts
-// connections, and register before. When ctx ends by a cause of its own, the
-// stand-in dies without waiting for anything.
+// Run serves until ctx is done. It calls register before the server starts, and ready
+// with the address once the server accepts connections. If ctx has a cause other than
+// [context.Canceled], Run simulates a crash: it returns without a graceful shutdown.
 func Run(ctx context.Context, address string, ready func(string), register func(*server.Hertz)) error {
 	ln, err := new(net.ListenConfig).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -58,10 +58,10 @@
 	case <-ctx.Done():
 	}
 	if cause := context.Cause(ctx); !errors.Is(cause, context.Canceled) {
-		// A stand-in that dies leaves its connections as they are.
+		// A simulated crash leaves open connections as they are.
 		return errors.Join(cause, ln.Close())
 	}
-	// ctx is over, so the shutdown needs a context of its own.
+	// ctx is done, so the shutdown needs a new context.
 	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
 	if err := h.Shutdown(stopCtx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Cut closes the connection of a request without ending its response, as a
-// server that dies does.
-func Cut(c *app.RequestContext) {
+// CloseConnection closes the connection of a request without completing the response,
+// as a crashing server does.
+func CloseConnection(c *app.RequestContext) {
 	_ = c.GetConn().Close()
 }
--- a/internal/standin/platform/control.go
+++ b/internal/standin/platform/control.go
@@ -11,52 +11,52 @@
 	"golang.org/x/time/rate"
 )
 
-// faults is what PUT /control/faults sets.
+// faults is the body of PUT /control/faults.
 type faults struct {
-	// Down makes each call answer 503.
+	// Down makes every call fail with status 503.
 	Down bool `json:"down"`
-	// DelayMillis is the time before a call takes effect.
+	// DelayMillis is the delay before a call takes effect.
 	DelayMillis int `json:"delayMillis"`
-	// LoseAnswers is how many of the next writes get no answer.
+	// LoseAnswers is the number of writes that take effect but get no response.
 	LoseAnswers int `json:"loseAnswers"`
-	// SpareAnswers is how many writes are answered before that.
-	SpareAnswers int `json:"spareAnswers"`
-	// FreezeList keeps the instance list at what it serves now.
+	// AnswersBeforeLoss is the number of writes that still get a response before that.
+	AnswersBeforeLoss int `json:"spareAnswers"`
+	// FreezeList stops the instance list from changing.
 	FreezeList bool `json:"freezeList"`
 }
 
-// Stats is the answer of GET /control/stats.
+// Stats is the response body of GET /control/stats.
 type Stats struct {
-	// Calls counts the calls by method and kind, as in "GET config" and
-	// "WATCH config". Refused ones count too.
+	// Calls counts the calls, refused ones included, by method and kind, such as
+	// "GET config" and "WATCH config".
 	Calls map[string]int64 `json:"calls"`
 	// Refused counts the calls that got 503.
 	Refused int64 `json:"refused"`
-	// MostPerSecond is the most calls that came in one second.
-	MostPerSecond int64 `json:"mostPerSecond"`
-	// WaitingWatches is how many watches wait now.
+	// MaxCallsPerSecond is the highest number of calls received within one second.
+	MaxCallsPerSecond int64 `json:"mostPerSecond"`
+	// WaitingWatches is the number of long polls that are open.
 	WaitingWatches int64 `json:"waitingWatches"`
 }
 
-// control counts calls and holds the faults in force.
+// control limits and counts calls and holds the active faults.
 type control struct {
-	reads, writes *rate.Limiter
-	watches       atomic.Int64
+	readLimiter, writeLimiter *rate.Limiter
+	waitingWatches            atomic.Int64
 
-	mu       sync.Mutex
-	faults   faults
-	calls    map[string]int64
-	refused  int64
-	second   int64
-	inSecond int64
-	most     int64
+	mu                sync.Mutex
+	faults            faults
+	calls             map[string]int64
+	refused           int64
+	currentSecond     int64
+	callsInSecond     int64
+	maxCallsPerSecond int64
 }
 
 func newControl(opts Options) *control {
 	return &control{
-		reads:  newLimiter(opts.ReadsPerSecond),
-		writes: newLimiter(opts.WritesPerSecond),
-		calls:  map[string]int64{},
+		readLimiter:  newLimiter(opts.ReadsPerSecond),
+		writeLimiter: newLimiter(opts.WritesPerSecond),
+		calls:        map[string]int64{},
 	}
 }
 
@@ -67,12 +67,12 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// admit counts a call and reports whether it is served.
+// admit counts a call and reports whether to serve it.
 func (c *control) admit(r *http.Request, now time.Time) bool {
-	name, limiter := r.Method+" "+r.PathValue("kind"), c.reads
+	name, limiter := r.Method+" "+r.PathValue("kind"), c.readLimiter
 	switch {
 	case r.Method != http.MethodGet:
-		limiter = c.writes
+		limiter = c.writeLimiter
 	case r.URL.Path == "/instances":
 		name = "GET instances"
 	case len(r.URL.Path) > 7 && r.URL.Path[:7] == "/watch/":
@@ -82,11 +82,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls[name]++
-	if second := now.Unix(); second != c.second {
-		c.second, c.inSecond = second, 0
+	if second := now.Unix(); second != c.currentSecond {
+		c.currentSecond, c.callsInSecond = second, 0
 	}
-	c.inSecond++
-	c.most = max(c.most, c.inSecond)
+	c.callsInSecond++
+	c.maxCallsPerSecond = max(c.maxCallsPerSecond, c.callsInSecond)
 	if !allowed || c.faults.Down {
 		c.refused++
 		return false
@@ -100,14 +100,15 @@
 	return time.Duration(c.faults.DelayMillis) * time.Millisecond
 }
 
-func (c *control) loseAnswer() bool {
+// shouldLoseAnswer reports whether to drop the response of the current write.
+func (c *control) shouldLoseAnswer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.faults.LoseAnswers <= 0 {
 		return false
 	}
-	if c.faults.SpareAnswers > 0 {
-		c.faults.SpareAnswers--
+	if c.faults.AnswersBeforeLoss > 0 {
+		c.faults.AnswersBeforeLoss--
 		return false
 	}
 	c.faults.LoseAnswers--
@@ -124,14 +125,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return Stats{
-		Calls:          maps.Clone(c.calls),
-		Refused:        c.refused,
-		MostPerSecond:  c.most,
-		WaitingWatches: c.watches.Load(),
+		Calls:             maps.Clone(c.calls),
+		Refused:           c.refused,
+		MaxCallsPerSecond: c.maxCallsPerSecond,
+		WaitingWatches:    c.waitingWatches.Load(),
 	}
 }
 
-// instances is the list of instances, whose changes are seen after a lag.
+// instances is the list of instances. A change becomes visible after lag.
 type instances struct {
 	lag time.Duration
 
@@ -142,8 +143,8 @@
 }
 
 type pendingList struct {
-	from  time.Time
-	value json.RawMessage
+	visibleAt time.Time
+	value     json.RawMessage
 }
 
 func newInstances(lag time.Duration) *instances {
@@ -153,7 +154,7 @@
 func (l *instances) set(now time.Time, value json.RawMessage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.pending = append(l.pending, pendingList{from: now.Add(l.lag), value: value})
+	l.pending = append(l.pending, pendingList{visibleAt: now.Add(l.lag), value: value})
 }
 
 func (l *instances) freeze(frozen bool) {
@@ -165,7 +166,7 @@
 func (l *instances) get(now time.Time) json.RawMessage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for !l.frozen && len(l.pending) > 0 && !now.Before(l.pending[0].from) {
+	for !l.frozen && len(l.pending) > 0 && !now.Before(l.pending[0].visibleAt) {
 		l.served = l.pending[0].value
 		l.pending = l.pending[1:]
 	}
@@ -190,7 +191,7 @@
 	if !readControl(w, r, &f) {
 		return
 	}
-	// What is due before a freeze is served first.
+	// Applies the changes that are due before a freeze takes effect.
 	h.instances.get(time.Now())
 	h.control.setFaults(f)
 	h.instances.freeze(f.FreezeList)
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,7 +1,7 @@
-// Package platform is the stand-in of the platform: the object API with
-// versions, conditional updates and long-poll watches, and the lagging list
-// of instances. It keeps everything in memory and takes faults under
-// /control/. It serves tests, demonstrations and measurements only.
+// Package platform is a stand-in for the platform. It serves the object API with
+// versions, conditional updates and long-poll watches, and a list of instances
+// that lags behind. All data is in memory, and faults are injected with calls
+// under /control/. It is for tests, demonstrations and measurements only.
 //
 // # Usage
 //
@@ -27,46 +27,47 @@
 )
 
 const (
-	// maxValueBytes is the largest value that the platform keeps.
+	// maxValueBytes is the maximum size of an object's value.
 	maxValueBytes = 1 << 20
-	// defaultPage and maxPage bound the objects of one page of a list.
-	defaultPage = 100
-	maxPage     = 1000
-	// maxWait bounds one long poll.
+	// Number of objects in one page of a list.
+	defaultPageSize = 100
+	maxPageSize     = 1000
+	// maxWait is the maximum duration of one long poll.
 	maxWait = time.Minute
-	// defaultHistory is how many changes can be watched from at the least.
+	// defaultHistory is the minimum number of past changes that a watch can
+	// start from.
 	defaultHistory = 4096
-	// stopGrace is how long a stopping server waits for calls to end.
-	stopGrace = 2 * time.Second
+	// shutdownGracePeriod is how long a shutdown waits for running calls.
+	shutdownGracePeriod = 2 * time.Second
 )
 
-// ErrAddress means that the address isn't a loopback address.
-var ErrAddress = merry.Sentinel("the stand-in listens on loopback only")
+// ErrNotLoopback is returned when the listening address isn't a loopback IP address.
+var ErrNotLoopback = merry.Sentinel("the stand-in listens on loopback only")
 
-// Options are the settings of the stand-in.
+// Options configures the stand-in.
 type Options struct {
-	// Address is the listening address, host:port by loopback IP number.
+	// Address is the listening address: a loopback IP address and a port.
 	Address string
-	// Lag is how long a change of the instance list stays unseen.
+	// Lag is the delay before a change of the instance list becomes visible.
 	Lag time.Duration
-	// ReadsPerSecond and WritesPerSecond are the rates above which calls get
-	// 503; 0 means no limit. A burst of one second's worth is allowed.
+	// ReadsPerSecond and WritesPerSecond are rate limits; calls above them get
+	// status 503. 0 means no limit. The burst is one second's worth of calls.
 	ReadsPerSecond  float64
 	WritesPerSecond float64
-	// History is how many changes are kept for watches; 0 means 4096.
+	// History is the number of changes kept for watches; 0 means 4096.
 	History int
-	// Ready, if set, is called with the address once it is listened on.
+	// Ready, if set, is called with the address once the server listens on it.
 	Ready func(address string)
 }
 
-// Run serves the stand-in until ctx ends.
+// Run serves the stand-in until ctx is done.
 func Run(ctx context.Context, opts Options) error {
 	host, _, err := net.SplitHostPort(opts.Address)
 	if err != nil {
 		return merry.Wrap(err)
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return merry.Wrap(ErrAddress)
+		return merry.Wrap(ErrNotLoopback)
 	}
 	ln, err := new(net.ListenConfig).Listen(ctx, "tcp", opts.Address)
 	if err != nil {
@@ -84,9 +85,9 @@
 	go func() {
 		defer close(stopped)
 		<-ctx.Done()
-		grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopGrace)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownGracePeriod)
 		defer cancel()
-		_ = server.Shutdown(grace)
+		_ = server.Shutdown(shutdownCtx)
 	}()
 	if err := server.Serve(ln); err != nil && ctx.Err() == nil {
 		return merry.Wrap(err)
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// Handler answers the protocol of the platform.
+// Handler serves the protocol of the platform.
 type Handler struct {
 	mux       *http.ServeMux
 	store     *store
@@ -103,7 +104,7 @@
 	instances *instances
 }
 
-// NewHandler makes a stand-in with an empty store.
+// NewHandler returns a stand-in with an empty store.
 func NewHandler(opts Options) *Handler {
 	if opts.History == 0 {
 		opts.History = defaultHistory
@@ -114,12 +115,12 @@
 		control:   newControl(opts),
 		instances: newInstances(opts.Lag),
 	}
-	h.mux.HandleFunc("GET /objects/{kind}/{name}", h.metered(h.get))
-	h.mux.HandleFunc("GET /objects/{kind}", h.metered(h.list))
-	h.mux.HandleFunc("PUT /objects/{kind}/{name}", h.metered(h.put))
-	h.mux.HandleFunc("DELETE /objects/{kind}/{name}", h.metered(h.remove))
-	h.mux.HandleFunc("GET /watch/{kind}", h.metered(h.watch))
-	h.mux.HandleFunc("GET /instances", h.metered(h.listInstances))
+	h.mux.HandleFunc("GET /objects/{kind}/{name}", h.withFaults(h.get))
+	h.mux.HandleFunc("GET /objects/{kind}", h.withFaults(h.list))
+	h.mux.HandleFunc("PUT /objects/{kind}/{name}", h.withFaults(h.put))
+	h.mux.HandleFunc("DELETE /objects/{kind}/{name}", h.withFaults(h.remove))
+	h.mux.HandleFunc("GET /watch/{kind}", h.withFaults(h.watch))
+	h.mux.HandleFunc("GET /instances", h.withFaults(h.listInstances))
 	h.mux.HandleFunc("PUT /control/instances", h.putInstances)
 	h.mux.HandleFunc("PUT /control/faults", h.putFaults)
 	h.mux.HandleFunc("PUT /control/compact", h.putCompact)
@@ -132,16 +133,16 @@
 	h.mux.ServeHTTP(w, r)
 }
 
-// metered counts the call and plays the faults that come before its effect.
-func (h *Handler) metered(next http.HandlerFunc) http.HandlerFunc {
+// withFaults counts the call and injects the faults that precede its effect.
+func (h *Handler) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !h.control.admit(r, time.Now()) {
 			w.Header().Set("Retry-After", "1")
 			writeJSON(w, http.StatusServiceUnavailable, struct{}{})
 			return
 		}
-		// A delayed write takes effect although its caller has gone, as in a
-		// real store; so the wait doesn't end with the caller.
+		// As in a real store, a delayed write takes effect even if its caller has
+		// disconnected, so the delay ignores the request's context.
 		if d := h.control.delay(); d > 0 {
 			time.Sleep(d)
 		}
@@ -158,7 +159,7 @@
 	writeJSON(w, http.StatusOK, o)
 }
 
-type listAnswer struct {
+type listResponse struct {
 	Version int64    `json:"version"`
 	Objects []object `json:"objects"`
 	Cursor  string   `json:"cursor"`
@@ -167,15 +168,15 @@
 func (h *Handler) list(w http.ResponseWriter, r *http.Request) {
 	limit, err := strconv.Atoi(r.FormValue("limit"))
 	if err != nil || limit <= 0 {
-		limit = defaultPage
+		limit = defaultPageSize
 	}
-	var a listAnswer
-	a.Version, a.Objects, a.Cursor = h.store.list(r.PathValue("kind"), r.FormValue("cursor"), min(limit, maxPage))
-	writeJSON(w, http.StatusOK, a)
+	var page listResponse
+	page.Version, page.Objects, page.Cursor = h.store.list(r.PathValue("kind"), r.FormValue("cursor"), min(limit, maxPageSize))
+	writeJSON(w, http.StatusOK, page)
 }
 
 func (h *Handler) put(w http.ResponseWriter, r *http.Request) {
-	want, ok := condition(r)
+	expected, ok := expectedVersion(r)
 	if !ok {
 		writeJSON(w, http.StatusPreconditionRequired, struct{}{})
 		return
@@ -189,33 +190,33 @@
 		writeJSON(w, http.StatusBadRequest, struct{}{})
 		return
 	}
-	o, ok := h.store.put(keyOf(r), want, value)
-	h.answerWrite(w, ok, o, o)
+	o, ok := h.store.put(keyOf(r), expected, value)
+	h.respondToWrite(w, ok, o, o)
 }
 
 func (h *Handler) remove(w http.ResponseWriter, r *http.Request) {
-	want, ok := condition(r)
+	expected, ok := expectedVersion(r)
 	if !ok {
 		writeJSON(w, http.StatusPreconditionRequired, struct{}{})
 		return
 	}
-	version, current, ok := h.store.remove(keyOf(r), want)
-	h.answerWrite(w, ok, listVersion{Version: version}, current)
+	version, current, ok := h.store.remove(keyOf(r), expected)
+	h.respondToWrite(w, ok, listVersion{Version: version}, current)
 }
 
 type listVersion struct {
 	Version int64 `json:"version"`
 }
 
-// answerWrite answers a write, unless its answer is to be lost.
-func (h *Handler) answerWrite(w http.ResponseWriter, ok bool, done any, current object) {
-	if h.control.loseAnswer() {
-		// ErrAbortHandler closes the connection without an answer.
+// respondToWrite writes the response of a write, unless a fault drops it.
+func (h *Handler) respondToWrite(w http.ResponseWriter, ok bool, result any, current object) {
+	if h.control.shouldLoseAnswer() {
+		// ErrAbortHandler closes the connection without a response.
 		panic(http.ErrAbortHandler)
 	}
 	switch {
 	case ok:
-		writeJSON(w, http.StatusOK, done)
+		writeJSON(w, http.StatusOK, result)
 	case current.Version == 0:
 		writeJSON(w, http.StatusPreconditionFailed, struct{}{})
 	default:
@@ -223,7 +224,7 @@
 	}
 }
 
-type watchAnswer struct {
+type watchResponse struct {
 	Version int64   `json:"version"`
 	Events  []event `json:"events"`
 }
@@ -235,18 +236,18 @@
 		writeJSON(w, http.StatusBadRequest, struct{}{})
 		return
 	}
-	h.control.watches.Add(1)
-	defer h.control.watches.Add(-1)
+	h.control.waitingWatches.Add(1)
+	defer h.control.waitingWatches.Add(-1)
 	timer := time.NewTimer(min(time.Duration(millis)*time.Millisecond, maxWait))
 	defer timer.Stop()
 	for expired := false; ; {
-		version, events, changed, ok := h.store.since(r.PathValue("kind"), after)
+		version, events, changed, ok := h.store.changesSince(r.PathValue("kind"), after)
 		switch {
 		case !ok:
 			writeJSON(w, http.StatusGone, listVersion{Version: version})
 			return
 		case len(events) > 0 || expired:
-			writeJSON(w, http.StatusOK, watchAnswer{Version: version, Events: events})
+			writeJSON(w, http.StatusOK, watchResponse{Version: version, Events: events})
 			return
 		}
 		select {
@@ -263,8 +264,9 @@
 	return key{kind: r.PathValue("kind"), name: r.PathValue("name")}
 }
 
-// condition reads the version that a write is for; 0 means none.
-func condition(r *http.Request) (int64, bool) {
+// expectedVersion parses the precondition of a write: the version that the object
+// must have, or 0 if it must not exist.
+func expectedVersion(r *http.Request) (int64, bool) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return 0, true
 	}
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -12,9 +12,9 @@
 	"pollenspindle.example/pollenspindle/internal/standin/platform"
 )
 
-// Calls above a rate are refused and counted, reads apart from writes; a
-// watch counts as one read.
-func TestRates(t *testing.T) {
+// Reads and writes are limited separately, a watch counts as one read, and refused
+// calls are counted.
+func TestRateLimits(t *testing.T) {
 	h := platform.NewHandler(platform.Options{ReadsPerSecond: 1e-6, WritesPerSecond: 1e-6})
 	do := func(method, path string) int {
 		r := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader("{}"))
@@ -41,5 +41,5 @@
 
 func TestListensOnLoopbackOnly(t *testing.T) {
 	err := platform.Run(t.Context(), platform.Options{Address: "0.0.0.0:0"})
-	require.ErrorIs(t, err, platform.ErrAddress)
+	require.ErrorIs(t, err, platform.ErrNotLoopback)
 }
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// object is one stored value.
+// object is a stored value with its version.
 type object struct {
 	Kind    string          `json:"kind"`
 	Name    string          `json:"name"`
@@ -16,7 +16,7 @@
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// event is one change of the store.
+// event is one change in the store.
 type event struct {
 	Type   string `json:"type"`
 	Object object `json:"object"`
@@ -24,21 +24,21 @@
 
 type key struct{ kind, name string }
 
-// store holds the objects and the newest of their changes.
+// store holds the objects and their most recent changes.
 type store struct {
 	mu      sync.Mutex
 	version int64
 	objects map[key]object
 	events  []event
-	// compacted is the version up to which events were dropped.
+	// compacted is the version of the newest dropped event.
 	compacted int64
-	keep      int
-	// changed is closed and replaced with each change; watches wait on it.
+	history   int
+	// changed is closed and replaced on each change to wake watches.
 	changed chan struct{}
 }
 
-func newStore(keep int) *store {
-	return &store{objects: map[key]object{}, keep: keep, changed: make(chan struct{})}
+func newStore(history int) *store {
+	return &store{objects: map[key]object{}, history: history, changed: make(chan struct{})}
 }
 
 func (s *store) get(k key) (object, bool) {
@@ -48,13 +48,13 @@
 	return o, ok
 }
 
-// put stores value if the object has version want; 0 means that there is
-// none. It answers the object that is there and whether the condition held.
-func (s *store) put(k key, want int64, value json.RawMessage) (object, bool) {
+// put stores value if the object has the expected version; 0 means that it must not
+// exist. It returns the object now stored and whether the condition held.
+func (s *store) put(k key, expected int64, value json.RawMessage) (object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current := s.objects[k]
-	if current.Version != want {
+	if current.Version != expected {
 		return current, false
 	}
 	s.version++
@@ -64,11 +64,11 @@
 	return o, true
 }
 
-func (s *store) remove(k key, want int64) (int64, object, bool) {
+func (s *store) remove(k key, expected int64) (int64, object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current, ok := s.objects[k]
-	if !ok || current.Version != want {
+	if !ok || current.Version != expected {
 		return 0, current, false
 	}
 	s.version++
@@ -77,18 +77,18 @@
 	return s.version, object{}, true
 }
 
-// record appends e, drops the oldest events and wakes the watches. The
-// caller holds mu.
+// record appends e, drops the oldest events and wakes the watches. The caller
+// must hold mu.
 func (s *store) record(e event) {
 	s.events = append(s.events, e)
-	if len(s.events) > 2*s.keep {
-		s.drop(len(s.events) - s.keep)
+	if len(s.events) > 2*s.history {
+		s.dropOldest(len(s.events) - s.history)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *store) drop(n int) {
+func (s *store) dropOldest(n int) {
 	if n <= 0 {
 		return
 	}
@@ -96,14 +96,15 @@
 	s.events = slices.Clone(s.events[n:])
 }
 
-// compact drops all recorded events, so that each older watch gets 410.
+// compact drops all recorded events, so that a watch from an older version gets
+// status 410.
 func (s *store) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop(len(s.events))
+	s.dropOldest(len(s.events))
 }
 
-// list answers at most limit objects of kind whose names come after cursor.
+// list returns up to limit objects of kind, sorted by name, whose names follow cursor.
 func (s *store) list(kind, cursor string, limit int) (version int64, page []object, next string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,10 +122,10 @@
 	return s.version, page, next
 }
 
-// since answers the changes of kind after a version, and a channel that is
-// closed with the next change. It answers ok false when after was compacted
-// or was never reached, as after the loss of the store.
-func (s *store) since(kind string, after int64) (version int64, events []event, changed <-chan struct{}, ok bool) {
+// changesSince returns the changes of kind after a version, and a channel that is
+// closed on the next change. ok is false if that version was compacted or is
+// higher than the current one, as after a loss of the store.
+func (s *store) changesSince(kind string, after int64) (version int64, events []event, changed <-chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after < s.compacted || after > s.version {
--- a/internal/standin/service/effects.go
+++ b/internal/standin/service/handlers.go
@@ -15,11 +15,11 @@
 	"pollenspindle.example/pollenspindle/internal/standin/httpserver"
 )
 
-// reportPeriod is the time between two load reports.
+// reportPeriod is the interval between load reports.
 const reportPeriod = 20 * time.Millisecond
 
-// strike is what goes wrong with one request.
-type strike struct {
+// requestFaults are the faults injected into one request.
+type requestFaults struct {
 	delay       time.Duration
 	answerDelay time.Duration
 	failBefore  bool
@@ -27,45 +27,46 @@
 	loseAnswer  bool
 }
 
-// write has the effect, unless a fault strikes before. A caller that has gone
-// doesn't stop it: real services don't notice either.
-func (s *Server) write(c *app.RequestContext, incarnation string) {
-	st := s.takeStrike()
-	pause(s.opts.Delay + st.delay)
-	if !s.alive(incarnation) {
-		httpserver.Cut(c)
+// handleWrite records the side effect of a request and responds, with the injected
+// faults. It continues when the caller disconnects, as real services do.
+func (s *Server) handleWrite(c *app.RequestContext, incarnation string) {
+	faults := s.nextRequestFaults()
+	sleep(s.opts.Delay + faults.delay)
+	if !s.isCurrentIncarnation(incarnation) {
+		httpserver.CloseConnection(c)
 		return
 	}
-	if st.failBefore {
+	if faults.failBefore {
 		c.JSON(http.StatusInternalServerError, map[string]string{"error": "failed"})
 		return
 	}
-	effect := s.record(c, incarnation)
-	pause(st.answerDelay)
+	effect := s.recordEffect(c, incarnation)
+	sleep(faults.answerDelay)
 	switch {
-	case st.loseAnswer || !s.alive(incarnation):
-		httpserver.Cut(c)
-	case st.failAfter:
+	case faults.loseAnswer || !s.isCurrentIncarnation(incarnation):
+		httpserver.CloseConnection(c)
+	case faults.failAfter:
 		c.JSON(http.StatusInternalServerError, map[string]string{"error": "failed"})
 	default:
 		c.JSON(http.StatusOK, effect)
 	}
 }
 
-func (s *Server) takeStrike() strike {
+func (s *Server) nextRequestFaults() requestFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := &s.faults
-	return strike{
+	return requestFaults{
 		delay:       time.Duration(f.DelayMillis) * time.Millisecond,
 		answerDelay: time.Duration(f.AnswerDelayMillis) * time.Millisecond,
-		failBefore:  take(&f.FailBefore),
-		failAfter:   take(&f.FailAfter),
-		loseAnswer:  take(&f.LoseAnswers),
+		failBefore:  consume(&f.FailBefore),
+		failAfter:   consume(&f.FailAfter),
+		loseAnswer:  consume(&f.LoseAnswers),
 	}
 }
 
-func take(n *int) bool {
+// consume decrements n if it is positive, and reports whether it was.
+func consume(n *int) bool {
 	if *n <= 0 {
 		return false
 	}
@@ -73,7 +74,7 @@
 	return true
 }
 
-func (s *Server) record(c *app.RequestContext, incarnation string) Effect {
+func (s *Server) recordEffect(c *app.RequestContext, incarnation string) Effect {
 	sum := sha256.Sum256(c.Request.Body())
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,29 +91,29 @@
 	return effect
 }
 
-// repeat sends an answer once more later, as a broken middlebox does.
-func (s *Server) repeat(c *app.RequestContext) {
+// repeatResponse sends the response again later, as a broken proxy does.
+func (s *Server) repeatResponse(c *app.RequestContext) {
 	if s.opts.RepeatAfter <= 0 {
 		return
 	}
 	body, conn := c.Response.Body(), c.GetConn()
-	late := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	time.AfterFunc(s.opts.RepeatAfter, func() { _, _ = conn.Write(late) })
+	repeated := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	time.AfterFunc(s.opts.RepeatAfter, func() { _, _ = conn.Write(repeated) })
 }
 
-// pause is the time that a request takes.
-func pause(d time.Duration) {
+// sleep simulates the duration of a request.
+func sleep(d time.Duration) {
 	if d > 0 {
 		time.Sleep(d)
 	}
 }
 
 type timedReport struct {
-	at     time.Time
-	report service.LoadReport
+	measuredAt time.Time
+	report     service.LoadReport
 }
 
-// reportLoop takes load reports, which are served when they are old enough.
+// reportLoop records load reports. They are served once they are ReportLag old.
 func (s *Server) reportLoop(ctx context.Context) {
 	ticker := time.NewTicker(reportPeriod)
 	defer ticker.Stop()
@@ -121,21 +122,21 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			s.takeReport(now)
+			s.recordReport(now)
 		}
 	}
 }
 
-func (s *Server) takeReport(now time.Time) {
+func (s *Server) recordReport(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reports = append(s.reports, timedReport{at: now, report: s.measure(now)})
-	for len(s.reports) > 1 && now.Sub(s.reports[1].at) >= s.opts.ReportLag {
+	s.reports = append(s.reports, timedReport{measuredAt: now, report: s.buildLoadReport(now)})
+	for len(s.reports) > 1 && now.Sub(s.reports[1].measuredAt) >= s.opts.ReportLag {
 		s.reports = s.reports[1:]
 	}
 }
 
-func (s *Server) measure(now time.Time) service.LoadReport {
+func (s *Server) buildLoadReport(now time.Time) service.LoadReport {
 	state := service.LoadWarm
 	switch {
 	case s.leaving:
@@ -157,12 +158,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.reports) == 0 {
-		c.JSON(http.StatusOK, s.measure(now))
+		c.JSON(http.StatusOK, s.buildLoadReport(now))
 		return
 	}
-	first := s.reports[0]
-	first.report.MeasuredMillisAgo = now.Sub(first.at).Milliseconds()
-	c.JSON(http.StatusOK, first.report)
+	oldest := s.reports[0]
+	oldest.report.MeasuredMillisAgo = now.Sub(oldest.measuredAt).Milliseconds()
+	c.JSON(http.StatusOK, oldest.report)
 }
 
 func (s *Server) handleFaults(_ context.Context, c *app.RequestContext) {
@@ -179,7 +180,7 @@
 
 // coldRequest is the body of /control/cold.
 type coldRequest struct {
-	// Millis is how long it stays cold; 0 takes Options.ColdTime.
+	// Millis is how long the service stays cold; 0 means Options.ColdTime.
 	Millis int64 `json:"millis"`
 }
 
@@ -209,7 +210,7 @@
 func (s *Server) handleCrash(_ context.Context, c *app.RequestContext) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.start(time.Now())
+	s.startIncarnation(time.Now())
 	c.SetStatusCode(http.StatusNoContent)
 }
 
@@ -219,9 +220,9 @@
 	c.JSON(http.StatusOK, Ledger{
 		Incarnation: s.incarnation,
 		Effects:     append([]Effect{}, s.effects...),
-		Begun:       append([]string{}, s.begun...),
+		Begun:       append([]string{}, s.startedQueries...),
 		Reads:       s.reads,
-		Starts:      append([]time.Time{}, s.began...),
+		Starts:      append([]time.Time{}, s.startTimes...),
 		Refused:     s.refused,
 	})
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,19 +1,19 @@
-// Package service is the stand-in for a plain HTTP service. It keeps a ledger
-// of effects, so that a test can see whether a request has run twice, and it
-// fails on demand: slowly, before the effect, after it, or by losing the
-// answer. It never removes repeats by itself.
+// Package service is a stand-in for a plain HTTP service. It keeps a ledger of side
+// effects, so that a test can tell whether a request ran twice, and injects faults on
+// demand: delays, errors before or after the effect, and lost responses. It doesn't
+// deduplicate requests.
 //
 // # Usage
 //
 //	err := service.Run(ctx, service.Options{Address: "127.0.0.1:0", Ready: ready})
 //
-// Beside the service itself it has, for tests:
+// Besides the service it has control endpoints for tests:
 //
-//	PUT  /control/faults  a [Faults]
-//	POST /control/cold    turns it cold; body {"millis":5000}
-//	POST /control/leave   refuses new requests and reports that it leaves
-//	POST /control/crash   forgets what runs and begins a new incarnation
-//	GET  /control/ledger  a [Ledger]
+//	PUT  /control/faults  sets the [Faults]
+//	POST /control/cold    makes the service cold; body {"millis":5000}
+//	POST /control/leave   makes it refuse new requests and report that it is leaving
+//	POST /control/crash   drops the running requests and starts a new incarnation
+//	GET  /control/ledger  returns the [Ledger]
 package service
 
 import (
@@ -29,46 +29,46 @@
 	"pollenspindle.example/pollenspindle/internal/standin/httpserver"
 )
 
-// maxStarts bounds the ledger.
-const maxStarts = 200_000
+// maxStartTimes limits the start times in the ledger.
+const maxStartTimes = 200_000
 
-// Options are the properties of one service.
+// Options configures one service.
 type Options struct {
 	Address string
 	Name    string
-	// Delay is the time that each request takes.
+	// Delay is the duration of each request.
 	Delay time.Duration
-	// ColdLimit is how many requests it can handle at once while cold, ColdTime
-	// how long it is cold after its start. Above the limit it crashes, or
-	// refuses if ColdRefuses is set. No ColdTime starts it warm.
+	// ColdLimit is how many concurrent requests the service can handle while
+	// cold, ColdTime how long it is cold after its start; 0 means that it starts
+	// warm. Above the limit it crashes, or refuses requests if ColdRefuses is set.
 	ColdLimit   int
 	ColdTime    time.Duration
 	ColdRefuses bool
-	// RepeatAfter sends each answer to a read once more after this time, on the
-	// connection that may carry another request by then; 0 for never.
+	// RepeatAfter is the time after which the response to a read is sent again on
+	// the same connection, which may serve another request by then; 0 for never.
 	RepeatAfter time.Duration
 	// ReportLag is the age of load reports.
 	ReportLag time.Duration
-	// Ready is called with the address when the service accepts connections.
+	// Ready is called with the address once the service accepts connections.
 	Ready func(address string)
 }
 
-// Faults are what goes wrong with the next requests that have an effect. Each
-// count falls by one with each request it strikes.
+// Faults are injected into the next requests that have a side effect. Each count is
+// decremented with each request that it affects.
 type Faults struct {
-	// DelayMillis is added before the effect, AnswerDelayMillis after it.
+	// DelayMillis is a delay before the effect, AnswerDelayMillis one after it.
 	DelayMillis       int64 `json:"delayMillis"`
 	AnswerDelayMillis int64 `json:"answerDelayMillis"`
-	// Refuse answers 503 with X-Not-Run and has no effect.
+	// Refuse responds with status 503 and X-Not-Run, without the effect.
 	Refuse int `json:"refuse"`
-	// FailBefore answers 500 without the effect, FailAfter after it.
+	// FailBefore responds with status 500 without the effect, FailAfter after it.
 	FailBefore int `json:"failBefore"`
 	FailAfter  int `json:"failAfter"`
-	// LoseAnswers closes the connection after the effect.
+	// LoseAnswers closes the connection after the effect, without a response.
 	LoseAnswers int `json:"loseAnswers"`
 }
 
-// Effect is one entry of the ledger.
+// Effect is a side effect in the ledger.
 type Effect struct {
 	Seq            int64  `json:"seq"`
 	Method         string `json:"method"`
@@ -80,46 +80,46 @@
 	Incarnation string `json:"incarnation"`
 }
 
-// Ledger is what the service has done.
+// Ledger records the requests that the service has received.
 type Ledger struct {
 	Incarnation string   `json:"incarnation"`
 	Effects     []Effect `json:"effects"`
-	// Begun holds the queries of the requests with an effect that have begun,
-	// also of those that never had it.
+	// Begun holds the query strings of the requests with a side effect that
+	// started, whether or not the effect took place.
 	Begun []string `json:"begun"`
-	// Reads counts the requests without an effect, Refused those refused
+	// Reads counts the requests without a side effect, Refused those refused
 	// before running.
 	Reads int64 `json:"reads"`
-	// Starts are when requests began to run, the first maxStarts.
+	// Starts are the times at which the first maxStartTimes requests started.
 	Starts  []time.Time `json:"starts"`
 	Refused int64       `json:"refused"`
 }
 
-// Server is one service.
+// Server is the stand-in of one service.
 type Server struct {
 	opts Options
 
-	mu          sync.Mutex
-	starts      int
-	incarnation string
-	coldUntil   time.Time
-	leaving     bool
-	faults      Faults
-	running     int
-	accepted    int64
-	finished    int64
-	reads       int64
-	refused     int64
-	effects     []Effect
-	began       []time.Time
-	begun       []string
-	reports     []timedReport
+	mu               sync.Mutex
+	incarnationCount int
+	incarnation      string
+	coldUntil        time.Time
+	leaving          bool
+	faults           Faults
+	running          int
+	accepted         int64
+	finished         int64
+	reads            int64
+	refused          int64
+	effects          []Effect
+	startTimes       []time.Time
+	startedQueries   []string
+	reports          []timedReport
 }
 
-// Run runs a service until ctx ends.
+// Run runs a service until ctx is done.
 func Run(ctx context.Context, opts Options) error {
 	s := &Server{opts: opts}
-	s.start(time.Now())
+	s.startIncarnation(time.Now())
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
@@ -132,10 +132,11 @@
 	return err
 }
 
-// start begins an incarnation. The ledger stays: it is the service's store.
-func (s *Server) start(now time.Time) {
-	s.starts++
-	s.incarnation = fmt.Sprintf("%s-%d-%x", s.opts.Name, s.starts, now.UnixNano()&0xffffffffff)
+// startIncarnation starts a new incarnation. The ledger is kept, since it represents
+// the service's data store.
+func (s *Server) startIncarnation(now time.Time) {
+	s.incarnationCount++
+	s.incarnation = fmt.Sprintf("%s-%d-%x", s.opts.Name, s.incarnationCount, now.UnixNano()&0xffffffffff)
 	s.coldUntil = now.Add(s.opts.ColdTime)
 	s.leaving = false
 	s.running, s.accepted, s.finished = 0, 0, 0
@@ -152,74 +153,76 @@
 	h.NoRoute(s.handle)
 }
 
-// verdict is what becomes of a request before it runs.
-type verdict int
+// admission is the decision on a new request.
+type admission int
 
 const (
-	verdictRun verdict = iota
-	verdictRefuse
-	verdictCrash
+	admissionAccept admission = iota
+	admissionRefuse
+	admissionCrash
 )
 
-// handle runs any request that has no route of its own.
+// handle serves all requests without a route of their own.
 func (s *Server) handle(ctx context.Context, c *app.RequestContext) {
-	incarnation, v := s.begin(time.Now(), c)
-	switch v {
-	case verdictRefuse:
+	incarnation, decision := s.admit(time.Now(), c)
+	switch decision {
+	case admissionRefuse:
 		c.Header("X-Not-Run", "true")
 		c.Header("Retry-After", "1")
 		c.JSON(http.StatusServiceUnavailable, map[string]string{"error": "notRun"})
 		return
-	case verdictCrash:
-		httpserver.Cut(c)
+	case admissionCrash:
+		httpserver.CloseConnection(c)
 		return
 	}
 	defer s.finish(incarnation)
 	if !hasEffect(c) {
-		pause(s.opts.Delay)
-		s.read(c)
-		s.repeat(c)
+		sleep(s.opts.Delay)
+		s.handleRead(c)
+		s.repeatResponse(c)
 		return
 	}
-	s.write(c, incarnation)
+	s.handleWrite(c, incarnation)
 }
 
-// hasEffect reports whether the request's method changes something.
+// hasEffect reports whether the request's method implies a side effect.
 func hasEffect(c *app.RequestContext) bool {
 	method := string(c.Method())
 	return method != http.MethodGet && method != http.MethodHead && method != http.MethodOptions
 }
 
-func (s *Server) begin(now time.Time, c *app.RequestContext) (string, verdict) {
+// admit counts a request and decides whether it runs. It returns the incarnation in
+// which the request runs.
+func (s *Server) admit(now time.Time, c *app.RequestContext) (string, admission) {
 	effect := hasEffect(c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaving {
 		s.refused++
-		return "", verdictRefuse
+		return "", admissionRefuse
 	}
 	if effect && s.faults.Refuse > 0 {
 		s.faults.Refuse--
 		s.refused++
-		return "", verdictRefuse
+		return "", admissionRefuse
 	}
 	if now.Before(s.coldUntil) && s.running >= s.opts.ColdLimit {
 		if s.opts.ColdRefuses {
 			s.refused++
-			return "", verdictRefuse
+			return "", admissionRefuse
 		}
-		s.start(now)
-		return "", verdictCrash
+		s.startIncarnation(now)
+		return "", admissionCrash
 	}
 	if effect {
-		s.begun = append(s.begun, string(c.Request.URI().QueryString()))
+		s.startedQueries = append(s.startedQueries, string(c.Request.URI().QueryString()))
 	}
 	s.running++
 	s.accepted++
-	if len(s.began) < maxStarts {
-		s.began = append(s.began, now)
+	if len(s.startTimes) < maxStartTimes {
+		s.startTimes = append(s.startTimes, now)
 	}
-	return s.incarnation, verdictRun
+	return s.incarnation, admissionAccept
 }
 
 func (s *Server) finish(incarnation string) {
@@ -231,14 +234,15 @@
 	}
 }
 
-// alive reports whether the incarnation that a request began in still runs.
-func (s *Server) alive(incarnation string) bool {
+// isCurrentIncarnation reports whether the incarnation in which a request started is
+// still running.
+func (s *Server) isCurrentIncarnation(incarnation string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return incarnation == s.incarnation
 }
 
-func (s *Server) read(c *app.RequestContext) {
+func (s *Server) handleRead(c *app.RequestContext) {
 	s.mu.Lock()
 	s.reads++
 	s.mu.Unlock()
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,11 +1,11 @@
-// Package weights is the stand-in for the weight store: it serves weights of a
-// fixed size, all readers together at no more than its rate.
+// Package weights is a stand-in for the weight store. It serves weights of a fixed
+// size and limits the total rate of all readers.
 //
 // # Usage
 //
 //	err := weights.Run(ctx, weights.Options{Address: "127.0.0.1:0", Bytes: 64 << 20, BytesPerSecond: 32 << 20})
 //
-// Beside the weights it has, for tests:
+// It also has a control endpoint for tests:
 //
 //	GET /control/stats  a [Stats]
 package weights
@@ -24,55 +24,56 @@
 	"pollenspindle.example/pollenspindle/internal/standin/httpserver"
 )
 
-// chunkBytes is how much goes out at once. It is also the burst of the limiter.
+// chunkBytes is the maximum size of one read. It is also the burst of the limiter.
 const chunkBytes = 64 << 10
 
-// Options are the properties of the store.
+// Options configures the store.
 type Options struct {
 	Address string
-	// Bytes is the size of every version of every model.
+	// Bytes is the size of each version of each model.
 	Bytes int64
-	// BytesPerSecond is the rate of all readers together.
+	// BytesPerSecond is the total rate of all readers.
 	BytesPerSecond int64
-	// Ready is called with the address when the store accepts connections.
+	// Ready is called with the address once the store accepts connections.
 	Ready func(address string)
 }
 
-// Stats is the answer of GET /control/stats.
+// Stats is the response body of GET /control/stats.
 type Stats struct {
-	// Reads counts the reads begun, MostReaders is the most at the same time.
+	// Reads counts the reads started. MostReaders is the maximum number of
+	// concurrent reads.
 	Reads       int64 `json:"reads"`
 	MostReaders int64 `json:"mostReaders"`
 }
 
-// store counts its readers.
+// store counts the reads of the weight store.
 type store struct {
-	mu      sync.Mutex
-	readers int64
-	stats   Stats
+	mu            sync.Mutex
+	activeReaders int64
+	stats         Stats
 }
 
-func (s *store) begin() {
+func (s *store) startRead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.readers++
+	s.activeReaders++
 	s.stats.Reads++
-	s.stats.MostReaders = max(s.stats.MostReaders, s.readers)
+	s.stats.MostReaders = max(s.stats.MostReaders, s.activeReaders)
 }
 
-func (s *store) end() {
+func (s *store) endRead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.readers--
+	s.activeReaders--
 }
 
-func (s *store) read() Stats {
+func (s *store) snapshot() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// Run runs the store until ctx ends.
+// Run runs the store until ctx is done.
 func Run(ctx context.Context, opts Options) error {
 	if opts.Bytes < 1 || opts.BytesPerSecond < 1 {
 		return merry.New("size and rate must be above 0")
@@ -81,42 +82,43 @@
 	limiter := rate.NewLimiter(rate.Limit(opts.BytesPerSecond), chunkBytes)
 	return httpserver.Run(ctx, opts.Address, opts.Ready, func(h *server.Hertz) {
 		h.GET("/weights/:model/:version", func(ctx context.Context, c *app.RequestContext) {
-			s.begin()
-			body := &limitedReader{ctx: ctx, limiter: limiter, left: opts.Bytes, end: sync.OnceFunc(s.end)}
+			s.startRead()
+			body := &limitedReader{ctx: ctx, limiter: limiter, remaining: opts.Bytes, onDone: sync.OnceFunc(s.endRead)}
 			c.Response.SetBodyStream(body, int(opts.Bytes))
 			c.SetStatusCode(http.StatusOK)
 		})
-		h.GET("/control/stats", func(_ context.Context, c *app.RequestContext) { c.JSON(http.StatusOK, s.read()) })
+		h.GET("/control/stats", func(_ context.Context, c *app.RequestContext) { c.JSON(http.StatusOK, s.snapshot()) })
 	})
 }
 
-// limitedReader reads zeros no faster than the limiter lets it.
+// limitedReader reads zeros at the rate of the limiter. It calls onDone when it has
+// been read to the end or closed.
 type limitedReader struct {
-	ctx     context.Context
-	limiter *rate.Limiter
-	left    int64
-	end     func()
+	ctx       context.Context
+	limiter   *rate.Limiter
+	remaining int64
+	onDone    func()
 }
 
 // Close implements io.Closer.
 func (r *limitedReader) Close() error {
-	r.end()
+	r.onDone()
 	return nil
 }
 
 // Read implements io.Reader.
 func (r *limitedReader) Read(p []byte) (int, error) {
-	if r.left == 0 {
+	if r.remaining == 0 {
 		return 0, io.EOF
 	}
-	n := int(min(int64(len(p)), r.left, chunkBytes))
+	n := int(min(int64(len(p)), r.remaining, chunkBytes))
 	if err := r.limiter.WaitN(r.ctx, n); err != nil {
 		return 0, err
 	}
 	clear(p[:n])
-	r.left -= int64(n)
-	if r.left == 0 {
-		r.end()
+	r.remaining -= int64(n)
+	if r.remaining == 0 {
+		r.onDone()
 	}
 	return n, nil
 }
