--- a/internal/loadgen/ledgers.go
+++ b/internal/loadgen/ledgers.go
@@ -73,7 +73,7 @@
 		sum.Generations++
 		sum.Preemptions += int64(g.Preemptions)
 		sum.StallMillis += g.StallMillis
-		switch g.Ending {
+		switch g.Status {
 		case engine.EndingFinished, engine.EndingRunning:
 			continue
 		case engine.EndingCancelled, engine.EndingAbandoned:
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -35,7 +35,7 @@
 	PromptTokens int       `json:"promptTokens"`
 	// OutputTokens counts the output tokens produced.
 	OutputTokens int    `json:"outputTokens"`
-	Ending       Ending `json:"ending"`
+	Status       Ending `json:"ending"`
 	Preemptions  int    `json:"preemptions"`
 	// StallMillis is the total time between preemptions and the next tokens, in
 	// wall-clock milliseconds.
@@ -74,7 +74,7 @@
 	wake chan struct{}
 }
 
-func (g *generation) ended() bool { return g.entry.Ending != EndingRunning }
+func (g *generation) ended() bool { return g.entry.Status != EndingRunning }
 
 func (g *generation) notify() {
 	for r := range g.readers {
--- a/internal/standin/engine/requests.go
+++ b/internal/standin/engine/requests.go
@@ -151,7 +151,7 @@
 			Model:        req.Model,
 			Priority:     req.Priority,
 			PromptTokens: seq.PromptTokens,
-			Ending:       EndingRunning,
+			Status:       EndingRunning,
 		},
 		sequence:       seq,
 		chat:           chat,
@@ -199,7 +199,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := s.generations[id]
-	if g == nil || g.entry.Ending == EndingAbandoned {
+	if g == nil || g.entry.Status == EndingAbandoned {
 		return nil
 	}
 	return g
@@ -230,5 +230,5 @@
 func (s *Server) streamState(g *generation) streamState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return streamState{visibleTokens: g.visibleTokens, ending: g.entry.Ending}
+	return streamState{visibleTokens: g.visibleTokens, ending: g.entry.Status}
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -117,7 +117,7 @@
 func (s *Server) loseGenerations() {
 	for _, g := range s.generations {
 		if !g.ended() {
-			g.entry.Ending = EndingLost
+			g.entry.Status = EndingLost
 		}
 		g.notify()
 	}
@@ -230,7 +230,7 @@
 
 // endGeneration ends a generation. It can be resumed for FinishedRetention.
 func (s *Server) endGeneration(g *generation, ending Ending, now time.Time) {
-	g.entry.Ending = ending
+	g.entry.Status = ending
 	g.entry.Preemptions = g.sequence.Preemptions
 	g.endedAt = now
 	s.ended = append(s.ended, g)
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -126,7 +126,7 @@
 		require.ErrorIs(t, readUntilError(first), client.ErrStreamInterrupted)
 		require.NotEqual(t, before, f.load().Incarnation)
 		for _, entry := range f.ledger().Generations {
-			require.Equal(t, engine.EndingLost, entry.Ending)
+			require.Equal(t, engine.EndingLost, entry.Status)
 		}
 	})
 	t.Run("refuse", func(t *testing.T) {
@@ -236,7 +236,7 @@
 func TestUnreadGenerationEnds(t *testing.T) {
 	f := newEngineFixture(t, func(o *engine.Options) { o.AbandonAfter = 50 * time.Millisecond })
 	f.startAndReadFirst("r1", longOutputPrompt, 10_000).Close()
-	require.Eventually(t, func() bool { return f.ledger().Generations[0].Ending == engine.EndingAbandoned }, waitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return f.ledger().Generations[0].Status == engine.EndingAbandoned }, waitTimeout, time.Millisecond)
 	_, err := f.client.Resume(f.ctx, f.address, "r1", 0, true)
 	require.ErrorIs(t, err, client.ErrUnknownStream)
 }
--- a/test/failure/membership_test.go
+++ b/test/failure/membership_test.go
@@ -168,7 +168,7 @@
 			requireSound(t, records)
 			requireNoneCut(t, records)
 			for i, g := range s.EngineLedger(t, leaving).Generations[:len(running)] {
-				require.Equal(t, "finished", string(g.Ending), "generation %d", i)
+				require.Equal(t, "finished", string(g.Status), "generation %d", i)
 			}
 		})
 	}
--- a/test/failure/streams_test.go
+++ b/test/failure/streams_test.go
@@ -222,7 +222,7 @@
 			st := begin(t, s.Caller("kigali-flyers"), s.Instances[0], prompt, 10)
 			server, entry := place(t, s, prompt)
 			proxy := s.Servers[server].Proxy
-			require.Equal(t, engine.EndingRunning, entry.Ending)
+			require.Equal(t, engine.EndingRunning, entry.Status)
 			fault(t, proxy)
 			require.NoError(t, st.Read(5))
 			proxy.SetDelay(0)
@@ -230,7 +230,7 @@
 			require.Nil(t, st.Failure)
 			system.RequireWhole(t, st.Tokens)
 			_, entry = place(t, s, prompt)
-			require.Equal(t, engine.EndingFinished, entry.Ending)
+			require.Equal(t, engine.EndingFinished, entry.Status)
 		})
 	}
 }
@@ -251,7 +251,7 @@
 	require.Equal(t, int64(len(st.Tokens)), st.Failure.Position)
 	requirePrefix(t, st.Tokens)
 	_, entry := place(t, s, prompt)
-	require.Equal(t, engine.EndingCancelled, entry.Ending)
+	require.Equal(t, engine.EndingCancelled, entry.Status)
 
 	stranger, err := s.Caller("huye-gliders").Call(t.Context(), t, http.MethodDelete, s.Instances[1].Caller, "/v1/generations/"+st.ID, nil)
 	require.NoError(t, err)
