--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -15,7 +15,7 @@
 
 // States of a generation.
 const (
-	EndingRunning   Ending = "running"
+	StatusRunning   Ending = "running"
 	EndingFinished  Ending = "finished"
 	EndingCancelled Ending = "cancelled"
 	// EndingAbandoned means that the stream had no reader for too long.
@@ -74,7 +74,7 @@
 	wake chan struct{}
 }
 
-func (g *generation) ended() bool { return g.entry.Status != EndingRunning }
+func (g *generation) ended() bool { return g.entry.Status != StatusRunning }
 
 func (g *generation) notify() {
 	for r := range g.readers {
--- a/internal/standin/engine/handlers.go
+++ b/internal/standin/engine/handlers.go
@@ -122,7 +122,7 @@
 			buf = g.appendEvent(buf, position, false)
 		}
 		switch state.ending {
-		case EndingRunning:
+		case StatusRunning:
 		case EndingFinished:
 			buf = s.appendStreamEnd(buf, g, position)
 		default:
--- a/internal/standin/engine/requests.go
+++ b/internal/standin/engine/requests.go
@@ -151,7 +151,7 @@
 			Model:        req.Model,
 			Priority:     req.Priority,
 			PromptTokens: seq.PromptTokens,
-			Status:       EndingRunning,
+			Status:       StatusRunning,
 		},
 		sequence:       seq,
 		chat:           chat,
--- a/test/failure/reclaimed_test.go
+++ b/test/failure/reclaimed_test.go
@@ -109,7 +109,7 @@
 	}
 	s.Slow(t, standstill)
 	_, collected := place(t, s, r.collectedPrompt)
-	require.Equal(t, engine.EndingRunning, collected.Status)
+	require.Equal(t, engine.StatusRunning, collected.Status)
 	for {
 		*prompt++
 		r.earlyPrompt = *prompt
--- a/test/failure/streams_test.go
+++ b/test/failure/streams_test.go
@@ -222,7 +222,7 @@
 			st := begin(t, s.Caller("kigali-flyers"), s.Instances[0], prompt, 10)
 			server, entry := place(t, s, prompt)
 			proxy := s.Servers[server].Proxy
-			require.Equal(t, engine.EndingRunning, entry.Status)
+			require.Equal(t, engine.StatusRunning, entry.Status)
 			fault(t, proxy)
 			require.NoError(t, st.Read(5))
 			proxy.SetDelay(0)
