--- a/internal/loadgen/ledgers.go
+++ b/internal/loadgen/ledgers.go
@@ -74,7 +74,7 @@
 		sum.Preemptions += int64(g.Preemptions)
 		sum.StallMillis += g.StallMillis
 		switch g.Status {
-		case engine.EndingFinished, engine.StatusRunning:
+		case engine.StatusFinished, engine.StatusRunning:
 			continue
 		case engine.EndingCancelled, engine.EndingAbandoned:
 			sum.Cancelled++
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -16,7 +16,7 @@
 // States of a generation.
 const (
 	StatusRunning   Ending = "running"
-	EndingFinished  Ending = "finished"
+	StatusFinished  Ending = "finished"
 	EndingCancelled Ending = "cancelled"
 	// EndingAbandoned means that the stream had no reader for too long.
 	EndingAbandoned Ending = "abandoned"
--- a/internal/standin/engine/handlers.go
+++ b/internal/standin/engine/handlers.go
@@ -123,7 +123,7 @@
 		}
 		switch state.ending {
 		case StatusRunning:
-		case EndingFinished:
+		case StatusFinished:
 			buf = s.appendStreamEnd(buf, g, position)
 		default:
 			httpserver.CloseConnection(c)
@@ -137,7 +137,7 @@
 				return
 			}
 		}
-		if state.ending == EndingFinished {
+		if state.ending == StatusFinished {
 			return
 		}
 		select {
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -223,7 +223,7 @@
 	}
 	if g.sequence.Done() {
 		s.totals.finished++
-		s.endGeneration(g, EndingFinished, now)
+		s.endGeneration(g, StatusFinished, now)
 	}
 	g.notify()
 }
--- a/test/failure/answers_test.go
+++ b/test/failure/answers_test.go
@@ -158,7 +158,7 @@
 	finished := 0
 	for _, entries := range s.Ran(t, prompt) {
 		for _, e := range entries {
-			if e.Status == engine.EndingFinished && e.OutputTokens == w.Usage.CompletionTokens {
+			if e.Status == engine.StatusFinished && e.OutputTokens == w.Usage.CompletionTokens {
 				finished++
 			}
 		}
--- a/test/failure/streams_test.go
+++ b/test/failure/streams_test.go
@@ -230,7 +230,7 @@
 			require.Nil(t, st.Failure)
 			system.RequireWhole(t, st.Tokens)
 			_, entry = place(t, s, prompt)
-			require.Equal(t, engine.EndingFinished, entry.Status)
+			require.Equal(t, engine.StatusFinished, entry.Status)
 		})
 	}
 }
