--- a/internal/loadgen/ledgers.go
+++ b/internal/loadgen/ledgers.go
@@ -76,7 +76,7 @@
 		switch g.Status {
 		case engine.StatusFinished, engine.StatusRunning:
 			continue
-		case engine.EndingCancelled, engine.EndingAbandoned:
+		case engine.StatusCancelled, engine.EndingAbandoned:
 			sum.Cancelled++
 		case engine.EndingLost:
 			sum.Lost++
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -17,7 +17,7 @@
 const (
 	StatusRunning   Ending = "running"
 	StatusFinished  Ending = "finished"
-	EndingCancelled Ending = "cancelled"
+	StatusCancelled Ending = "cancelled"
 	// EndingAbandoned means that the stream had no reader for too long.
 	EndingAbandoned Ending = "abandoned"
 	// EndingLost means that the engine crashed during the generation.
--- a/internal/standin/engine/requests.go
+++ b/internal/standin/engine/requests.go
@@ -190,7 +190,7 @@
 		return
 	}
 	s.batch.Remove(g.sequence)
-	s.endGeneration(g, EndingCancelled, now)
+	s.endGeneration(g, StatusCancelled, now)
 	delete(s.generations, id)
 }
 
--- a/test/failure/streams_test.go
+++ b/test/failure/streams_test.go
@@ -251,7 +251,7 @@
 	require.Equal(t, int64(len(st.Tokens)), st.Failure.Position)
 	requirePrefix(t, st.Tokens)
 	_, entry := place(t, s, prompt)
-	require.Equal(t, engine.EndingCancelled, entry.Status)
+	require.Equal(t, engine.StatusCancelled, entry.Status)
 
 	stranger, err := s.Caller("huye-gliders").Call(t.Context(), t, http.MethodDelete, s.Instances[1].Caller, "/v1/generations/"+st.ID, nil)
 	require.NoError(t, err)
