--- a/internal/loadgen/ledgers.go
+++ b/internal/loadgen/ledgers.go
@@ -76,7 +76,7 @@
 		switch g.Status {
 		case engine.StatusFinished, engine.StatusRunning:
 			continue
-		case engine.StatusCancelled, engine.EndingAbandoned:
+		case engine.StatusCancelled, engine.StatusAbandoned:
 			sum.Cancelled++
 		case engine.EndingLost:
 			sum.Lost++
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -18,8 +18,8 @@
 	StatusRunning   Ending = "running"
 	StatusFinished  Ending = "finished"
 	StatusCancelled Ending = "cancelled"
-	// EndingAbandoned means that the stream had no reader for too long.
-	EndingAbandoned Ending = "abandoned"
+	// StatusAbandoned means that the stream had no reader for too long.
+	StatusAbandoned Ending = "abandoned"
 	// EndingLost means that the engine crashed during the generation.
 	EndingLost Ending = "lost"
 )
--- a/internal/standin/engine/requests.go
+++ b/internal/standin/engine/requests.go
@@ -199,7 +199,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := s.generations[id]
-	if g == nil || g.entry.Status == EndingAbandoned {
+	if g == nil || g.entry.Status == StatusAbandoned {
 		return nil
 	}
 	return g
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -256,7 +256,7 @@
 	for _, g := range s.generations {
 		if !g.ended() && len(g.readers) == 0 && now.Sub(g.lastReadAt) > abandon {
 			s.batch.Remove(g.sequence)
-			s.endGeneration(g, EndingAbandoned, now)
+			s.endGeneration(g, StatusAbandoned, now)
 		}
 	}
 }
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -236,7 +236,7 @@
 func TestUnreadGenerationEnds(t *testing.T) {
 	f := newEngineFixture(t, func(o *engine.Options) { o.AbandonAfter = 50 * time.Millisecond })
 	f.startAndReadFirst("r1", longOutputPrompt, 10_000).Close()
-	require.Eventually(t, func() bool { return f.ledger().Generations[0].Status == engine.EndingAbandoned }, waitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return f.ledger().Generations[0].Status == engine.StatusAbandoned }, waitTimeout, time.Millisecond)
 	_, err := f.client.Resume(f.ctx, f.address, "r1", 0, true)
 	require.ErrorIs(t, err, client.ErrUnknownStream)
 }
