--- a/internal/loadgen/ledgers.go
+++ b/internal/loadgen/ledgers.go
@@ -78,7 +78,7 @@
 			continue
 		case engine.StatusCancelled, engine.StatusAbandoned:
 			sum.Cancelled++
-		case engine.EndingLost:
+		case engine.StatusLost:
 			sum.Lost++
 		}
 		sum.WastedTokens += int64(g.OutputTokens)
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -20,8 +20,8 @@
 	StatusCancelled Ending = "cancelled"
 	// StatusAbandoned means that the stream had no reader for too long.
 	StatusAbandoned Ending = "abandoned"
-	// EndingLost means that the engine crashed during the generation.
-	EndingLost Ending = "lost"
+	// StatusLost means that the engine crashed during the generation.
+	StatusLost Ending = "lost"
 )
 
 // Entry describes one generation in the ledger.
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -117,7 +117,7 @@
 func (s *Server) loseGenerations() {
 	for _, g := range s.generations {
 		if !g.ended() {
-			g.entry.Status = EndingLost
+			g.entry.Status = StatusLost
 		}
 		g.notify()
 	}
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -126,7 +126,7 @@
 		require.ErrorIs(t, readUntilError(first), client.ErrStreamInterrupted)
 		require.NotEqual(t, before, f.load().Incarnation)
 		for _, entry := range f.ledger().Generations {
-			require.Equal(t, engine.EndingLost, entry.Status)
+			require.Equal(t, engine.StatusLost, entry.Status)
 		}
 	})
 	t.Run("refuse", func(t *testing.T) {
