--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -10,18 +10,18 @@
 	"pollenspindle.example/pollenspindle/internal/standin/batch"
 )
 
-// Ending is the state of a generation in the ledger.
-type Ending string
+// Status is the state of a generation in the ledger.
+type Status string
 
 // States of a generation.
 const (
-	StatusRunning   Ending = "running"
-	StatusFinished  Ending = "finished"
-	StatusCancelled Ending = "cancelled"
+	StatusRunning   Status = "running"
+	StatusFinished  Status = "finished"
+	StatusCancelled Status = "cancelled"
 	// StatusAbandoned means that the stream had no reader for too long.
-	StatusAbandoned Ending = "abandoned"
+	StatusAbandoned Status = "abandoned"
 	// StatusLost means that the engine crashed during the generation.
-	StatusLost Ending = "lost"
+	StatusLost Status = "lost"
 )
 
 // Entry describes one generation in the ledger.
@@ -35,7 +35,7 @@
 	PromptTokens int       `json:"promptTokens"`
 	// OutputTokens counts the output tokens produced.
 	OutputTokens int    `json:"outputTokens"`
-	Status       Ending `json:"ending"`
+	Status       Status `json:"ending"`
 	Preemptions  int    `json:"preemptions"`
 	// StallMillis is the total time between preemptions and the next tokens, in
 	// wall-clock milliseconds.
--- a/internal/standin/engine/requests.go
+++ b/internal/standin/engine/requests.go
@@ -224,7 +224,7 @@
 // streamState is the state of a generation as its readers see it.
 type streamState struct {
 	visibleTokens int64
-	ending        Ending
+	ending        Status
 }
 
 func (s *Server) streamState(g *generation) streamState {
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -229,7 +229,7 @@
 }
 
 // endGeneration ends a generation. It can be resumed for FinishedRetention.
-func (s *Server) endGeneration(g *generation, ending Ending, now time.Time) {
+func (s *Server) endGeneration(g *generation, ending Status, now time.Time) {
 	g.entry.Status = ending
 	g.entry.Preemptions = g.sequence.Preemptions
 	g.endedAt = now
