--- a/internal/loadgen/caller/check_test.go
+++ b/internal/loadgen/caller/check_test.go
@@ -12,7 +12,7 @@
 )
 
 func token(id, position int64, tag string) eventstream.Event {
-	data := fmt.Sprintf(`{"choices":[{"delta":{"content":%q},"finish_reason":null}]}`, engine.Token(position, tag))
+	data := fmt.Sprintf(`{"choices":[{"delta":{"content":%q},"finish_reason":null}]}`, engine.TokenText(position, tag))
 	return eventstream.Event{ID: id, Data: []byte(data)}
 }
 
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -91,8 +91,8 @@
 	return fmt.Sprintf("%08x", uint32(xxhash.Sum64String(incarnation+"/"+requestID)))
 }
 
-// Token returns the text of the token at a position of a generation.
-func Token(position int64, tag string) string {
+// TokenText returns the text of the token at a position of a generation.
+func TokenText(position int64, tag string) string {
 	return "w" + strconv.FormatInt(position, 10) + "-" + tag + " "
 }
 
@@ -118,7 +118,7 @@
 	if last {
 		finish = g.finishReason()
 	} else {
-		text = Token(position, g.tokenTag)
+		text = TokenText(position, g.tokenTag)
 	}
 	if g.chat {
 		buf = append(buf, "\"delta\":{"...)
