--- a/internal/slopes/loads.go
+++ b/internal/slopes/loads.go
@@ -69,7 +69,7 @@
 		}
 		before := loadAt(i-1, n)
 		before.Tag = "5f2c1b3a-1." + strconv.Itoa(i-1)
-		_ = json.NewEncoder(w).Encode(standin.ChangesSince(before, report))
+		_ = json.NewEncoder(w).Encode(standin.DiffLoadReports(before, report))
 	}))
 	defer s.Close()
 	c := engine.NewClient(engine.Options{})
--- a/internal/standin/engine/loadreportdelta.go
+++ b/internal/standin/engine/loadreportdelta.go
@@ -25,8 +25,8 @@
 	Outputs             []int                    `json:"outputs,omitempty"`
 }
 
-// ChangesSince returns the difference between two reports of one incarnation.
-func ChangesSince(before, after engine.LoadReport) LoadReportDelta {
+// DiffLoadReports returns the difference between two reports of one incarnation.
+func DiffLoadReports(before, after engine.LoadReport) LoadReportDelta {
 	c := LoadReportDelta{
 		Tag:               after.Tag,
 		After:             before.Tag,
--- a/internal/standin/engine/reports.go
+++ b/internal/standin/engine/reports.go
@@ -99,7 +99,7 @@
 func (s *Server) handleLoad(_ context.Context, c *app.RequestContext) {
 	report := s.laggedReport(time.Now())
 	if before, ok := s.recordServed(report, c.Query("after")); ok {
-		c.JSON(http.StatusOK, ChangesSince(before, report))
+		c.JSON(http.StatusOK, DiffLoadReports(before, report))
 		return
 	}
 	c.JSON(http.StatusOK, report)
