--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -42,8 +42,8 @@
 type Stats struct {
 	// Reads counts the reads started. MostReaders is the maximum number of
 	// concurrent reads.
-	Reads       int64 `json:"reads"`
-	MostReaders int64 `json:"mostReaders"`
+	Reads      int64 `json:"reads"`
+	MaxReaders int64 `json:"mostReaders"`
 }
 
 // store counts the reads of the weight store.
@@ -58,7 +58,7 @@
 	defer s.mu.Unlock()
 	s.activeReaders++
 	s.stats.Reads++
-	s.stats.MostReaders = max(s.stats.MostReaders, s.activeReaders)
+	s.stats.MaxReaders = max(s.stats.MaxReaders, s.activeReaders)
 }
 
 func (s *store) endRead() {
--- a/test/failure/orders_test.go
+++ b/test/failure/orders_test.go
@@ -181,6 +181,6 @@
 	var stats weights.Stats
 	require.NoError(t, json.Unmarshal(s.Control(t, address, http.MethodGet, "/control/stats", nil), &stats))
 	t.Logf("%+v", stats)
-	require.LessOrEqual(t, stats.MostReaders, int64(2))
+	require.LessOrEqual(t, stats.MaxReaders, int64(2))
 	require.GreaterOrEqual(t, stats.Reads, int64(len(engines(s, ""))))
 }
