--- a/internal/standin/service/handlers.go
+++ b/internal/standin/service/handlers.go
@@ -218,11 +218,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.JSON(http.StatusOK, Ledger{
-		Incarnation: s.incarnation,
-		Effects:     append([]Effect{}, s.effects...),
-		Begun:       append([]string{}, s.startedQueries...),
-		Reads:       s.reads,
-		Starts:      append([]time.Time{}, s.startTimes...),
-		Refused:     s.refused,
+		Incarnation:    s.incarnation,
+		Effects:        append([]Effect{}, s.effects...),
+		StartedQueries: append([]string{}, s.startedQueries...),
+		Reads:          s.reads,
+		Starts:         append([]time.Time{}, s.startTimes...),
+		Refused:        s.refused,
 	})
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -84,9 +84,9 @@
 type Ledger struct {
 	Incarnation string   `json:"incarnation"`
 	Effects     []Effect `json:"effects"`
-	// Begun holds the query strings of the requests with a side effect that
+	// StartedQueries holds the query strings of the requests with a side effect that
 	// started, whether or not the effect took place.
-	Begun []string `json:"begun"`
+	StartedQueries []string `json:"begun"`
 	// Reads counts the requests without a side effect, Refused those refused
 	// before running.
 	Reads int64 `json:"reads"`
--- a/test/failure/claims_test.go
+++ b/test/failure/claims_test.go
@@ -250,7 +250,7 @@
 	}()
 	require.Eventually(t, func() bool {
 		return slices.ContainsFunc(desks, func(desk string) bool {
-			return slices.Contains(s.ServiceLedger(t, desk).Begun, "note="+key)
+			return slices.Contains(s.ServiceLedger(t, desk).StartedQueries, "note="+key)
 		})
 	}, patience, pollEach)
 	return status
