--- a/internal/standin/service/handlers.go
+++ b/internal/standin/service/handlers.go
@@ -222,7 +222,7 @@
 		Effects:        append([]Effect{}, s.effects...),
 		StartedQueries: append([]string{}, s.startedQueries...),
 		Reads:          s.reads,
-		Starts:         append([]time.Time{}, s.startTimes...),
+		StartTimes:     append([]time.Time{}, s.startTimes...),
 		Refused:        s.refused,
 	})
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -90,9 +90,9 @@
 	// Reads counts the requests without a side effect, Refused those refused
 	// before running.
 	Reads int64 `json:"reads"`
-	// Starts are the times at which the first maxStartTimes requests started.
-	Starts  []time.Time `json:"starts"`
-	Refused int64       `json:"refused"`
+	// StartTimes are the times at which the first maxStartTimes requests started.
+	StartTimes []time.Time `json:"starts"`
+	Refused    int64       `json:"refused"`
 }
 
 // Server is the stand-in of one service.
--- a/test/soak/observe_test.go
+++ b/test/soak/observe_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	for _, each := range f.s.Config.Servers {
 		if each.Name == server && len(each.Models) == 0 {
-			return f.s.ServiceLedger(t, server).Starts
+			return f.s.ServiceLedger(t, server).StartTimes
 		}
 	}
 	var out []time.Time
