--- a/internal/standin/batch/batch.go
+++ b/internal/standin/batch/batch.go
@@ -59,10 +59,10 @@
 	// Length is the number of output tokens after which the generation ends.
 	Length int
 
-	// Produced counts the output tokens so far, Preemptions how often the
+	// OutputTokens counts the output tokens so far, Preemptions how often the
 	// sequence was preempted.
-	Produced    int
-	Preemptions int
+	OutputTokens int
+	Preemptions  int
 
 	arrival int64
 	// privateTokens is the memory outside the prefix cache, cachedBlocks the
@@ -74,7 +74,7 @@
 }
 
 // Done reports whether all output tokens have been produced.
-func (s *Sequence) Done() bool { return s.Produced >= s.Length }
+func (s *Sequence) Done() bool { return s.OutputTokens >= s.Length }
 
 // Step is the result of one step of a batch.
 type Step struct {
@@ -192,7 +192,7 @@
 	for _, hash := range s.Blocks[:hits] {
 		b.cache.acquire(hash)
 	}
-	requiredTokens := s.PromptTokens + s.Produced - hits*b.params.BlockTokens
+	requiredTokens := s.PromptTokens + s.OutputTokens - hits*b.params.BlockTokens
 	minFreeTokens := requiredTokens
 	if len(b.running) > 0 {
 		minFreeTokens += 1 + b.params.MemoryTokens/100
@@ -256,7 +256,7 @@
 		if !b.allocateToken(s, step) {
 			continue
 		}
-		s.Produced++
+		s.OutputTokens++
 		step.Emitted = append(step.Emitted, s)
 	}
 }
@@ -268,7 +268,7 @@
 		v := b.preemptionVictim()
 		if v == s && len(b.running) == 1 {
 			// No other sequence can be preempted, so this token is the last.
-			s.Length = s.Produced + 1
+			s.Length = s.OutputTokens + 1
 			return true
 		}
 		b.preempt(v, step)
@@ -299,7 +299,7 @@
 	step.Emitted = slices.DeleteFunc(step.Emitted, func(e *Sequence) bool {
 		if e == s {
 			// The token of this step is discarded with the memory.
-			s.Produced--
+			s.OutputTokens--
 		}
 		return e == s
 	})
--- a/internal/standin/engine/reports.go
+++ b/internal/standin/engine/reports.go
@@ -81,7 +81,7 @@
 	}
 	for _, seq := range s.batch.Running() {
 		report.Running = append(report.Running, engine.RunningSequence{
-			ID: seq.ID, PromptTokens: seq.PromptTokens, OutputTokens: seq.Produced,
+			ID: seq.ID, PromptTokens: seq.PromptTokens, OutputTokens: seq.OutputTokens,
 		})
 	}
 	return report
--- a/test/outcome/world_test.go
+++ b/test/outcome/world_test.go
@@ -188,7 +188,7 @@
 		Batch: len(n.batch.Running()), TokenInterval: n.lastStep, Preemptions: n.preempt,
 	}
 	for _, s := range append(slices.Clone(n.batch.Running()), n.batch.Waiting()...) {
-		r.Sequences = append(r.Sequences, admission.Sequence{ID: s.ID, Prompt: s.PromptTokens, Output: s.Produced})
+		r.Sequences = append(r.Sequences, admission.Sequence{ID: s.ID, Prompt: s.PromptTokens, Output: s.OutputTokens})
 	}
 	r.Running = len(r.Sequences)
 	w.after(200*time.Millisecond, func() { n.state.ApplyReport(w.now, r) })
@@ -341,7 +341,7 @@
 		c.done = true
 		delete(n.running, s.ID)
 		n.state.Release(w.now, c.permit.PermitID, permit.Outcome{
-			Ending: permit.EndingFinished, OutputTokens: s.Produced, FirstToken: c.firstSent,
+			Ending: permit.EndingFinished, OutputTokens: s.OutputTokens, FirstToken: c.firstSent,
 		})
 	}
 }
