--- a/internal/standin/engine/handlers.go
+++ b/internal/standin/engine/handlers.go
@@ -121,7 +121,7 @@
 			position++
 			buf = g.appendEvent(buf, position, false)
 		}
-		switch state.ending {
+		switch state.status {
 		case StatusRunning:
 		case StatusFinished:
 			buf = s.appendStreamEnd(buf, g, position)
@@ -137,7 +137,7 @@
 				return
 			}
 		}
-		if state.ending == StatusFinished {
+		if state.status == StatusFinished {
 			return
 		}
 		select {
--- a/internal/standin/engine/requests.go
+++ b/internal/standin/engine/requests.go
@@ -224,11 +224,11 @@
 // streamState is the state of a generation as its readers see it.
 type streamState struct {
 	visibleTokens int64
-	ending        Status
+	status        Status
 }
 
 func (s *Server) streamState(g *generation) streamState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return streamState{visibleTokens: g.visibleTokens, ending: g.entry.Status}
+	return streamState{visibleTokens: g.visibleTokens, status: g.entry.Status}
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -229,8 +229,8 @@
 }
 
 // endGeneration ends a generation. It can be resumed for FinishedRetention.
-func (s *Server) endGeneration(g *generation, ending Status, now time.Time) {
-	g.entry.Status = ending
+func (s *Server) endGeneration(g *generation, status Status, now time.Time) {
+	g.entry.Status = status
 	g.entry.Preemptions = g.sequence.Preemptions
 	g.endedAt = now
 	s.ended = append(s.ended, g)
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -40,7 +40,7 @@
 
 // Stats is the response body of GET /control/stats.
 type Stats struct {
-	// Reads counts the reads started. MostReaders is the maximum number of
+	// Reads counts the reads started. MaxReaders is the maximum number of
 	// concurrent reads.
 	Reads      int64 `json:"reads"`
 	MaxReaders int64 `json:"mostReaders"`
