--- a/internal/loadgen/ledgers.go
+++ b/internal/loadgen/ledgers.go
@@ -73,12 +73,12 @@
 		sum.Generations++
 		sum.Preemptions += int64(g.Preemptions)
 		sum.StallMillis += g.StallMillis
-		switch g.Ending {
-		case engine.EndingFinished, engine.EndingRunning:
+		switch g.Status {
+		case engine.StatusFinished, engine.StatusRunning:
 			continue
-		case engine.EndingCancelled, engine.EndingAbandoned:
+		case engine.StatusCancelled, engine.StatusAbandoned:
 			sum.Cancelled++
-		case engine.EndingLost:
+		case engine.StatusLost:
 			sum.Lost++
 		}
 		sum.WastedTokens += int64(g.OutputTokens)
