--- a/internal/openai/collect.go
+++ b/internal/openai/collect.go
@@ -8,7 +8,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Chunk is one event of a streamed answer, of either endpoint.
+// Chunk is one event of a streamed response of either endpoint.
 type Chunk struct {
 	Created           int64           `json:"created"`
 	Model             string          `json:"model"`
@@ -17,7 +17,7 @@
 	Usage             json.RawMessage `json:"usage"`
 }
 
-// ChunkChoice is the part of one choice in a chunk.
+// ChunkChoice is the part of a chunk that belongs to one choice.
 type ChunkChoice struct {
 	Index        int                          `json:"index"`
 	Delta        Delta                        `json:"delta"`
@@ -26,7 +26,7 @@
 	Logprobs     map[string][]json.RawMessage `json:"logprobs"`
 }
 
-// Delta is what a chat chunk adds.
+// Delta holds the content that a chat chunk appends to a choice.
 type Delta struct {
 	Role             string     `json:"role"`
 	Content          string     `json:"content"`
@@ -35,7 +35,7 @@
 	ToolCalls        []ToolCall `json:"tool_calls"`
 }
 
-// ToolCall is a call of a function, in parts while streamed.
+// ToolCall is a function call; when streamed, each chunk holds a part of it.
 type ToolCall struct {
 	Index    int          `json:"index"`
 	ID       string       `json:"id"`
@@ -43,23 +43,24 @@
 	Function ToolFunction `json:"function"`
 }
 
-// ToolFunction is the function of a [ToolCall].
+// ToolFunction holds the name and the JSON arguments of a [ToolCall].
 type ToolFunction struct {
 	Name      string `json:"name"`
 	Arguments string `json:"arguments"`
 }
 
-// Collector puts the chunks of one generation together.
+// Collector assembles the chunks of one generation into a complete response.
 type Collector struct {
 	endpoint Endpoint
 	first    Chunk
 	started  bool
 	usage    json.RawMessage
 	events   int
-	choices  []*collected
+	choices  []*partialChoice
 }
 
-type collected struct {
+// partialChoice accumulates one choice of the response.
+type partialChoice struct {
 	role      string
 	text      strings.Builder
 	reasoning strings.Builder
@@ -69,13 +70,13 @@
 	logprobs  map[string][]json.RawMessage
 }
 
-// maxChoices bounds an index that an engine gives.
+// maxChoices limits the choice index in an engine's chunk, which sizes a slice.
 const maxChoices = 128
 
-// NewCollector returns an empty collector.
+// NewCollector returns an empty collector for a response of endpoint e.
 func NewCollector(e Endpoint) *Collector { return &Collector{endpoint: e} }
 
-// Add adds the next chunk.
+// Add appends the next chunk, given as JSON. It returns [ErrChunk] if the chunk is malformed.
 func (c *Collector) Add(data string) error {
 	var chunk Chunk
 	if err := json.Unmarshal([]byte(data), &chunk); err != nil {
@@ -92,7 +93,7 @@
 			return merry.Wrap(ErrChunk)
 		}
 		for len(c.choices) <= choice.Index {
-			c.choices = append(c.choices, &collected{})
+			c.choices = append(c.choices, &partialChoice{})
 		}
 		if choice.FinishReason == "" {
 			c.events++
@@ -102,7 +103,7 @@
 	return nil
 }
 
-func (c *collected) add(choice ChunkChoice) {
+func (c *partialChoice) add(choice ChunkChoice) {
 	if choice.Delta.Role != "" {
 		c.role = choice.Delta.Role
 	}
@@ -114,7 +115,7 @@
 		c.finish = choice.FinishReason
 	}
 	for _, part := range choice.Delta.ToolCalls {
-		c.addTool(part)
+		c.addToolCall(part)
 	}
 	for name, list := range choice.Logprobs {
 		if c.logprobs == nil {
@@ -124,7 +125,7 @@
 	}
 }
 
-func (c *collected) addTool(part ToolCall) {
+func (c *partialChoice) addToolCall(part ToolCall) {
 	i := slices.IndexFunc(c.tools, func(t ToolCall) bool { return t.Index == part.Index })
 	if i < 0 {
 		c.tools = append(c.tools, part)
--- a/internal/openai/id.go
+++ b/internal/openai/id.go
@@ -8,21 +8,21 @@
 	"github.com/tidwall/sjson"
 )
 
-// ErrChunk means that an engine's chunk can't be understood.
-var ErrChunk = merry.New("chunk not understood")
+// ErrChunk is returned for a malformed chunk of an engine.
+var ErrChunk = merry.New("malformed chunk")
 
-// IDWriter gives the chunks of one generation the id that its caller knows.
+// IDWriter replaces the id in the chunks of one generation by the id that the caller was given.
 type IDWriter struct {
 	id     string
 	quoted string
 	buf    []byte
 }
 
-// NewIDWriter returns a writer of an id of printable ASCII, as ours are.
+// NewIDWriter returns a writer for id, which must consist of printable ASCII.
 func NewIDWriter(id string) *IDWriter { return &IDWriter{id: id, quoted: strconv.Quote(id)} }
 
-// Rewrite returns the chunk with the id. It is valid until the next call: it
-// runs for each token, and a copy for each was a quarter of the allocations.
+// Rewrite returns the chunk with the id replaced. The result is valid until the next call: Rewrite
+// runs for each token, and copying each result caused a quarter of all allocations.
 func (w *IDWriter) Rewrite(chunk string) ([]byte, error) {
 	old := gjson.Get(chunk, "id")
 	if old.Index == 0 {
@@ -34,7 +34,7 @@
 	return w.buf, nil
 }
 
-// insert adds the id to a chunk that has none.
+// insert adds the id to a chunk without one.
 func (w *IDWriter) insert(chunk string) ([]byte, error) {
 	out, err := sjson.Set(chunk, "id", w.id)
 	if err != nil {
--- a/internal/openai/id_test.go
+++ b/internal/openai/id_test.go
@@ -12,11 +12,11 @@
 	tests := map[string]struct{ chunk, want string }{
 		"first":         {`{"id":"c1","choices":[]}`, `{"id":"gen-1","choices":[]}`},
 		"last":          {`{"choices":[{"id":"call"}], "id" : "c1" }`, `{"choices":[{"id":"call"}], "id" : "gen-1" }`},
-		"no string":     {`{"id":{"a":[1]},"n":2}`, `{"id":"gen-1","n":2}`},
+		"not a string":  {`{"id":{"a":[1]},"n":2}`, `{"id":"gen-1","n":2}`},
 		"escaped":       {`{"id":"c\"1\\","n":2}`, `{"id":"gen-1","n":2}`},
-		"only deeper":   {`{"choices":[{"delta":{"tool_calls":[{"id":"call"}]}}]}`, `{"choices":[{"delta":{"tool_calls":[{"id":"call"}]}}],"id":"gen-1"}`},
+		"only nested":   {`{"choices":[{"delta":{"tool_calls":[{"id":"call"}]}}]}`, `{"choices":[{"delta":{"tool_calls":[{"id":"call"}]}}],"id":"gen-1"}`},
 		"none":          {`{}`, `{"id":"gen-1"}`},
-		"in the string": {`{"text":"\"id\":\"x\"","id":""}`, `{"text":"\"id\":\"x\"","id":"gen-1"}`},
+		"inside string": {`{"text":"\"id\":\"x\"","id":""}`, `{"text":"\"id\":\"x\"","id":"gen-1"}`},
 	}
 	w := NewIDWriter("gen-1")
 	for name, tt := range tests {
@@ -28,8 +28,7 @@
 	}
 }
 
-// Whatever an engine sends, the caller gets the id it knows and the rest as it
-// came.
+// For any JSON object from an engine, the result is valid JSON with the caller's id.
 func FuzzRewrite(f *testing.F) {
 	f.Add(`{"id":"c1","choices":[{"delta":{"content":"a"}}]}`)
 	f.Fuzz(func(t *testing.T, chunk string) {
--- a/internal/openai/openai_test.go
+++ b/internal/openai/openai_test.go
@@ -14,8 +14,8 @@
 
 const chatRequest = `{"model":"glide-7b","temperature":0.25,"priority":-9,"user":"me","messages":[{"role":"user","content":"hi"}]}`
 
-// What a caller sets beyond what entry instances read reaches the engine as
-// it came; what would give it another's place doesn't.
+// Fields that entry instances don't read reach the engine unchanged. The caller's priority and user
+// are overwritten, or a caller could raise its own priority or pose as another workspace.
 func TestEngineBody(t *testing.T) {
 	req, err := Parse(Chat, []byte(chatRequest), pollenspindle.Limits{})
 	require.NoError(t, err)
@@ -25,27 +25,27 @@
 		"stream_options":{"include_usage":true},"messages":[{"role":"user","content":"hi"}]}`, string(body))
 }
 
-func TestPrefixHashesShowWhatIsAlike(t *testing.T) {
-	ask := func(content string) []uint64 {
+func TestPrefixHashesMatchSharedPrefixes(t *testing.T) {
+	hashes := func(content string) []uint64 {
 		body := fmt.Sprintf(`{"model":"m","messages":[{"role":"system","content":%q}]}`, content)
 		req, err := Parse(Chat, []byte(body), pollenspindle.Limits{})
 		require.NoError(t, err)
 		return req.PrefixHashes
 	}
 	system := strings.Repeat("rules ", 2048)
-	require.Equal(t, ask(system+"one"), ask(system+"two"))
-	require.NotEqual(t, ask("one"), ask("two"))
+	require.Equal(t, hashes(system+"one"), hashes(system+"two"))
+	require.NotEqual(t, hashes("one"), hashes("two"))
 
 	short := strings.Repeat("rule ", 120)
-	one, two := ask(short+strings.Repeat("one ", 500)), ask(short+strings.Repeat("two ", 500))
+	one, two := hashes(short+strings.Repeat("one ", 500)), hashes(short+strings.Repeat("two ", 500))
 	require.Len(t, one, 4, "256, 512, 1024 and 2048 bytes")
 	require.Equal(t, one[:2], two[:2])
 	require.NotEqual(t, one[2], two[2])
 	require.NotEqual(t, one[3], two[3])
 }
 
-// Parts of text, of calls and of several choices come interleaved; the whole
-// answer has each in its place.
+// Text, tool calls and choices are interleaved in the chunks; the response must hold each in the right
+// choice.
 func TestCollector(t *testing.T) {
 	chunks := []string{
 		`{"created":7,"model":"m","choices":[{"index":0,"delta":{"role":"assistant","content":"Wind"}}]}`,
@@ -59,7 +59,7 @@
 	for _, chunk := range chunks {
 		require.NoError(t, c.Add(chunk))
 	}
-	whole, err := c.Whole("gen-1", 99)
+	response, err := c.Whole("gen-1", 99)
 	require.NoError(t, err)
 	require.JSONEq(t, `{"id":"gen-1","object":"chat.completion","created":7,"model":"m","choices":[
 		{"index":0,"message":{"role":"assistant","content":"Wind calm","refusal":null},"finish_reason":"stop",
@@ -67,7 +67,7 @@
 		{"index":1,"message":{"role":"assistant","content":"","refusal":null,"tool_calls":[
 		 {"id":"c","type":"function","function":{"name":"book","arguments":"{\"f\":7}"}}]},
 		 "finish_reason":"tool_calls","logprobs":null}],
-		"usage":{"prompt_tokens":3,"completion_tokens":4,"total_tokens":7}}`, string(whole))
+		"usage":{"prompt_tokens":3,"completion_tokens":4,"total_tokens":7}}`, string(response))
 }
 
 func FuzzParse(f *testing.F) {
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -1,5 +1,5 @@
-// Package openai reads and rewrites the requests, chunks and whole answers of
-// the OpenAI protocol, as far as entry instances need to.
+// Package openai parses and rewrites the requests, chunks and complete responses of the OpenAI
+// protocol, as far as entry instances need to.
 //
 // # Usage
 //
@@ -21,28 +21,28 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Endpoint is a kind of generation.
+// Endpoint is an API endpoint that starts a generation.
 type Endpoint string
 
-// The endpoints; their values are the paths.
+// The endpoints. The values are URL paths.
 const (
 	Chat       Endpoint = "/v1/chat/completions"
 	Completion Endpoint = "/v1/completions"
 )
 
 const (
-	// bytesPerToken turns the prompt's length into an estimate: about four
-	// for English, less for other languages, which errs on the safe side of
-	// what JSON adds.
+	// bytesPerToken converts the prompt's length in bytes to an estimate of its tokens. English has
+	// about four bytes per token and other languages fewer; the JSON syntax counted with the prompt
+	// keeps the estimate high.
 	bytesPerToken = 4
-	// shortestPrefix and longestPrefix bound the beginnings of a prompt that are
-	// hashed; each is twice as long as the one before. Less is hardly worth an
-	// engine's cache, and two prompts alike for longer belong together anyway.
-	shortestPrefix = 256
-	longestPrefix  = 16 << 10
+	// minPrefixBytes and maxPrefixBytes limit the lengths of the prompt prefixes that are hashed; each
+	// is twice as long as the previous one. Shorter prefixes save an engine's cache little, and
+	// prompts with a longer common prefix are routed together by this one already.
+	minPrefixBytes = 256
+	maxPrefixBytes = 16 << 10
 )
 
-// FieldError says which field of a request is wrong.
+// FieldError reports an invalid field of a request.
 type FieldError struct {
 	Field   string
 	Problem string
@@ -51,21 +51,22 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// Request is what entry instances read of a request. Everything else goes to
-// the engine as it came.
+// Request holds the fields that entry instances read. All other fields are passed to the engine
+// unchanged.
 type Request struct {
 	Endpoint Endpoint
 	Body     []byte
 	Model    string
 	Stream   bool
-	// MaxTokens is the caller's bound on the output, or 0.
-	MaxTokens    int
+	// MaxTokens is the caller's limit of output tokens, or 0 for none.
+	MaxTokens int
+	// PromptTokens is an estimate.
 	PromptTokens int
-	// PrefixHashes are those of the prompt's beginnings, the shortest first.
+	// PrefixHashes are hashes of prefixes of the prompt, the shortest prefix first.
 	PrefixHashes []uint64
 }
 
-// Parse checks body. An error is a *FieldError.
+// Parse parses and checks body. An error is a *FieldError.
 func Parse(e Endpoint, body []byte, limits pollenspindle.Limits) (Request, error) {
 	fields, err := parseObject(body)
 	if err != nil {
@@ -81,7 +82,7 @@
 	if req.MaxTokens, err = maxTokens(fields, limits.MaxOutputTokens); err != nil {
 		return Request{}, err
 	}
-	prompt, err := promptOf(e, fields)
+	prompt, err := promptJSON(e, fields)
 	if err != nil {
 		return Request{}, err
 	}
@@ -90,14 +91,13 @@
 	return req, nil
 }
 
-// prefixHashes has at least one hash: that of all of a prompt shorter than
-// shortestPrefix.
+// prefixHashes returns at least one hash: a prompt shorter than minPrefixBytes is hashed as one prefix.
 func prefixHashes(model, prompt string) []uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model + "\x00")
 	var hashes []uint64
 	from := 0
-	for end := shortestPrefix; end <= min(len(prompt), longestPrefix); end *= 2 {
+	for end := minPrefixBytes; end <= min(len(prompt), maxPrefixBytes); end *= 2 {
 		_, _ = digest.WriteString(prompt[from:end])
 		hashes = append(hashes, digest.Sum64())
 		from = end
@@ -109,14 +109,14 @@
 	return hashes
 }
 
-// parseObject returns the fields of a JSON object. A name that stands twice is
-// refused, whatever its case: the engine may read the other one, so a request
-// could be routed by one model's name and run as another's.
+// parseObject returns the fields of a JSON object. Duplicate names, compared without case, are
+// rejected: the engine might read the other one, so a request could be routed by one model's name and
+// run on another model.
 func parseObject(body []byte) (map[string]gjson.Result, error) {
 	if len(bytes.TrimSpace(body)) == 0 {
 		return nil, &FieldError{"body", "is empty; a JSON object is needed"}
 	}
-	// The standard library bounds the nesting, which gjson doesn't.
+	// The standard library limits the nesting depth; gjson doesn't.
 	if !utf8.Valid(body) || !json.Valid(body) {
 		return nil, &FieldError{"body", "is not valid JSON in UTF-8"}
 	}
@@ -126,19 +126,19 @@
 	}
 	fields := map[string]gjson.Result{}
 	seen := map[string]bool{}
-	var twice string
+	var duplicate string
 	root.ForEach(func(name, value gjson.Result) bool {
 		folded := strings.ToLower(name.String())
 		if seen[folded] {
-			twice = name.String()
+			duplicate = name.String()
 			return false
 		}
 		seen[folded] = true
 		fields[name.String()] = value
 		return true
 	})
-	if twice != "" {
-		return nil, &FieldError{fmt.Sprintf("%.64q", twice), "stands twice"}
+	if duplicate != "" {
+		return nil, &FieldError{fmt.Sprintf("%.64q", duplicate), "stands twice"}
 	}
 	return fields, nil
 }
@@ -183,8 +183,8 @@
 	return 0, nil
 }
 
-// promptOf returns the raw JSON of the prompt.
-func promptOf(e Endpoint, fields map[string]gjson.Result) (string, error) {
+// promptJSON returns the raw JSON of the prompt.
+func promptJSON(e Endpoint, fields map[string]gjson.Result) (string, error) {
 	if e == Completion {
 		return completionPrompt(fields)
 	}
@@ -218,17 +218,17 @@
 	return prompt.Raw, nil
 }
 
-// EngineFields are the fields that entry instances set themselves.
+// EngineFields are the request fields that entry instances overwrite.
 type EngineFields struct {
-	// Priority: the engine runs lower ones first. What callers ask for is
-	// dropped, or each would ask for the best.
+	// Priority orders requests on the engine, lower values first. The caller's value is dropped, or
+	// each caller would request the highest priority.
 	Priority int
-	// User is the workspace, so that engines tell workspaces apart.
+	// User is the workspace, so that engines can distinguish workspaces.
 	User string
 }
 
-// EngineBody returns the body for the engine: always streamed, and with the
-// usage when the answer is collected.
+// EngineBody returns the request body for the engine. It always requests a stream; if the caller
+// requested none, it also requests the usage, which the complete response holds.
 func (r Request) EngineBody(f EngineFields) ([]byte, error) {
 	body, err := sjson.SetBytes(r.Body, "stream", true)
 	if err == nil && !r.Stream {
--- a/internal/openai/whole.go
+++ b/internal/openai/response.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Whole is a whole answer of either endpoint.
+// Whole is a complete response of either endpoint.
 type Whole struct {
 	ID                string          `json:"id"`
 	Object            string          `json:"object"`
@@ -13,7 +13,7 @@
 	Usage             json.RawMessage `json:"usage"`
 }
 
-// WholeChoice is one choice; Message is for chat, Text for completions.
+// WholeChoice is one choice. Message is set for chat, Text for completions.
 type WholeChoice struct {
 	Index        int                          `json:"index"`
 	Message      *Message                     `json:"message,omitempty"`
@@ -31,44 +31,44 @@
 	ToolCalls        []WholeTool `json:"tool_calls,omitempty"`
 }
 
-// WholeTool is a whole [ToolCall], which has no index.
+// WholeTool is a complete [ToolCall]; it has no index.
 type WholeTool struct {
 	ID       string       `json:"id"`
 	Type     string       `json:"type"`
 	Function ToolFunction `json:"function"`
 }
 
-// Usage counts tokens.
+// Usage holds the token counts of a generation.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Whole returns the answer. When the engine gave no usage the output is
-// counted by its events and the prompt is the estimate given.
+// Whole returns the complete response as JSON. If the engine reported no usage, each event counts as
+// one output token and promptTokens, an estimate, as the prompt's tokens.
 func (c *Collector) Whole(id string, promptTokens int) ([]byte, error) {
-	w := Whole{
+	response := Whole{
 		ID: id, Object: "chat.completion", Created: c.first.Created, Model: c.first.Model,
 		SystemFingerprint: c.first.SystemFingerprint, Choices: []WholeChoice{}, Usage: c.usage,
 	}
 	if c.endpoint == Completion {
-		w.Object = "text_completion"
+		response.Object = "text_completion"
 	}
 	for i := range c.choices {
-		w.Choices = append(w.Choices, c.choices[i].whole(c.endpoint, i))
+		response.Choices = append(response.Choices, c.choices[i].complete(c.endpoint, i))
 	}
-	if w.Usage == nil {
+	if response.Usage == nil {
 		usage, err := json.Marshal(Usage{promptTokens, c.events, promptTokens + c.events})
 		if err != nil {
 			return nil, err
 		}
-		w.Usage = usage
+		response.Usage = usage
 	}
-	return json.Marshal(w)
+	return json.Marshal(response)
 }
 
-func (c *collected) whole(e Endpoint, index int) WholeChoice {
+func (c *partialChoice) complete(e Endpoint, index int) WholeChoice {
 	choice := WholeChoice{Index: index, FinishReason: c.finish, Logprobs: c.logprobs}
 	text := c.text.String()
 	if e == Completion {
