--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,15 +1,15 @@
-// Package fleet asks the other entry instances on behalf of an operator, who
-// speaks to one of them only, and answers what the others ask.
+// Package fleet queries other entry instances on behalf of an operator, who is connected to only one
+// of them, and answers the queries of other instances.
 //
-// A query goes to the instance that knows: the id of a request names the
-// instance that received it, and the roster names a server's owner. Only a
-// request that may have moved on is asked of all, a few at a time.
+// A query goes to the instance that has the data: the id of a request contains the address of the
+// instance that received it, and the roster names a server's owner. All instances are queried, a few
+// at a time, only for a request that may have continued on another instance.
 //
 // # Usage
 //
 //	f := fleet.New(fleet.Options{Self: id, Members: member, Peers: pool, Journal: j, ...})
 //	server.HandleQueries(f.Handler())
-//	generation, err := f.Show(ctx, "gen-...")
+//	records, err := f.FindRequest(ctx, "gen-...")
 package fleet
 
 import (
@@ -28,29 +28,29 @@
 )
 
 const (
-	// askTimeout bounds one question to one instance.
-	askTimeout = time.Second
-	// fanOut bounds the questions at the same time when all are asked. At 350
-	// instances that is 22 rounds of a millisecond or two; with a whole region
-	// silent, allTimeout ends it.
-	fanOut     = 16
-	allTimeout = 5 * time.Second
+	// queryTimeout limits one query to one instance.
+	queryTimeout = time.Second
+	// maxConcurrentQueries limits the concurrent queries when many instances are queried. With 350
+	// instances that is 22 rounds of 1 to 2 ms each; if a whole region is unreachable, queryAllTimeout
+	// ends the query.
+	maxConcurrentQueries = 16
+	queryAllTimeout      = 5 * time.Second
 )
 
-// The errors of a [Fleet].
+// Errors returned by a [Fleet].
 var (
-	// ErrNotFound means that no instance that answered knows the request.
+	// ErrNotFound means that no instance that responded has a record of the request.
 	ErrNotFound = merry.Sentinel("request not known")
-	// ErrUnreachable means that an instance that may know gave no answer.
+	// ErrUnreachable means that an instance that may have a record of the request didn't respond.
 	ErrUnreachable = merry.Sentinel("instance gave no answer")
 )
 
-// Members knows the other instances; it is a *member.Member.
+// Members provides the roster of instances; *member.Member implements it.
 type Members interface {
 	Roster() *roster.Roster
 }
 
-// Options is what a [Fleet] needs.
+// Options configures a [Fleet].
 type Options struct {
 	// Self is the id of this instance.
 	Self    string
@@ -62,33 +62,33 @@
 	Codec   *generation.Codec
 }
 
-// Fleet is safe for concurrent use.
+// Fleet queries the instances of the deployment. It is safe for concurrent use.
 type Fleet struct{ opts Options }
 
-// New returns a fleet.
+// New returns a Fleet with opts.
 func New(opts Options) *Fleet { return &Fleet{opts} }
 
-// askAll calls ask for each of instances, at most fanOut at the same time, and
-// returns how many gave an answer.
-func askAll(ctx context.Context, instances []roster.Instance, ask func(context.Context, roster.Instance) error) int {
-	ctx, cancel := context.WithTimeout(ctx, allTimeout)
+// queryAll calls query for each instance, with at most maxConcurrentQueries concurrent calls, and
+// returns the number of calls that succeeded.
+func queryAll(ctx context.Context, instances []roster.Instance, query func(context.Context, roster.Instance) error) int {
+	ctx, cancel := context.WithTimeout(ctx, queryAllTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	answered := 0
-	slots := make(chan struct{}, fanOut)
+	succeeded := 0
+	slots := make(chan struct{}, maxConcurrentQueries)
 	for _, in := range instances {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			if ask(ctx, in) != nil {
+			if query(ctx, in) != nil {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			answered++
+			succeeded++
 		})
 	}
 	wg.Wait()
-	return answered
+	return succeeded
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -25,7 +25,7 @@
 
 func (m *members) Roster() *roster.Roster { return m.roster }
 
-// instance is an entry instance that only answers questions.
+// instance is an entry instance that only answers queries.
 type instance struct {
 	fleet   *fleet.Fleet
 	journal *journal.Journal
@@ -69,7 +69,7 @@
 	return list, codec, known
 }
 
-// refuse lets in receive a request and refuse it, and returns its id.
+// refuse records a request that the instance received and refused, and returns its id.
 func (in instance) refuse(t *testing.T, codec *generation.Codec) string {
 	t.Helper()
 	id, err := codec.FormatRequest(generation.RequestID{Entry: in.entry.CallerAddress, Unique: "u"})
@@ -81,8 +81,7 @@
 	return id
 }
 
-// The operator asks the first instance about a request that the second one
-// refused.
+// The first instance is queried for a request that the second one refused.
 func TestFindRequestAtAnotherInstance(t *testing.T) {
 	in, codec, _ := cluster(t, 3)
 	id := in[1].refuse(t, codec)
@@ -91,9 +90,9 @@
 	require.Equal(t, []fleet.Found{{Instance: "i2", Record: in[1].journal.Find(id)[0]}}, found)
 }
 
-// The caller's connection broke and it came back through the third instance.
-// The operator must see both parts, whichever instance is asked.
-func TestFindGenerationThatMovedOn(t *testing.T) {
+// The caller's connection broke and it reconnected through the third instance. A query on any instance
+// must return the records of both.
+func TestFindGenerationResumedOnAnotherInstance(t *testing.T) {
 	in, codec, known := cluster(t, 3)
 	id, err := codec.Format(generation.ID{Entry: in[1].entry.CallerAddress, Request: "r"})
 	require.NoError(t, err)
@@ -112,7 +111,7 @@
 	require.Equal(t, "i2", found[0].Instance)
 	require.Equal(t, "i3", found[1].Instance)
 
-	// The second instance has gone: what the third knows is still told.
+	// The second instance has left; the record of the third is still returned.
 	known.roster = roster.New(2, roster.Object{Number: 2, Instances: []roster.Instance{in[0].entry, in[2].entry}})
 	found, err = in[0].fleet.FindRequest(t.Context(), id)
 	require.NoError(t, err)
@@ -120,7 +119,7 @@
 	require.Equal(t, journal.Finished, found[0].State)
 }
 
-func TestFindRequestSaysWhyNot(t *testing.T) {
+func TestFindRequestReportsReason(t *testing.T) {
 	in, codec, known := cluster(t, 2)
 	_, err := in[0].fleet.FindRequest(t.Context(), "req-madeup")
 	require.ErrorIs(t, err, fleet.ErrNotFound)
@@ -137,7 +136,7 @@
 		_, err = in[0].fleet.FindRequest(t.Context(), id)
 		return err != nil
 	}, 20*time.Second, 10*time.Millisecond)
-	require.ErrorIs(t, err, fleet.ErrUnreachable, "an instance that is silent may know the request")
+	require.ErrorIs(t, err, fleet.ErrUnreachable, "the unreachable instance may have a record of the request")
 
 	known.roster = roster.New(2, roster.Object{Number: 2, Instances: []roster.Instance{in[0].entry}})
 	_, err = in[0].fleet.FindRequest(t.Context(), id)
--- a/internal/fleet/loads.go
+++ b/internal/fleet/loads.go
@@ -10,18 +10,17 @@
 	"pollenspindle.example/pollenspindle/internal/roster"
 )
 
-// Loads returns what the owners of all backend servers know of them, by name.
-// Each owner is asked once, whatever it owns. Servers whose owner gave no
-// answer are missing.
+// Loads returns the loads of all backend servers, by server name. Each owner is queried once for all
+// servers that it owns. Servers whose owner didn't respond are missing.
 func (f *Fleet) Loads(ctx context.Context) map[string]*peerv1.ServerLoad {
 	owners := f.owners()
 	var mu sync.Mutex
 	loads := map[string]*peerv1.ServerLoad{}
-	askAll(ctx, owners, func(ctx context.Context, in roster.Instance) error {
-		own, err := f.loadsAt(ctx, in)
+	queryAll(ctx, owners, func(ctx context.Context, in roster.Instance) error {
+		owned, err := f.loadsFrom(ctx, in)
 		mu.Lock()
 		defer mu.Unlock()
-		for _, l := range own {
+		for _, l := range owned {
 			loads[l.GetServer()] = l
 		}
 		return err
@@ -29,7 +28,7 @@
 	return loads
 }
 
-// Owner returns the owner of a server.
+// Owner returns the instance that owns a backend server.
 func (f *Fleet) Owner(server string) (roster.Instance, bool) {
 	snap := f.opts.Config()
 	declared, ok := snap.Servers[server]
@@ -40,7 +39,7 @@
 	return f.opts.Members.Roster().Owner(at.Name, at.Region)
 }
 
-// owners returns the instances that own any server.
+// owners returns the instances that own at least one backend server.
 func (f *Fleet) owners() []roster.Instance {
 	seen := map[string]bool{}
 	var list []roster.Instance
@@ -53,17 +52,18 @@
 	return list
 }
 
-func (f *Fleet) loadsAt(ctx context.Context, in roster.Instance) ([]*peerv1.ServerLoad, error) {
+// loadsFrom returns the loads of the backend servers that instance in owns.
+func (f *Fleet) loadsFrom(ctx context.Context, in roster.Instance) ([]*peerv1.ServerLoad, error) {
 	if in.ID == f.opts.Self {
 		return f.ownLoads(), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	res, err := f.opts.Peers.Client(in.PeerAddress).ServerLoads(ctx, &peerv1.ServerLoadsRequest{})
 	return res.GetLoads(), err
 }
 
-// ownLoads is what this instance knows of the servers that it owns.
+// ownLoads returns the loads of the backend servers that this instance owns.
 func (f *Fleet) ownLoads() []*peerv1.ServerLoad {
 	now := time.Now()
 	var loads []*peerv1.ServerLoad
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -13,17 +13,17 @@
 	"pollenspindle.example/pollenspindle/internal/roster"
 )
 
-// Found is what one instance remembers of a request.
+// Found is the record of a request on one instance.
 type Found struct {
 	Instance string
 	journal.Record
 }
 
-// FindRequest returns what is remembered of the request or generation called
-// id, the record of the instance that received it first. It fails with
-// [ErrNotFound] or [ErrUnreachable].
+// FindRequest returns the records of the request or generation with this id. The record of the
+// instance that received it comes first. It returns [ErrNotFound] or [ErrUnreachable] if there is
+// none.
 func (f *Fleet) FindRequest(ctx context.Context, id string) ([]Found, error) {
-	entry, err := f.entryOf(id)
+	entry, err := f.entryAddress(id)
 	if err != nil {
 		return nil, err
 	}
@@ -31,8 +31,8 @@
 	i := slices.IndexFunc(instances, func(in roster.Instance) bool { return in.CallerAddress == entry })
 	var found []Found
 	if i >= 0 {
-		first, err := f.findAt(ctx, instances[i], id)
-		if err == nil && len(first) > 0 && !movedOn(first) {
+		first, err := f.findOn(ctx, instances[i], id)
+		if err == nil && len(first) > 0 && !mayHaveOtherRecords(first) {
 			return first, nil
 		}
 		if err == nil {
@@ -40,22 +40,22 @@
 			instances = slices.Delete(instances, i, i+1)
 		}
 	}
-	more, silent := f.findAtAll(ctx, instances, id)
+	more, incomplete := f.findOnAll(ctx, instances, id)
 	found = append(found, more...)
 	switch {
 	case len(found) > 0:
 		return found, nil
 	case i < 0:
 		return nil, merry.Appendf(ErrNotFound, "instance at %s received it and has left; its memory went with it", entry)
-	case silent:
+	case incomplete:
 		return nil, merry.Appendf(ErrUnreachable, "the request may be known at %s", entry)
 	}
 	return nil, merry.Append(ErrNotFound, "it is older than what the instances keep")
 }
 
-// entryOf returns the address for callers of the instance that received the
-// request. The id is signed, so a made-up one can't cause questions to all.
-func (f *Fleet) entryOf(id string) (string, error) {
+// entryAddress returns the caller address of the instance that received the request. The id is
+// signed, so a forged one can't cause queries to all instances.
+func (f *Fleet) entryAddress(id string) (string, error) {
 	if g, err := f.opts.Codec.Parse(id); err == nil {
 		return g.Entry, nil
 	}
@@ -65,9 +65,9 @@
 	return "", merry.Append(ErrNotFound, "not an id of this deployment")
 }
 
-// movedOn reports whether other instances may have steps of the request too:
-// its caller went away and may have come back there.
-func movedOn(found []Found) bool {
+// mayHaveOtherRecords reports whether other instances may have records of the request too: its caller
+// disconnected and may have reconnected to another instance.
+func mayHaveOtherRecords(found []Found) bool {
 	return slices.ContainsFunc(found, func(f Found) bool {
 		return slices.ContainsFunc(f.Steps, func(s journal.Step) bool {
 			return s.What == journal.CallerGone || s.What == journal.TakenOver
@@ -75,24 +75,25 @@
 	})
 }
 
-// findAtAll asks several instances; silent says that one gave no answer.
-func (f *Fleet) findAtAll(ctx context.Context, instances []roster.Instance, id string) (found []Found, silent bool) {
+// findOnAll queries several instances; incomplete reports that at least one didn't respond.
+func (f *Fleet) findOnAll(ctx context.Context, instances []roster.Instance, id string) (found []Found, incomplete bool) {
 	var mu sync.Mutex
-	answered := askAll(ctx, instances, func(ctx context.Context, in roster.Instance) error {
-		some, err := f.findAt(ctx, in, id)
+	succeeded := queryAll(ctx, instances, func(ctx context.Context, in roster.Instance) error {
+		records, err := f.findOn(ctx, in, id)
 		mu.Lock()
 		defer mu.Unlock()
-		found = append(found, some...)
+		found = append(found, records...)
 		return err
 	})
-	return found, answered < len(instances)
+	return found, succeeded < len(instances)
 }
 
-func (f *Fleet) findAt(ctx context.Context, in roster.Instance, id string) ([]Found, error) {
+// findOn returns the records of the request on instance in.
+func (f *Fleet) findOn(ctx context.Context, in roster.Instance, id string) ([]Found, error) {
 	if in.ID == f.opts.Self {
-		return named(in.ID, f.opts.Journal.Find(id)), nil
+		return withInstance(in.ID, f.opts.Journal.Find(id)), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	res, err := f.opts.Peers.Client(in.PeerAddress).FindRequest(ctx, &peerv1.FindRequestRequest{Id: id})
 	if err != nil {
@@ -100,12 +101,12 @@
 	}
 	var records []journal.Record
 	for _, r := range res.GetRecords() {
-		records = append(records, recordOf(r))
+		records = append(records, recordFromProto(r))
 	}
-	return named(in.ID, records), nil
+	return withInstance(in.ID, records), nil
 }
 
-func named(instance string, records []journal.Record) []Found {
+func withInstance(instance string, records []journal.Record) []Found {
 	var found []Found
 	for _, r := range records {
 		found = append(found, Found{Instance: instance, Record: r})
@@ -113,7 +114,7 @@
 	return found
 }
 
-func recordOf(m *peerv1.RequestRecord) journal.Record {
+func recordFromProto(m *peerv1.RequestRecord) journal.Record {
 	r := journal.Record{
 		ID: m.GetId(), Route: m.GetRoute(), State: journal.State(m.GetState()), Server: m.GetServer(),
 		Subject:      journal.Subject{Workspace: m.GetWorkspace(), Model: m.GetModel(), Service: m.GetService()},
@@ -128,7 +129,7 @@
 	return r
 }
 
-func messageOf(r journal.Record) *peerv1.RequestRecord {
+func recordToProto(r journal.Record) *peerv1.RequestRecord {
 	m := &peerv1.RequestRecord{
 		Id: r.ID, Route: r.Route, Workspace: r.Workspace, Model: r.Model, Service: r.Service,
 		State: string(r.State), Server: r.Server, OutputTokens: r.OutputTokens, Dropped: int32(r.Dropped),
