--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -1,5 +1,5 @@
-// Package evidence weighs what was seen of some servers against what others answer
-// at the same time.
+// Package evidence compares the failure rate of some servers with that of other servers at the same
+// time, as a likelihood ratio.
 //
 // # Usage
 //
@@ -11,7 +11,7 @@
 
 import "math"
 
-// Share is a number of events among a number of answers.
+// Share is a number of events, such as failures, among a total number of answers.
 type Share struct{ Events, Number float64 }
 
 // Plus returns the sum of two shares.
@@ -20,36 +20,37 @@
 // Minus returns the difference of two shares.
 func (s Share) Minus(t Share) Share { return Share{s.Events - t.Events, s.Number - t.Number} }
 
-// Pair is what was seen of one kind of request, and what is usual for it.
+// Pair holds the observed share and the baseline share of one kind of request.
 type Pair struct{ Usual, Seen Share }
 
-// effects are the alternatives that are weighed against no change: which part of
-// what is usually good fails.
-var effects = []float64{0.03, 0.08, 0.2, 0.5}
+// effectSizes are the alternative hypotheses tested against no change: the fraction of the answers
+// that succeed in the baseline but fail here.
+var effectSizes = []float64{0.03, 0.08, 0.2, 0.5}
 
-// Ratio returns how much more likely what was seen is where a part of the usually
-// good answers fails than where none does: 1 where nothing speaks for either.
+// Ratio returns the likelihood ratio of the observations, averaged over the effect sizes: how much
+// more likely they are if some of the answers that succeed in the baseline fail than if none do. 1
+// favours neither.
 func Ratio(pairs ...Pair) float64 {
 	sum := 0.0
-	for _, effect := range effects {
-		log := 0.0
+	for _, effect := range effectSizes {
+		logRatio := 0.0
 		for _, p := range pairs {
-			log += p.log(effect)
+			logRatio += p.logRatio(effect)
 		}
-		sum += math.Exp(log)
+		sum += math.Exp(logRatio)
 	}
-	return sum / float64(len(effects))
+	return sum / float64(len(effectSizes))
 }
 
-// log returns the logarithm of the likelihood ratio for one effect. What is usual
-// is known from its samples alone; half an event and a standard deviation above
-// keep a small sample from accusing others.
-func (p Pair) log(effect float64) float64 {
+// logRatio returns the logarithm of the likelihood ratio for one effect size. The baseline rate is
+// estimated from its sample; half an event and one standard deviation are added, so that a small
+// baseline sample doesn't make others look faulty.
+func (p Pair) logRatio(effect float64) float64 {
 	if p.Seen.Number <= 0 || p.Usual.Number <= 0 {
 		return 0
 	}
-	usual := (p.Usual.Events + 0.5) / (p.Usual.Number + 1)
-	usual = min(0.95, usual+math.Sqrt(usual*(1-usual)/p.Usual.Number))
-	changed := usual + (1-usual)*effect
-	return p.Seen.Events*math.Log(changed/usual) + (p.Seen.Number-p.Seen.Events)*math.Log((1-changed)/(1-usual))
+	baseline := (p.Usual.Events + 0.5) / (p.Usual.Number + 1)
+	baseline = min(0.95, baseline+math.Sqrt(baseline*(1-baseline)/p.Usual.Number))
+	changed := baseline + (1-baseline)*effect
+	return p.Seen.Events*math.Log(changed/baseline) + (p.Seen.Number-p.Seen.Events)*math.Log((1-changed)/(1-baseline))
 }
