--- a/internal/errortext/errortext.go
+++ b/internal/errortext/errortext.go
@@ -1,6 +1,5 @@
-// Package errortext writes an error with its causes for people who operate the
-// system: in logs and on the command line. Answers to callers never hold it,
-// since causes name what a lower layer did.
+// Package errortext formats an error with its causes for operators, in logs and on the command line.
+// It is never used in responses to callers, since causes reveal internal details.
 //
 // # Usage
 //
@@ -13,13 +12,12 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxCauses bounds the text of an error that was wrapped again and again.
+// maxCauses limits the text of an error that was wrapped many times.
 const maxCauses = 8
 
-// Of returns the message of err followed by those of its causes, outermost
-// first. merry's Error gives the outermost alone, so that an operator read
-// that an instance could not start, and not that its address was taken. It is
-// empty for nil.
+// Of returns the message of err followed by those of its causes, outermost first, or the empty string
+// for nil. merry's Error returns only the outermost message, which says that an instance could not
+// start but not that its address was already in use.
 func Of(err error) string {
 	var parts []string
 	for ; err != nil && len(parts) < maxCauses; err = merry.Cause(err) {
