--- a/pkg/pollenspindle/builder.go
+++ b/pkg/pollenspindle/builder.go
@@ -5,20 +5,19 @@
 	"encoding/hex"
 )
 
-// New begins the configuration of a deployment, with default limits. What is
-// added later refers to what was added before by the values that the Add
-// methods return, so that a name which was never declared cannot be used.
+// New returns an empty configuration of a deployment, with default limits. The Add methods return
+// references that later calls take in place of names, so that an undeclared name cannot be used.
 func New(deployment string) *Config {
 	return &Config{Deployment: deployment, Limits: DefaultLimits}
 }
 
-// ZoneRef refers to a declared availability zone.
+// ZoneRef is a reference to a declared availability zone.
 type ZoneRef struct{ name string }
 
-// ModelRef refers to a declared model.
+// ModelRef is a reference to a declared model.
 type ModelRef struct{ name string }
 
-// AddZone declares an availability zone of a region.
+// AddZone declares an availability zone in a region.
 func (c *Config) AddZone(name, region string) ZoneRef {
 	c.Zones = append(c.Zones, Zone{Name: name, Region: region})
 	return ZoneRef{name}
@@ -41,19 +40,19 @@
 	return GenerationService{cfg: c, name: name}
 }
 
-// Queueing bounds the waiting for a model engine. Zero fields take defaults.
+// Queueing limits how long requests wait for a model engine. Zero fields take defaults.
 type Queueing struct {
-	// Seconds and PatientSeconds are the longest waits of the classes
+	// Seconds and PatientSeconds are the maximum waits of the classes
 	// interactive and patient, in seconds.
 	Seconds        int
 	PatientSeconds int
 	// TokenIntervalTargetMillis is the time between tokens above which an
-	// engine takes no further generation, in milliseconds.
+	// engine accepts no further generation, in milliseconds.
 	TokenIntervalTargetMillis int
 }
 
 // AddModel declares a model that engines of the service can run.
-// contextTokens is its largest prompt plus output, in tokens.
+// contextTokens is the maximum of prompt plus output, in tokens.
 func (s GenerationService) AddModel(name, version string, contextTokens int) ModelRef {
 	s.cfg.Models = append(s.cfg.Models, Model{
 		Name: name, Version: version, Service: s.name, ContextTokens: contextTokens,
@@ -61,20 +60,21 @@
 	return ModelRef{name}
 }
 
-// Engine says what a model engine can handle.
+// Engine describes the models and the capacity of a model engine.
 type Engine struct {
 	Models []ModelRef
-	// ColdLimit and WarmLimit are the requests it can handle at the same time.
+	// ColdLimit and WarmLimit are the maximum numbers of concurrent requests
+	// just after a start and when warm.
 	ColdLimit int
 	WarmLimit int
-	// MemoryTokens is its memory for running sequences, in tokens.
+	// MemoryTokens is the memory for running sequences, in tokens.
 	MemoryTokens int
-	// Fencing must be said: an engine that is wrongly taken to check fencing
-	// numbers may obey an order that was overtaken.
+	// Fencing is required: an engine that is wrongly assumed to check fencing
+	// tokens may execute an outdated command.
 	Fencing Fencing
 }
 
-// AddServer declares a model engine at address, host:port by IP number.
+// AddServer declares a model engine at address, an IP address and port.
 func (s GenerationService) AddServer(name string, zone ZoneRef, address string, e Engine) {
 	models := make([]string, 0, len(e.Models))
 	for _, model := range e.Models {
@@ -93,8 +93,8 @@
 	index int
 }
 
-// AddPlainService declares a plain HTTP service whose calls take at most
-// timeoutSeconds, in seconds; 0 takes the default.
+// AddPlainService declares a plain HTTP service. timeoutSeconds limits one
+// call, in seconds; 0 takes the default.
 func (c *Config) AddPlainService(name string, timeoutSeconds int) PlainService {
 	c.Services = append(c.Services, Service{
 		Name: name, Kind: ServicePlain, TimeoutSeconds: timeoutSeconds,
@@ -102,12 +102,12 @@
 	return PlainService{cfg: c, index: len(c.Services) - 1}
 }
 
-// Idempotent declares calls that may be repeated.
+// Idempotent declares a route whose calls may be retried.
 func (s PlainService) Idempotent(method, pathPrefix string) {
 	s.addRoute(Route{Method: method, PathPrefix: pathPrefix, Idempotent: true})
 }
 
-// NonIdempotent declares calls that run at most once.
+// NonIdempotent declares a route whose calls are executed at most once.
 func (s PlainService) NonIdempotent(method, pathPrefix string) {
 	s.addRoute(Route{Method: method, PathPrefix: pathPrefix})
 }
@@ -117,8 +117,9 @@
 	service.Routes = append(service.Routes, r)
 }
 
-// AddServer declares a server of the service at address, host:port by IP
-// number, with the requests it can handle at the same time, cold and warm.
+// AddServer declares a server of the service at address, an IP address and
+// port. coldLimit and warmLimit are the maximum numbers of concurrent requests
+// just after a start and when warm.
 func (s PlainService) AddServer(name string, zone ZoneRef, address string, coldLimit, warmLimit int) {
 	s.cfg.Servers = append(s.cfg.Servers, Server{
 		Name: name, Service: s.cfg.Services[s.index].Name, Zone: zone.name,
@@ -126,8 +127,8 @@
 	})
 }
 
-// AddWorkspace declares a workspace. A zero Weight takes [DefaultWeight], an
-// empty Class is interactive.
+// AddWorkspace declares a workspace. A zero Weight becomes [DefaultWeight], an
+// empty Class becomes [ClassInteractive].
 func (c *Config) AddWorkspace(w Workspace) {
 	if w.Weight == 0 {
 		w.Weight = DefaultWeight
@@ -138,8 +139,8 @@
 	c.Workspaces = append(c.Workspaces, w)
 }
 
-// Token returns what Workspace.TokenSHA256 holds for a bearer token, so that
-// the configuration never holds the token itself.
+// Token returns the hash of a bearer token for Workspace.TokenSHA256, so that
+// the configuration never contains the token itself.
 func Token(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
--- a/pkg/pollenspindle/defaults.go
+++ b/pkg/pollenspindle/defaults.go
@@ -1,6 +1,6 @@
 package pollenspindle
 
-// DefaultLimits is used for the fields of [Limits] that are zero.
+// DefaultLimits holds the defaults for fields of [Limits] that are zero.
 var DefaultLimits = Limits{
 	MaxBodyBytes:          1 << 20,
 	MaxOutputTokens:       32768,
@@ -12,16 +12,16 @@
 	DefaultTimeoutSeconds      = 30
 	DefaultQueueSeconds        = 20
 	DefaultPatientQueueSeconds = 600
-	// DefaultTokenIntervalTargetMillis is the time between tokens at which
-	// text appears about as fast as it is read.
+	// DefaultTokenIntervalTargetMillis is the time between tokens, in
+	// milliseconds, at which text appears about as fast as people read.
 	DefaultTokenIntervalTargetMillis = 42
 	DefaultWeight                    = 100
 )
 
-// WithDefaults returns c with its zero fields filled in. States left empty
-// become in service. c itself is not changed.
+// WithDefaults returns a copy of c with defaults for its zero fields. Empty
+// states become in service. c itself is not changed.
 func (c Config) WithDefaults() Config {
-	c = c.withValues()
+	c = c.withoutStateDefaults()
 	c.Zones = append([]Zone(nil), c.Zones...)
 	for i := range c.Zones {
 		if c.Zones[i].State == "" {
@@ -37,8 +37,8 @@
 	return c
 }
 
-// withValues fills in all defaults but the states.
-func (c Config) withValues() Config {
+// withoutStateDefaults returns a copy of c with all defaults except the states.
+func (c Config) withoutStateDefaults() Config {
 	c.Limits = c.Limits.withDefaults()
 	c.Services = append([]Service(nil), c.Services...)
 	for i := range c.Services {
@@ -47,12 +47,12 @@
 	return c
 }
 
-// KeepStates returns c in which each availability zone and backend server
-// without a state has the one it has in current.
+// KeepStates returns a copy of c in which each availability zone and backend
+// server without a state gets its state in current.
 //
-// The program that prints a configuration does not know what was taken out
-// since. Were its output to say inService, handing it over for another reason
-// would send work to a zone that operators have taken out.
+// The program that prints a configuration does not know which zones were
+// drained since. If it printed inService, applying its output for another
+// reason would send work to a zone that operators have drained.
 func (c Config) KeepStates(current Config) Config {
 	zones := make(map[string]ZoneState, len(current.Zones))
 	for _, zone := range current.Zones {
--- a/pkg/pollenspindle/doc.go
+++ b/pkg/pollenspindle/doc.go
@@ -1,23 +1,23 @@
-// Package pollenspindle is the operators' library: it describes a deployment
-// and prints its configuration.
+// Package pollenspindle is the operators' library for declaring a deployment
+// and printing its configuration.
 //
-// A deployment is built up with [New] and the Add methods. They return
-// references to what was declared, and what is declared later takes these in
-// place of names. [Config.Print] fills in defaults, checks everything and
-// prints canonical JSON. All faults are reported at once, each with the path of
-// its field.
+// A deployment is declared with [New] and the Add methods. These return
+// references to the declared objects, which later calls take in place of names.
+// [Config.Print] fills in defaults, validates the configuration and prints
+// canonical JSON. All faults are reported at once, each with the path of its
+// field.
 //
-// What a program prints says nothing about the state of availability zones and
-// backend servers unless the program sets it. Handing the output over therefore
-// never brings back what was taken out meanwhile.
+// The output contains no state of availability zones and backend servers unless
+// the program sets it. Applying the output therefore never restores a zone or
+// server that was drained in the meantime.
 //
-// Other languages print the same JSON; docs/config.schema.json is its JSON
-// Schema.
+// Programs in other languages can print the same JSON; its JSON Schema is
+// docs/config.schema.json.
 //
 // # Usage
 //
-// A small program builds a [Config] and prints it; the command line hands the
-// output over:
+// A small program builds a [Config] and prints it, and the command line applies
+// the output:
 //
 //	cfg := pollenspindle.New("inyange")
 //	zone := cfg.AddZone("kigali-a", "kigali")
--- a/pkg/pollenspindle/example_test.go
+++ b/pkg/pollenspindle/example_test.go
@@ -7,8 +7,8 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// A deployment with one plain service. What is added later refers to what was
-// added before, so a zone that was never declared cannot be named.
+// A deployment with one plain service. The server takes a reference to its
+// zone, so that an undeclared zone cannot be used.
 func ExampleNew() {
 	cfg := pollenspindle.New("inyange")
 	zone := cfg.AddZone("kigali-a", "kigali")
@@ -83,7 +83,8 @@
 	// }
 }
 
-// Model engines say what they can handle and whether they check fencing numbers.
+// A model engine declares its models, its capacity and whether it checks
+// fencing tokens.
 func ExampleGenerationService_AddServer() {
 	cfg := pollenspindle.New("mavuno")
 	zone := cfg.AddZone("nairobi-a", "nairobi")
@@ -102,7 +103,7 @@
 	// Output: <nil>
 }
 
-// Every fault is reported at once, with the path of its field.
+// All faults are reported at once, each with the path of its field.
 func ExampleConfig_Validate() {
 	cfg := pollenspindle.New("mavuno")
 	cfg.AddZone("nairobi-a", "nairobi")
@@ -118,7 +119,7 @@
 	// configuration: workspaces: must name at least one workspace
 }
 
-// Configurations printed by other languages are read as strictly.
+// Configurations that were not printed by this package are checked as strictly.
 func ExampleParse() {
 	_, err := pollenspindle.Parse("mine.json", []byte(`{
   "deployment": "mavuno",
--- a/pkg/pollenspindle/print.go
+++ b/pkg/pollenspindle/print.go
@@ -9,28 +9,28 @@
 	"pollenspindle.example/pollenspindle/internal/strictjson"
 )
 
-// ErrInvalid is what every [InvalidError] is.
+// ErrInvalid matches every [InvalidError] in errors.Is.
 var ErrInvalid = merry.Sentinel("configuration is not valid")
 
-// Fault is one thing wrong with a configuration.
+// Fault is one error in a configuration.
 type Fault struct {
-	// Path names the field, as in servers[3].zone.
+	// Path is the path of the field, for example servers[3].zone.
 	Path    string `json:"path"`
 	Message string `json:"message"`
-	// Line and Column count from 1 and are 0 when the configuration was not
-	// read from text.
+	// Line and Column start at 1 and are 0 if the configuration was not parsed
+	// from text.
 	Line   int `json:"line,omitempty"`
 	Column int `json:"column,omitempty"`
 }
 
-// InvalidError lists every fault of a configuration. It is an [ErrInvalid].
+// InvalidError lists all faults of a configuration. It wraps [ErrInvalid].
 type InvalidError struct {
-	// Name is the name given to [Parse].
+	// Name is the name passed to [Parse].
 	Name   string
 	Faults []Fault
 }
 
-// Error puts each fault on a line of its own.
+// Error returns the faults, one per line.
 func (e *InvalidError) Error() string {
 	name := e.Name
 	if name == "" {
@@ -45,20 +45,20 @@
 	return strictjson.Format(name, faults)
 }
 
-// Unwrap makes errors.Is(err, ErrInvalid) hold.
+// Unwrap returns [ErrInvalid].
 func (e *InvalidError) Unwrap() error { return ErrInvalid }
 
-// Parse reads a configuration from JSON, with or without comments, and checks
-// it. Unknown and doubled names are faults. The returned error is an
-// [InvalidError] with every fault; name is put before each. Defaults are
-// filled in, but states left empty stay so, for [Config.KeepStates].
+// Parse parses a configuration from JSON, with or without comments, and
+// validates it. Unknown and duplicate names are faults. The returned error is
+// an [InvalidError] with all faults, each prefixed with name. Defaults are
+// filled in, but empty states stay empty, for [Config.KeepStates].
 func Parse(name string, data []byte) (Config, error) {
 	var c Config
 	doc := strictjson.Decode(data, &c)
 	if doc.WellFormed() {
 		for _, f := range c.faults() {
-			// The value of a field of the wrong type is empty and would look
-			// missing as well.
+			// A field of the wrong type decodes to its zero value and would
+			// also be reported as missing.
 			if !doc.Faulty(f.Path) {
 				doc.Add(f.Path, f.Message)
 			}
@@ -66,7 +66,7 @@
 	}
 	found := doc.Faults()
 	if len(found) == 0 {
-		return c.withValues(), nil
+		return c.withoutStateDefaults(), nil
 	}
 	faults := make([]Fault, 0, len(found))
 	for _, f := range found {
@@ -75,9 +75,9 @@
 	return Config{}, &InvalidError{Name: name, Faults: faults}
 }
 
-// Print checks c and writes it as canonical JSON: defaults filled in, fields
+// Print validates c and writes it as canonical JSON: defaults filled in, fields
 // in a fixed order, indented by two spaces. Equal configurations print equal
-// bytes. States left empty are left out.
+// bytes. Empty states are omitted.
 func (c Config) Print(w io.Writer) error {
 	if err := c.Validate(); err != nil {
 		return err
@@ -85,7 +85,7 @@
 	enc := json.NewEncoder(w)
 	enc.SetEscapeHTML(false)
 	enc.SetIndent("", "  ")
-	if err := enc.Encode(c.withValues()); err != nil {
+	if err := enc.Encode(c.withoutStateDefaults()); err != nil {
 		return merry.Prepend(err, "print configuration")
 	}
 	return nil
--- a/pkg/pollenspindle/schema.go
+++ b/pkg/pollenspindle/schema.go
@@ -4,9 +4,9 @@
 	"pollenspindle.example/pollenspindle/internal/fieldschema"
 )
 
-// Schema returns the JSON Schema of a configuration, indented, so that other
-// languages can print one. It holds what concerns a single field; references
-// between objects are checked by [Parse] only.
+// Schema returns the JSON Schema of a configuration, indented, for programs in
+// other languages that print one. It covers the constraints of single fields;
+// references between objects are checked by [Parse] only.
 func Schema() ([]byte, error) {
 	fields := map[string]fieldschema.Field{}
 	for _, part := range []map[string]fieldschema.Field{
@@ -82,7 +82,7 @@
 	name := namePattern.String()
 	return map[string]fieldschema.Field{
 		"Workspace.name":        {Required: true, Pattern: name, Description: "Name of the workspace. No unit."},
-		"Workspace.tokenSha256": {Required: true, Filled: true, Pattern: sumPattern.String(), Description: "SHA-256 of each bearer token, 64 lower-case hex digits."},
+		"Workspace.tokenSha256": {Required: true, Filled: true, Pattern: sha256Pattern.String(), Description: "SHA-256 of each bearer token, 64 lower-case hex digits."},
 		"Workspace.weight":      {Required: true, Range: fieldschema.Between(1, MaxWeight), Description: "Share of tokens under contention, in shares."},
 		"Workspace.class":       {Required: true, Enum: []string{string(ClassInteractive), string(ClassPatient)}, Description: "Default class of work. No unit."},
 		"Workspace.maxRunning":  {Range: fieldschema.Between(0, maxConcurrentRequests), Description: "Requests of the workspace running on one backend server, in requests; 0 means no bound."},
--- a/pkg/pollenspindle/schema_test.go
+++ b/pkg/pollenspindle/schema_test.go
@@ -12,7 +12,8 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// The published schema is docs/config.schema.json; go test -update writes it.
+// Fails if docs/config.schema.json differs from the generated schema; go test
+// -update writes the file.
 func TestPublishedSchemaIsCurrent(t *testing.T) {
 	text, err := pollenspindle.Schema()
 	require.NoError(t, err)
@@ -20,7 +21,7 @@
 	golden.Assert(t, "config.schema", text)
 }
 
-func compiled(t *testing.T) *jsonschema.Schema {
+func compileSchema(t *testing.T) *jsonschema.Schema {
 	t.Helper()
 	text, err := pollenspindle.Schema()
 	require.NoError(t, err)
@@ -33,24 +34,24 @@
 	return schema
 }
 
-// What the schema refuses, Parse refuses too, and what Print writes passes
-// both: otherwise another language could print what is not taken.
+// The schema and Parse must accept and reject the same documents, or a program
+// in another language could print a valid document that is not accepted.
 func TestSchemaAgreesWithParse(t *testing.T) {
-	schema := compiled(t)
+	schema := compileSchema(t)
 	tests := map[string]struct {
 		change func(map[string]any)
 		valid  bool
 	}{
-		"as printed":      {func(map[string]any) {}, true},
-		"without limits":  {func(c map[string]any) { delete(c, "limits") }, true},
-		"no zones":        {func(c map[string]any) { c["zones"] = []any{} }, false},
-		"unknown name":    {func(c map[string]any) { c["zone"] = 1 }, false},
-		"weight too high": {func(c map[string]any) { first(c, "workspaces")["weight"] = 1001 }, false},
-		"token unhashed":  {func(c map[string]any) { first(c, "workspaces")["tokenSha256"] = []any{"t"} }, false},
-		"odd state":       {func(c map[string]any) { first(c, "zones")["state"] = "out" }, false},
-		"taken out":       {func(c map[string]any) { first(c, "zones")["state"] = "takenOut" }, true},
-		"number as text":  {func(c map[string]any) { first(c, "servers")["coldLimit"] = "2" }, false},
-		"no cold limit":   {func(c map[string]any) { delete(first(c, "servers"), "coldLimit") }, false},
+		"as printed":       {func(map[string]any) {}, true},
+		"without limits":   {func(c map[string]any) { delete(c, "limits") }, true},
+		"no zones":         {func(c map[string]any) { c["zones"] = []any{} }, false},
+		"unknown name":     {func(c map[string]any) { c["zone"] = 1 }, false},
+		"weight too high":  {func(c map[string]any) { first(c, "workspaces")["weight"] = 1001 }, false},
+		"token not hashed": {func(c map[string]any) { first(c, "workspaces")["tokenSha256"] = []any{"t"} }, false},
+		"unknown state":    {func(c map[string]any) { first(c, "zones")["state"] = "out" }, false},
+		"drained zone":     {func(c map[string]any) { first(c, "zones")["state"] = "takenOut" }, true},
+		"number as text":   {func(c map[string]any) { first(c, "servers")["coldLimit"] = "2" }, false},
+		"no cold limit":    {func(c map[string]any) { delete(first(c, "servers"), "coldLimit") }, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/pollenspindle/types.go
+++ b/pkg/pollenspindle/types.go
@@ -1,7 +1,7 @@
 package pollenspindle
 
-// Config is the whole declared configuration of one deployment. The zero
-// value is not valid; build one with [New] or fill it and call [Config.Validate].
+// Config is the declared configuration of one deployment. The zero value is not
+// valid; create one with [New], or fill its fields and call [Config.Validate].
 type Config struct {
 	Deployment string      `json:"deployment"`
 	Limits     Limits      `json:"limits"`
@@ -12,19 +12,19 @@
 	Workspaces []Workspace `json:"workspaces"`
 }
 
-// Limits bounds what one caller may send. Zero fields take the defaults of
+// Limits limits the requests of a caller. Zero fields take the defaults of
 // [DefaultLimits].
 type Limits struct {
-	// MaxBodyBytes is the largest request body, in bytes.
+	// MaxBodyBytes is the maximum size of a request body, in bytes.
 	MaxBodyBytes int `json:"maxBodyBytes,omitempty"`
-	// MaxOutputTokens is the largest max_tokens a caller may ask for.
+	// MaxOutputTokens is the maximum max_tokens of a request, in tokens.
 	MaxOutputTokens int `json:"maxOutputTokens,omitempty"`
-	// ClaimRetentionSeconds says how long the stored answer of a
+	// ClaimRetentionSeconds is the time for which the stored response of a
 	// non-idempotent request is kept, in seconds.
 	ClaimRetentionSeconds int `json:"claimRetentionSeconds,omitempty"`
 }
 
-// ZoneState says whether an availability zone may receive new work.
+// ZoneState tells whether an availability zone may receive new work.
 type ZoneState string
 
 // The states of an availability zone.
@@ -37,12 +37,12 @@
 type Zone struct {
 	Name   string `json:"name"`
 	Region string `json:"region"`
-	// State may be left empty in what operators hand over: the zone keeps the
-	// state it is in, or is in service when it is new. See [Config.KeepStates].
+	// State may be empty in a configuration that is applied: an existing zone
+	// keeps its state and a new one is in service. See [Config.KeepStates].
 	State ZoneState `json:"state,omitempty"`
 }
 
-// ServiceKind tells model engines from plain HTTP services.
+// ServiceKind distinguishes model engines from plain HTTP services.
 type ServiceKind string
 
 // The kinds of service.
@@ -55,22 +55,23 @@
 type Service struct {
 	Name string      `json:"name"`
 	Kind ServiceKind `json:"kind"`
-	// Routes applies to plain services only. The longest matching prefix
-	// wins; a request that matches none is refused.
+	// Routes applies to plain services only. The route with the longest matching
+	// prefix is used; a request that matches none is rejected.
 	Routes []Route `json:"routes,omitempty"`
-	// TimeoutSeconds bounds one call to a plain service, in seconds.
+	// TimeoutSeconds limits one call to a plain service, in seconds.
 	TimeoutSeconds int `json:"timeoutSeconds,omitempty"`
-	// QueueSeconds is the longest a request may wait for a backend server
-	// before it is refused, in seconds. It applies to class interactive.
+	// QueueSeconds is the maximum time that a request of class interactive waits
+	// for a backend server before it is rejected, in seconds.
 	QueueSeconds int `json:"queueSeconds,omitempty"`
-	// PatientQueueSeconds is the same for class patient.
+	// PatientQueueSeconds is the same for class patient, in seconds.
 	PatientQueueSeconds int `json:"patientQueueSeconds,omitempty"`
 	// TokenIntervalTargetMillis is the time between tokens above which a
-	// backend server takes no further generation, in milliseconds.
+	// backend server accepts no further generation, in milliseconds.
 	TokenIntervalTargetMillis int `json:"tokenIntervalTargetMillis,omitempty"`
 }
 
-// Route declares which calls of a plain service may be repeated.
+// Route declares whether calls of a plain service with this method and path
+// prefix may be retried.
 type Route struct {
 	Method     string `json:"method"`
 	PathPrefix string `json:"pathPrefix"`
@@ -83,11 +84,11 @@
 	Version string `json:"version"`
 	// Service is the generation service whose backend servers run it.
 	Service string `json:"service"`
-	// ContextTokens is the largest prompt plus output, in tokens.
+	// ContextTokens is the maximum of prompt plus output, in tokens.
 	ContextTokens int `json:"contextTokens"`
 }
 
-// ServerState says whether a backend server may receive new work.
+// ServerState tells whether a backend server may receive new work.
 type ServerState string
 
 // The states of a backend server.
@@ -96,10 +97,10 @@
 	ServerDraining  ServerState = "draining"
 )
 
-// Fencing says what a backend server does with an old fencing number.
+// Fencing tells whether a backend server checks fencing tokens.
 type Fencing string
 
-// The ways in which engines treat fencing numbers.
+// The values of [Fencing].
 const (
 	FencingChecked Fencing = "checked"
 	FencingIgnored Fencing = "ignored"
@@ -110,25 +111,28 @@
 	Name    string `json:"name"`
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
-	// Address is host:port, by IP number.
+	// Address is an IP address and port, host:port.
 	Address string `json:"address"`
-	// State may be left empty as that of a [Zone] may.
+	// State may be empty, like that of a [Zone].
 	State ServerState `json:"state,omitempty"`
-	// Models names the models that an engine runs. Empty for plain services.
+	// Models are the names of the models that an engine runs. Empty for plain
+	// services.
 	Models []string `json:"models,omitempty"`
-	// ColdLimit is the number of requests that the backend server can handle at
-	// the same time just after its start.
+	// ColdLimit is the maximum number of concurrent requests just after a start
+	// of the backend server.
 	ColdLimit int `json:"coldLimit"`
-	// WarmLimit is the number of requests that it can handle at the same time
-	// when warm.
+	// WarmLimit is the maximum number of concurrent requests when the backend
+	// server is warm.
 	WarmLimit int `json:"warmLimit"`
-	// MemoryTokens is the engine's memory for running sequences, in tokens.
+	// MemoryTokens is the engine's memory for running sequences, in tokens. 0 for
+	// plain services.
 	MemoryTokens int `json:"memoryTokens,omitempty"`
-	// Fencing says whether the engine refuses orders with an old number.
+	// Fencing tells whether the engine rejects commands with an old fencing token.
+	// Empty for plain services.
 	Fencing Fencing `json:"fencing,omitempty"`
 }
 
-// Class is a workspace's default class of work.
+// Class is a class of work. Patient work may wait longer than interactive work.
 type Class string
 
 // The classes of work.
@@ -143,10 +147,11 @@
 	// TokenSHA256 holds the lower-case hex SHA-256 of each bearer token.
 	TokenSHA256 []string `json:"tokenSha256"`
 	// Weight is the workspace's share of tokens under contention, 1 to 1000.
-	Weight int   `json:"weight"`
-	Class  Class `json:"class"`
-	// MaxRunning and MaxQueued bound the requests of the workspace on one
-	// backend server. Zero means no bound of its own.
+	Weight int `json:"weight"`
+	// Class is the default class of the workspace's requests.
+	Class Class `json:"class"`
+	// MaxRunning and MaxQueued limit the requests of the workspace that run or are
+	// queued at one backend server. 0 means no limit for the workspace.
 	MaxRunning int `json:"maxRunning,omitempty"`
 	MaxQueued  int `json:"maxQueued,omitempty"`
 }
--- a/pkg/pollenspindle/validate.go
+++ b/pkg/pollenspindle/validate.go
@@ -10,8 +10,8 @@
 	"pollenspindle.example/pollenspindle/internal/strictjson"
 )
 
-// Ranges of the configuration's numbers. The upper bounds are far above the
-// largest planned deployment; they catch a slipped digit or a wrong unit.
+// Maximum values in a configuration. They are far above the largest planned
+// deployment and catch an extra digit or a wrong unit.
 const (
 	MaxWeight              = 1000
 	maxBodyBytesLimit      = 16 << 20
@@ -26,13 +26,12 @@
 )
 
 var (
-	namePattern  = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
-	sumPattern   = regexp.MustCompile(`^[0-9a-f]{64}$`)
-	routeMethods = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
+	namePattern   = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+	sha256Pattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	routeMethods  = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 )
 
-// Validate checks c and returns every fault at once as an [InvalidError], or
-// nil.
+// Validate checks c. It returns nil or an [InvalidError] with all faults.
 func (c Config) Validate() error {
 	if faults := c.faults(); len(faults) > 0 {
 		return &InvalidError{Faults: faults}
@@ -46,8 +45,8 @@
 		services: map[string]Service{},
 		models:   map[string]Model{},
 	}
-	v.name("deployment", c.Deployment)
-	v.limits(c.Limits)
+	v.checkName("deployment", c.Deployment)
+	v.checkCallerLimits(c.Limits)
 	v.checkZones(c.Zones)
 	v.checkServices(c.Services)
 	v.checkModels(c.Models)
@@ -56,15 +55,16 @@
 	return v.faults
 }
 
-// validation collects faults and what was declared so far.
+// validation collects faults and the objects declared so far.
 type validation struct {
-	faults   []Fault
+	faults []Fault
+	// zones maps the name of each zone to the path of its declaration.
 	zones    map[string]string
 	services map[string]Service
 	models   map[string]Model
 }
 
-// add keeps as many faults as an input read from text may have.
+// add records a fault, up to the same maximum as for faults in text.
 func (v *validation) add(path, format string, args ...any) {
 	if len(v.faults) == strictjson.MaxFaults {
 		return
@@ -72,7 +72,7 @@
 	v.faults = append(v.faults, Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-func (v *validation) name(path, value string) {
+func (v *validation) checkName(path, value string) {
 	switch {
 	case value == "":
 		v.add(path, "is missing")
@@ -81,8 +81,8 @@
 	}
 }
 
-// unique records value as taken by path.
-func (v *validation) unique(taken map[string]string, path, value string) {
+// checkUnique records that path uses value, and adds a fault if another path already does.
+func (v *validation) checkUnique(taken map[string]string, path, value string) {
 	if value == "" {
 		return
 	}
@@ -93,22 +93,22 @@
 	taken[value] = path
 }
 
-func (v *validation) between(path string, value, least, most int, unit string) {
-	if value < least || value > most {
-		v.add(path, "must be from %d to %d %s", least, most, unit)
+func (v *validation) checkRange(path string, value, minimum, maximum int, unit string) {
+	if value < minimum || value > maximum {
+		v.add(path, "must be from %d to %d %s", minimum, maximum, unit)
 	}
 }
 
-func (v *validation) oneOf(path, value string, allowed ...string) {
+func (v *validation) checkOneOf(path, value string, allowed ...string) {
 	if !slices.Contains(allowed, value) {
 		v.add(path, "must be one of %s", strings.Join(allowed, ", "))
 	}
 }
 
-func (v *validation) limits(l Limits) {
-	v.between("limits.maxBodyBytes", l.MaxBodyBytes, 0, maxBodyBytesLimit, "bytes")
-	v.between("limits.maxOutputTokens", l.MaxOutputTokens, 0, maxOutputTokensLimit, "tokens")
-	v.between("limits.claimRetentionSeconds", l.ClaimRetentionSeconds, 0, maxRetentionSeconds, "seconds")
+func (v *validation) checkCallerLimits(l Limits) {
+	v.checkRange("limits.maxBodyBytes", l.MaxBodyBytes, 0, maxBodyBytesLimit, "bytes")
+	v.checkRange("limits.maxOutputTokens", l.MaxOutputTokens, 0, maxOutputTokensLimit, "tokens")
+	v.checkRange("limits.claimRetentionSeconds", l.ClaimRetentionSeconds, 0, maxRetentionSeconds, "seconds")
 }
 
 func (v *validation) checkZones(zones []Zone) {
@@ -117,11 +117,11 @@
 	}
 	for i, zone := range zones {
 		path := fmt.Sprintf("zones[%d]", i)
-		v.name(path+".name", zone.Name)
-		v.unique(v.zones, path+".name", zone.Name)
-		v.name(path+".region", zone.Region)
+		v.checkName(path+".name", zone.Name)
+		v.checkUnique(v.zones, path+".name", zone.Name)
+		v.checkName(path+".region", zone.Region)
 		if zone.State != "" {
-			v.oneOf(path+".state", string(zone.State), string(ZoneInService), string(ZoneTakenOut))
+			v.checkOneOf(path+".state", string(zone.State), string(ZoneInService), string(ZoneTakenOut))
 		}
 	}
 }
@@ -130,10 +130,10 @@
 	taken := map[string]string{}
 	for i, model := range models {
 		path := fmt.Sprintf("models[%d]", i)
-		v.name(path+".name", model.Name)
-		v.unique(taken, path+".name", model.Name)
-		v.name(path+".version", model.Version)
-		v.between(path+".contextTokens", model.ContextTokens, 1, maxContextTokens, "tokens")
+		v.checkName(path+".name", model.Name)
+		v.checkUnique(taken, path+".name", model.Name)
+		v.checkName(path+".version", model.Version)
+		v.checkRange(path+".contextTokens", model.ContextTokens, 1, maxContextTokens, "tokens")
 		v.models[model.Name] = model
 		service, ok := v.services[model.Service]
 		switch {
@@ -152,29 +152,29 @@
 	names, sums := map[string]string{}, map[string]string{}
 	for i, w := range workspaces {
 		path := fmt.Sprintf("workspaces[%d]", i)
-		v.name(path+".name", w.Name)
-		v.unique(names, path+".name", w.Name)
-		v.tokens(sums, path+".tokenSha256", w.TokenSHA256)
-		v.between(path+".weight", w.Weight, 1, MaxWeight, "shares")
-		v.oneOf(path+".class", string(w.Class), string(ClassInteractive), string(ClassPatient))
-		v.between(path+".maxRunning", w.MaxRunning, 0, maxConcurrentRequests, "requests")
-		v.between(path+".maxQueued", w.MaxQueued, 0, maxConcurrentRequests, "requests")
+		v.checkName(path+".name", w.Name)
+		v.checkUnique(names, path+".name", w.Name)
+		v.checkTokens(sums, path+".tokenSha256", w.TokenSHA256)
+		v.checkRange(path+".weight", w.Weight, 1, MaxWeight, "shares")
+		v.checkOneOf(path+".class", string(w.Class), string(ClassInteractive), string(ClassPatient))
+		v.checkRange(path+".maxRunning", w.MaxRunning, 0, maxConcurrentRequests, "requests")
+		v.checkRange(path+".maxQueued", w.MaxQueued, 0, maxConcurrentRequests, "requests")
 	}
 }
 
-// tokens checks that each token belongs to one workspace: otherwise a caller
-// could be shown the generations of another.
-func (v *validation) tokens(taken map[string]string, path string, sums []string) {
+// checkTokens checks that each token belongs to only one workspace, or a caller could
+// read the generations of another workspace.
+func (v *validation) checkTokens(taken map[string]string, path string, sums []string) {
 	if len(sums) == 0 {
 		v.add(path, "must hold at least one SHA-256")
 	}
 	for i, sum := range sums {
 		at := fmt.Sprintf("%s[%d]", path, i)
-		if !sumPattern.MatchString(sum) {
+		if !sha256Pattern.MatchString(sum) {
 			v.add(at, "must be a SHA-256 in 64 lower-case hex digits")
 			continue
 		}
-		v.unique(taken, at, sum)
+		v.checkUnique(taken, at, sum)
 	}
 }
 
--- a/pkg/pollenspindle/validate_servers.go
+++ b/pkg/pollenspindle/validate_servers.go
@@ -12,13 +12,13 @@
 	taken := map[string]string{}
 	for i, s := range services {
 		path := fmt.Sprintf("services[%d]", i)
-		v.name(path+".name", s.Name)
-		v.unique(taken, path+".name", s.Name)
-		v.oneOf(path+".kind", string(s.Kind), string(ServiceGeneration), string(ServicePlain))
-		v.between(path+".timeoutSeconds", s.TimeoutSeconds, 0, maxTimeoutSeconds, "seconds")
-		v.between(path+".queueSeconds", s.QueueSeconds, 0, maxQueueSeconds, "seconds")
-		v.between(path+".patientQueueSeconds", s.PatientQueueSeconds, 0, maxQueueSeconds, "seconds")
-		v.between(path+".tokenIntervalTargetMillis", s.TokenIntervalTargetMillis, 0, maxTokenIntervalMillis, "milliseconds")
+		v.checkName(path+".name", s.Name)
+		v.checkUnique(taken, path+".name", s.Name)
+		v.checkOneOf(path+".kind", string(s.Kind), string(ServiceGeneration), string(ServicePlain))
+		v.checkRange(path+".timeoutSeconds", s.TimeoutSeconds, 0, maxTimeoutSeconds, "seconds")
+		v.checkRange(path+".queueSeconds", s.QueueSeconds, 0, maxQueueSeconds, "seconds")
+		v.checkRange(path+".patientQueueSeconds", s.PatientQueueSeconds, 0, maxQueueSeconds, "seconds")
+		v.checkRange(path+".tokenIntervalTargetMillis", s.TokenIntervalTargetMillis, 0, maxTokenIntervalMillis, "milliseconds")
 		v.checkRoutes(path+".routes", s)
 		v.services[s.Name] = s
 	}
@@ -35,12 +35,12 @@
 	taken := map[string]string{}
 	for i, route := range s.Routes {
 		at := fmt.Sprintf("%s[%d]", path, i)
-		v.oneOf(at+".method", route.Method, routeMethods...)
+		v.checkOneOf(at+".method", route.Method, routeMethods...)
 		if !strings.HasPrefix(route.PathPrefix, "/") || strings.ContainsAny(route.PathPrefix, "?#% ") {
 			v.add(at+".pathPrefix", "must begin with / and hold no query, escape or space")
 		}
-		// Two routes alike would leave open whether the call may be repeated.
-		v.unique(taken, at+".pathPrefix", route.Method+" "+route.PathPrefix)
+		// With duplicate routes it would be ambiguous whether the call may be retried.
+		v.checkUnique(taken, at+".pathPrefix", route.Method+" "+route.PathPrefix)
 	}
 }
 
@@ -51,35 +51,36 @@
 	names, addresses := map[string]string{}, map[string]string{}
 	for i, s := range servers {
 		path := fmt.Sprintf("servers[%d]", i)
-		v.name(path+".name", s.Name)
-		v.unique(names, path+".name", s.Name)
+		v.checkName(path+".name", s.Name)
+		v.checkUnique(names, path+".name", s.Name)
 		if _, ok := v.zones[s.Zone]; !ok {
 			v.add(path+".zone", "%q is not a declared availability zone", s.Zone)
 		}
 		if !isAddress(s.Address) {
 			v.add(path+".address", "must be host:port with an IP number and a port from 1 to 65535")
 		}
-		v.unique(addresses, path+".address", s.Address)
+		v.checkUnique(addresses, path+".address", s.Address)
 		if s.State != "" {
-			v.oneOf(path+".state", string(s.State), string(ServerInService), string(ServerDraining))
+			v.checkOneOf(path+".state", string(s.State), string(ServerInService), string(ServerDraining))
 		}
 		v.checkLimits(path, s)
-		v.checkRole(path, s)
+		v.checkKind(path, s)
 	}
 }
 
-// checkLimits checks what the backend server can handle. A cold limit above the
-// warm one is a swap of the two, which would overrun each cold start.
+// checkLimits checks the capacity of a backend server. A cold limit above the
+// warm limit means that the two are swapped, which would overload the backend
+// server after each start.
 func (v *validation) checkLimits(path string, s Server) {
-	v.between(path+".coldLimit", s.ColdLimit, 1, maxConcurrentRequests, "requests")
-	v.between(path+".warmLimit", s.WarmLimit, 1, maxConcurrentRequests, "requests")
+	v.checkRange(path+".coldLimit", s.ColdLimit, 1, maxConcurrentRequests, "requests")
+	v.checkRange(path+".warmLimit", s.WarmLimit, 1, maxConcurrentRequests, "requests")
 	if s.ColdLimit > s.WarmLimit {
 		v.add(path+".coldLimit", "must not be above warmLimit (%d)", s.WarmLimit)
 	}
 }
 
-// checkRole checks the fields that only one kind of service has.
-func (v *validation) checkRole(path string, s Server) {
+// checkKind checks the fields that only one kind of service has.
+func (v *validation) checkKind(path string, s Server) {
 	service, ok := v.services[s.Service]
 	switch {
 	case !ok:
@@ -92,15 +93,15 @@
 }
 
 func (v *validation) checkEngine(path string, s Server) {
-	v.between(path+".memoryTokens", s.MemoryTokens, 1, maxMemoryTokens, "tokens")
-	v.oneOf(path+".fencing", string(s.Fencing), string(FencingChecked), string(FencingIgnored))
+	v.checkRange(path+".memoryTokens", s.MemoryTokens, 1, maxMemoryTokens, "tokens")
+	v.checkOneOf(path+".fencing", string(s.Fencing), string(FencingChecked), string(FencingIgnored))
 	if len(s.Models) == 0 {
 		v.add(path+".models", "must name at least one model")
 	}
 	taken := map[string]string{}
 	for i, name := range s.Models {
 		at := fmt.Sprintf("%s.models[%d]", path, i)
-		v.unique(taken, at, name)
+		v.checkUnique(taken, at, name)
 		model, ok := v.models[name]
 		switch {
 		case !ok:
--- a/pkg/pollenspindle/validate_test.go
+++ b/pkg/pollenspindle/validate_test.go
@@ -10,7 +10,7 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// valid returns a small configuration without faults.
+// valid returns a small valid configuration.
 func valid() *pollenspindle.Config {
 	cfg := pollenspindle.New("inyange")
 	zone := cfg.AddZone("kigali-a", "kigali")
@@ -56,7 +56,7 @@
 				`servers[1].service: "z" is not a declared service`,
 			},
 		},
-		"names and addresses taken twice": {
+		"duplicate names and addresses": {
 			func(c *pollenspindle.Config) {
 				c.Zones = append(c.Zones, c.Zones[0])
 				c.Servers[1].Address = c.Servers[0].Address
@@ -75,7 +75,7 @@
 			[]string{`workspaces[1].tokenSha256[0]: "` + pollenspindle.Token("secret") +
 				`" is taken by workspaces[0].tokenSha256[0]`},
 		},
-		"a call declared both ways": {
+		"route declared as idempotent and not": {
 			func(c *pollenspindle.Config) {
 				c.Services[1].Routes[1] = pollenspindle.Route{Method: "GET", PathPrefix: "/rosters"}
 			},
@@ -110,7 +110,7 @@
 				`servers[0].models[0]: "flight-briefing" belongs to service "club-desk"`,
 			},
 		},
-		"token in place of its hash": {
+		"token instead of its hash": {
 			func(c *pollenspindle.Config) {
 				c.Workspaces[0].TokenSHA256[0], c.Workspaces[0].Weight = "secret", 1001
 			},
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestParseReportsAllFaultsWithTheirPlace(t *testing.T) {
+func TestParseReportsAllFaultsWithPosition(t *testing.T) {
 	text := `{
   // A comment.
   "deployment": "inyange",
@@ -158,9 +158,9 @@
 cfg.jsonc:10:17: workspaces: must name at least one workspace`)
 }
 
-// Inputs that are cheap to send must not be dear to refuse: the listener that
-// reads them belongs to a process which carries streams.
-func TestParseBoundsWhatItReads(t *testing.T) {
+// Rejecting an oversized input must be cheap: the process that parses it also
+// serves streams.
+func TestParseLimitsInput(t *testing.T) {
 	tests := map[string]struct {
 		text   string
 		faults int
@@ -183,10 +183,10 @@
 	}
 }
 
-// An operator takes a zone out; later a colleague hands over the printed
-// configuration again to add a workspace. The program knows nothing of the
-// zone's state, so what it prints must not bring the zone back.
-func TestHandingOverAgainKeepsZonesTakenOut(t *testing.T) {
+// An operator drains a zone, then the printed configuration is applied again.
+// The program that printed it doesn't know the state of the zone, so its output
+// must not restore the zone.
+func TestApplyingAgainKeepsDrainedZones(t *testing.T) {
 	current := valid().WithDefaults()
 	current.Zones[0].State = pollenspindle.ZoneTakenOut
 	current.Servers[1].State = pollenspindle.ServerDraining
