--- a/pkg/iostreams/iostreams.go
+++ b/pkg/iostreams/iostreams.go
@@ -1,5 +1,5 @@
-// Package iostreams holds the standard streams of a command, so that tests put
-// buffers in their place. Data goes to Out; talk, progress and errors to Err.
+// Package iostreams holds the standard streams of a command, so that tests can replace them by buffers.
+// Data goes to Out; messages, progress and errors go to Err.
 //
 // # Usage
 //
@@ -20,13 +20,13 @@
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
-	// OutIsTerminal and ErrIsTerminal say whether a person reads along:
-	// tables and progress are for them only.
+	// OutIsTerminal and ErrIsTerminal tell whether Out and Err are terminals.
+	// Aligned tables and progress are printed only to a terminal.
 	OutIsTerminal bool
 	ErrIsTerminal bool
 }
 
-// System returns the streams of the process.
+// System returns the standard streams of the process.
 func System() *IOStreams {
 	return &IOStreams{
 		In: os.Stdin, Out: os.Stdout, Err: os.Stderr,
@@ -35,7 +35,7 @@
 	}
 }
 
-// Test returns streams of buffers that are no terminals.
+// Test returns streams backed by buffers that don't count as terminals.
 func Test() (streams *IOStreams, in, out, errOut *bytes.Buffer) {
 	in, out, errOut = &bytes.Buffer{}, &bytes.Buffer{}, &bytes.Buffer{}
 	return &IOStreams{In: in, Out: out, Err: errOut}, in, out, errOut
