--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,4 +1,4 @@
-// Command loadgen drives callers of pollenspindle and measures what they get.
+// Command loadgen simulates callers of pollenspindle and measures the responses that they get.
 package main
 
 import (
--- a/cmd/pollenspindle/main.go
+++ b/cmd/pollenspindle/main.go
@@ -1,4 +1,4 @@
-// Command pollenspindle runs an entry instance and the commands of operators.
+// Command pollenspindle runs instances and implements the operators' commands.
 //
 // # Usage
 //
--- a/cmd/slopes/main.go
+++ b/cmd/slopes/main.go
@@ -1,5 +1,5 @@
-// Command slopes measures how the cost of an entry instance grows with the
-// size of its deployment; script/slopes runs it.
+// Command slopes measures how the costs of an entry instance grow with the size of the deployment.
+// script/slopes runs it.
 package main
 
 import (
@@ -15,13 +15,13 @@
 )
 
 type cli struct {
-	Only     string `help:"Measure this group only: decisions, configuration, roster, messages, owner, member, processes or relay."`
-	Binaries string `help:"Folder with the built programs; without it no processes are measured."`
+	Only     string `help:"Measure only this group: decisions, configuration, roster, messages, owner, member, processes or relay."`
+	Binaries string `help:"Directory with the built programs; processes are measured only if it is set."`
 }
 
 func main() {
 	var c cli
-	kong.Parse(&c, kong.Name("slopes"), kong.Description("Measures costs over sizes and prints the slopes."))
+	kong.Parse(&c, kong.Name("slopes"), kong.Description("Measure costs at several deployment sizes and print the slopes."))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	err := slopes.Run(ctx, os.Stdout, slopes.Options{Only: c.Only, Binaries: c.Binaries})
 	stop()
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs small stand-ins for the systems around pollenspindle:
-// model engines, plain services and the platform.
+// Command standin runs small simulators of the systems that pollenspindle works with: model engines,
+// plain services and the platform.
 package main
 
 import (
