--- a/pkg/cmdutil/errors.go
+++ b/pkg/cmdutil/errors.go
@@ -85,13 +85,13 @@
 	case errors.Is(err, operatorapi.ErrNoAnswer):
 		return ExitUnknownOutcome
 	case errors.As(err, &apiErr):
-		return exitCodeOfAPI(apiErr.Code)
+		return exitCodeOfAPIError(apiErr.Code)
 	default:
 		return ExitFailed
 	}
 }
 
-func exitCodeOfAPI(code operatorapi.Code) ExitCode {
+func exitCodeOfAPIError(code operatorapi.Code) ExitCode {
 	switch code {
 	case operatorapi.CodeConflict:
 		return ExitConflict
