--- a/internal/openai/response.go
+++ b/internal/openai/response.go
@@ -4,17 +4,17 @@
 
 // Whole is a complete response of either endpoint.
 type Whole struct {
-	ID                string          `json:"id"`
-	Object            string          `json:"object"`
-	Created           int64           `json:"created"`
-	Model             string          `json:"model"`
-	SystemFingerprint string          `json:"system_fingerprint,omitempty"`
-	Choices           []WholeChoice   `json:"choices"`
-	Usage             json.RawMessage `json:"usage"`
+	ID                string           `json:"id"`
+	Object            string           `json:"object"`
+	Created           int64            `json:"created"`
+	Model             string           `json:"model"`
+	SystemFingerprint string           `json:"system_fingerprint,omitempty"`
+	Choices           []ResponseChoice `json:"choices"`
+	Usage             json.RawMessage  `json:"usage"`
 }
 
-// WholeChoice is one choice. Message is set for chat, Text for completions.
-type WholeChoice struct {
+// ResponseChoice is one choice. Message is set for chat, Text for completions.
+type ResponseChoice struct {
 	Index        int                          `json:"index"`
 	Message      *Message                     `json:"message,omitempty"`
 	Text         *string                      `json:"text,omitempty"`
@@ -50,7 +50,7 @@
 func (c *Collector) Whole(id string, promptTokens int) ([]byte, error) {
 	response := Whole{
 		ID: id, Object: "chat.completion", Created: c.first.Created, Model: c.first.Model,
-		SystemFingerprint: c.first.SystemFingerprint, Choices: []WholeChoice{}, Usage: c.usage,
+		SystemFingerprint: c.first.SystemFingerprint, Choices: []ResponseChoice{}, Usage: c.usage,
 	}
 	if c.endpoint == Completion {
 		response.Object = "text_completion"
@@ -68,8 +68,8 @@
 	return json.Marshal(response)
 }
 
-func (c *partialChoice) complete(e Endpoint, index int) WholeChoice {
-	choice := WholeChoice{Index: index, FinishReason: c.finish, Logprobs: c.logprobs}
+func (c *partialChoice) complete(e Endpoint, index int) ResponseChoice {
+	choice := ResponseChoice{Index: index, FinishReason: c.finish, Logprobs: c.logprobs}
 	text := c.text.String()
 	if e == Completion {
 		choice.Text = &text
