--- a/internal/openai/response.go
+++ b/internal/openai/response.go
@@ -24,15 +24,15 @@
 
 // Message is the message of a chat choice.
 type Message struct {
-	Role             string      `json:"role"`
-	Content          string      `json:"content"`
-	ReasoningContent string      `json:"reasoning_content,omitempty"`
-	Refusal          *string     `json:"refusal"`
-	ToolCalls        []WholeTool `json:"tool_calls,omitempty"`
+	Role             string             `json:"role"`
+	Content          string             `json:"content"`
+	ReasoningContent string             `json:"reasoning_content,omitempty"`
+	Refusal          *string            `json:"refusal"`
+	ToolCalls        []ResponseToolCall `json:"tool_calls,omitempty"`
 }
 
-// WholeTool is a complete [ToolCall]; it has no index.
-type WholeTool struct {
+// ResponseToolCall is a complete [ToolCall]; it has no index.
+type ResponseToolCall struct {
 	ID       string       `json:"id"`
 	Type     string       `json:"type"`
 	Function ToolFunction `json:"function"`
@@ -84,7 +84,7 @@
 		m.Refusal = &refusal
 	}
 	for _, t := range c.tools {
-		m.ToolCalls = append(m.ToolCalls, WholeTool{t.ID, t.Type, t.Function})
+		m.ToolCalls = append(m.ToolCalls, ResponseToolCall{t.ID, t.Type, t.Function})
 	}
 	choice.Message = m
 	return choice
