--- a/internal/caller/generate_test.go
+++ b/internal/caller/generate_test.go
@@ -76,7 +76,7 @@
 		t.Run(name, func(t *testing.T) {
 			whole := f.do(t, request{path: tt.path, body: tt.body})
 			require.Equal(t, http.StatusOK, whole.status, "%s", whole.body)
-			var w openai.Whole
+			var w openai.Response
 			require.NoError(t, json.Unmarshal(whole.body, &w))
 			require.Equal(t, whole.header.Get(headerGeneration), w.ID)
 			require.Len(t, w.Choices, 1)
--- a/internal/openai/response.go
+++ b/internal/openai/response.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// Whole is a complete response of either endpoint.
-type Whole struct {
+// Response is a complete response of either endpoint.
+type Response struct {
 	ID                string           `json:"id"`
 	Object            string           `json:"object"`
 	Created           int64            `json:"created"`
@@ -48,7 +48,7 @@
 // Whole returns the complete response as JSON. If the engine reported no usage, each event counts as
 // one output token and promptTokens, an estimate, as the prompt's tokens.
 func (c *Collector) Whole(id string, promptTokens int) ([]byte, error) {
-	response := Whole{
+	response := Response{
 		ID: id, Object: "chat.completion", Created: c.first.Created, Model: c.first.Model,
 		SystemFingerprint: c.first.SystemFingerprint, Choices: []ResponseChoice{}, Usage: c.usage,
 	}
