--- a/internal/caller/write.go
+++ b/internal/caller/write.go
@@ -149,7 +149,7 @@
 				return wholeFailure(answer.CodeGenerationLost, "the backend server's answer isn't understood")
 			}
 		case relay.Finished:
-			body, err := collector.Whole(id, b.promptTokens)
+			body, err := collector.Response(id, b.promptTokens)
 			if err != nil {
 				return answer.Of(err)
 			}
--- a/internal/openai/openai_test.go
+++ b/internal/openai/openai_test.go
@@ -59,7 +59,7 @@
 	for _, chunk := range chunks {
 		require.NoError(t, c.Add(chunk))
 	}
-	response, err := c.Whole("gen-1", 99)
+	response, err := c.Response("gen-1", 99)
 	require.NoError(t, err)
 	require.JSONEq(t, `{"id":"gen-1","object":"chat.completion","created":7,"model":"m","choices":[
 		{"index":0,"message":{"role":"assistant","content":"Wind calm","refusal":null},"finish_reason":"stop",
--- a/internal/openai/response.go
+++ b/internal/openai/response.go
@@ -45,9 +45,9 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Whole returns the complete response as JSON. If the engine reported no usage, each event counts as
+// Response returns the complete response as JSON. If the engine reported no usage, each event counts as
 // one output token and promptTokens, an estimate, as the prompt's tokens.
-func (c *Collector) Whole(id string, promptTokens int) ([]byte, error) {
+func (c *Collector) Response(id string, promptTokens int) ([]byte, error) {
 	response := Response{
 		ID: id, Object: "chat.completion", Created: c.first.Created, Model: c.first.Model,
 		SystemFingerprint: c.first.SystemFingerprint, Choices: []ResponseChoice{}, Usage: c.usage,
