--- a/internal/openai/collect.go
+++ b/internal/openai/collect.go
@@ -76,11 +76,11 @@
 // NewCollector returns an empty collector for a response of endpoint e.
 func NewCollector(e Endpoint) *Collector { return &Collector{endpoint: e} }
 
-// Add appends the next chunk, given as JSON. It returns [ErrChunk] if the chunk is malformed.
+// Add appends the next chunk, given as JSON. It returns [ErrMalformedChunk] if the chunk is malformed.
 func (c *Collector) Add(data string) error {
 	var chunk Chunk
 	if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-		return merry.Wrap(ErrChunk, merry.WithCause(err))
+		return merry.Wrap(ErrMalformedChunk, merry.WithCause(err))
 	}
 	if !c.started {
 		c.first, c.started = chunk, true
@@ -90,7 +90,7 @@
 	}
 	for _, choice := range chunk.Choices {
 		if choice.Index < 0 || choice.Index >= maxChoices {
-			return merry.Wrap(ErrChunk)
+			return merry.Wrap(ErrMalformedChunk)
 		}
 		for len(c.choices) <= choice.Index {
 			c.choices = append(c.choices, &partialChoice{})
--- a/internal/openai/id.go
+++ b/internal/openai/id.go
@@ -8,8 +8,8 @@
 	"github.com/tidwall/sjson"
 )
 
-// ErrChunk is returned for a malformed chunk of an engine.
-var ErrChunk = merry.New("malformed chunk")
+// ErrMalformedChunk is returned for a malformed chunk of an engine.
+var ErrMalformedChunk = merry.New("malformed chunk")
 
 // IDWriter replaces the id in the chunks of one generation by the id that the caller was given.
 type IDWriter struct {
@@ -38,7 +38,7 @@
 func (w *IDWriter) insert(chunk string) ([]byte, error) {
 	out, err := sjson.Set(chunk, "id", w.id)
 	if err != nil {
-		return nil, merry.Wrap(ErrChunk, merry.WithCause(err))
+		return nil, merry.Wrap(ErrMalformedChunk, merry.WithCause(err))
 	}
 	return []byte(out), nil
 }
