--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -87,7 +87,7 @@
 	id := in[1].refuse(t, codec)
 	found, err := in[0].fleet.FindRequest(t.Context(), id)
 	require.NoError(t, err)
-	require.Equal(t, []fleet.Found{{Instance: "i2", Record: in[1].journal.Find(id)[0]}}, found)
+	require.Equal(t, []fleet.InstanceRecord{{Instance: "i2", Record: in[1].journal.Find(id)[0]}}, found)
 }
 
 // The caller's connection broke and it reconnected through the third instance. A query on any instance
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -13,8 +13,8 @@
 	"pollenspindle.example/pollenspindle/internal/roster"
 )
 
-// Found is the record of a request on one instance.
-type Found struct {
+// InstanceRecord is the record of a request on one instance.
+type InstanceRecord struct {
 	Instance string
 	journal.Record
 }
@@ -22,14 +22,14 @@
 // FindRequest returns the records of the request or generation with this id. The record of the
 // instance that received it comes first. It returns [ErrNotFound] or [ErrUnreachable] if there is
 // none.
-func (f *Fleet) FindRequest(ctx context.Context, id string) ([]Found, error) {
+func (f *Fleet) FindRequest(ctx context.Context, id string) ([]InstanceRecord, error) {
 	entry, err := f.entryAddress(id)
 	if err != nil {
 		return nil, err
 	}
 	instances := slices.Clone(f.opts.Members.Roster().Instances)
 	i := slices.IndexFunc(instances, func(in roster.Instance) bool { return in.CallerAddress == entry })
-	var found []Found
+	var found []InstanceRecord
 	if i >= 0 {
 		first, err := f.findOn(ctx, instances[i], id)
 		if err == nil && len(first) > 0 && !mayHaveOtherRecords(first) {
@@ -67,8 +67,8 @@
 
 // mayHaveOtherRecords reports whether other instances may have records of the request too: its caller
 // disconnected and may have reconnected to another instance.
-func mayHaveOtherRecords(found []Found) bool {
-	return slices.ContainsFunc(found, func(f Found) bool {
+func mayHaveOtherRecords(found []InstanceRecord) bool {
+	return slices.ContainsFunc(found, func(f InstanceRecord) bool {
 		return slices.ContainsFunc(f.Steps, func(s journal.Step) bool {
 			return s.What == journal.CallerGone || s.What == journal.TakenOver
 		})
@@ -76,7 +76,7 @@
 }
 
 // findOnAll queries several instances; incomplete reports that at least one didn't respond.
-func (f *Fleet) findOnAll(ctx context.Context, instances []roster.Instance, id string) (found []Found, incomplete bool) {
+func (f *Fleet) findOnAll(ctx context.Context, instances []roster.Instance, id string) (found []InstanceRecord, incomplete bool) {
 	var mu sync.Mutex
 	succeeded := queryAll(ctx, instances, func(ctx context.Context, in roster.Instance) error {
 		records, err := f.findOn(ctx, in, id)
@@ -89,7 +89,7 @@
 }
 
 // findOn returns the records of the request on instance in.
-func (f *Fleet) findOn(ctx context.Context, in roster.Instance, id string) ([]Found, error) {
+func (f *Fleet) findOn(ctx context.Context, in roster.Instance, id string) ([]InstanceRecord, error) {
 	if in.ID == f.opts.Self {
 		return withInstance(in.ID, f.opts.Journal.Find(id)), nil
 	}
@@ -106,10 +106,10 @@
 	return withInstance(in.ID, records), nil
 }
 
-func withInstance(instance string, records []journal.Record) []Found {
-	var found []Found
+func withInstance(instance string, records []journal.Record) []InstanceRecord {
+	var found []InstanceRecord
 	for _, r := range records {
-		found = append(found, Found{Instance: instance, Record: r})
+		found = append(found, InstanceRecord{Instance: instance, Record: r})
 	}
 	return found
 }
--- a/internal/serve/generations.go
+++ b/internal/serve/generations.go
@@ -51,7 +51,7 @@
 
 // generationOf puts what several instances remember in order of time. The
 // clocks of instances may differ, so each step names its instance.
-func generationOf(id string, found []fleet.Found) operatorapi.Generation {
+func generationOf(id string, found []fleet.InstanceRecord) operatorapi.Generation {
 	first := found[0]
 	g := operatorapi.Generation{
 		ID: id, Workspace: first.Workspace, Model: first.Model, Service: first.Service,
