--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -21,7 +21,7 @@
 func (s Share) Minus(t Share) Share { return Share{s.Events - t.Events, s.Number - t.Number} }
 
 // Pair holds the observed share and the baseline share of one kind of request.
-type Pair struct{ Baseline, Seen Share }
+type Pair struct{ Baseline, Observed Share }
 
 // effectSizes are the alternative hypotheses tested against no change: the fraction of the answers
 // that succeed in the baseline but fail here.
@@ -46,11 +46,11 @@
 // estimated from its sample; half an event and one standard deviation are added, so that a small
 // baseline sample doesn't make others look faulty.
 func (p Pair) logRatio(effect float64) float64 {
-	if p.Seen.Number <= 0 || p.Baseline.Number <= 0 {
+	if p.Observed.Number <= 0 || p.Baseline.Number <= 0 {
 		return 0
 	}
 	baseline := (p.Baseline.Events + 0.5) / (p.Baseline.Number + 1)
 	baseline = min(0.95, baseline+math.Sqrt(baseline*(1-baseline)/p.Baseline.Number))
 	changed := baseline + (1-baseline)*effect
-	return p.Seen.Events*math.Log(changed/baseline) + (p.Seen.Number-p.Seen.Events)*math.Log((1-changed)/(1-baseline))
+	return p.Observed.Events*math.Log(changed/baseline) + (p.Observed.Number-p.Observed.Events)*math.Log((1-changed)/(1-baseline))
 }
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -193,7 +193,7 @@
 			}
 		}
 		if usual.Number >= minOtherAnswers {
-			pairs = append(pairs, evidence.Pair{Baseline: usual, Seen: c.share})
+			pairs = append(pairs, evidence.Pair{Baseline: usual, Observed: c.share})
 			seen = seen.Plus(c.share)
 		}
 	}
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -151,9 +151,9 @@
 		return 0
 	}
 	all, worst := c.totals()
-	ratio := evidence.Ratio(evidence.Pair{Baseline: c.stable, Seen: all})
+	ratio := evidence.Ratio(evidence.Pair{Baseline: c.stable, Observed: all})
 	if len(c.canary) >= minServersToExclude {
-		ratio = min(ratio, evidence.Ratio(evidence.Pair{Baseline: c.stable, Seen: all.Minus(worst)}))
+		ratio = min(ratio, evidence.Ratio(evidence.Pair{Baseline: c.stable, Observed: all.Minus(worst)}))
 	}
 	return ratio
 }
