--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -12,13 +12,13 @@
 import "math"
 
 // Share is a number of events, such as failures, among a total number of answers.
-type Share struct{ Events, Number float64 }
+type Share struct{ Events, Total float64 }
 
 // Plus returns the sum of two shares.
-func (s Share) Plus(t Share) Share { return Share{s.Events + t.Events, s.Number + t.Number} }
+func (s Share) Plus(t Share) Share { return Share{s.Events + t.Events, s.Total + t.Total} }
 
 // Minus returns the difference of two shares.
-func (s Share) Minus(t Share) Share { return Share{s.Events - t.Events, s.Number - t.Number} }
+func (s Share) Minus(t Share) Share { return Share{s.Events - t.Events, s.Total - t.Total} }
 
 // Pair holds the observed share and the baseline share of one kind of request.
 type Pair struct{ Baseline, Observed Share }
@@ -46,11 +46,11 @@
 // estimated from its sample; half an event and one standard deviation are added, so that a small
 // baseline sample doesn't make others look faulty.
 func (p Pair) logRatio(effect float64) float64 {
-	if p.Observed.Number <= 0 || p.Baseline.Number <= 0 {
+	if p.Observed.Total <= 0 || p.Baseline.Total <= 0 {
 		return 0
 	}
-	baseline := (p.Baseline.Events + 0.5) / (p.Baseline.Number + 1)
-	baseline = min(0.95, baseline+math.Sqrt(baseline*(1-baseline)/p.Baseline.Number))
+	baseline := (p.Baseline.Events + 0.5) / (p.Baseline.Total + 1)
+	baseline = min(0.95, baseline+math.Sqrt(baseline*(1-baseline)/p.Baseline.Total))
 	changed := baseline + (1-baseline)*effect
-	return p.Observed.Events*math.Log(changed/baseline) + (p.Observed.Number-p.Observed.Events)*math.Log((1-changed)/(1-baseline))
+	return p.Observed.Events*math.Log(changed/baseline) + (p.Observed.Total-p.Observed.Events)*math.Log((1-changed)/(1-baseline))
 }
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -82,7 +82,7 @@
 	if elapsed := now.Sub(c.at); elapsed > 0 {
 		f := math.Exp2(-float64(elapsed) / float64(halfLife))
 		c.share.Events *= f
-		c.share.Number *= f
+		c.share.Total *= f
 		c.at = now
 	}
 }
@@ -120,7 +120,7 @@
 			d.counts[k] = c
 		}
 		c.decay(now)
-		c.share = c.share.Plus(evidence.Share{Events: float64(a.Failed), Number: float64(a.Total)})
+		c.share = c.share.Plus(evidence.Share{Events: float64(a.Failed), Total: float64(a.Total)})
 		s, ok := d.servers[a.Server]
 		if !ok {
 			s = &server{}
@@ -163,7 +163,7 @@
 		}
 		s.eject(now)
 		ejected++
-		found = append(found, Detection{Service: service, Server: id, Ratio: ratio, Total: seen.Number, Failed: seen.Events, For: s.ejectedFor})
+		found = append(found, Detection{Service: service, Server: id, Ratio: ratio, Total: seen.Total, Failed: seen.Events, For: s.ejectedFor})
 		d.clear(id)
 	}
 	return found
@@ -192,7 +192,7 @@
 				usual = usual.Plus(o.share)
 			}
 		}
-		if usual.Number >= minOtherAnswers {
+		if usual.Total >= minOtherAnswers {
 			pairs = append(pairs, evidence.Pair{Baseline: usual, Observed: c.share})
 			seen = seen.Plus(c.share)
 		}
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -135,7 +135,7 @@
 	}
 	for _, g := range groups {
 		add(g, "failed", &failed, func(c *Cell) evidence.Share {
-			return evidence.Share{Events: float64(c.Failed), Number: float64(c.Count)}
+			return evidence.Share{Events: float64(c.Failed), Total: float64(c.Count)}
 		})
 		if limit, ok := slowThreshold(g.stable.Histogram); ok {
 			add(g, "slow", &slowed, func(c *Cell) evidence.Share { return slowShare(c.Histogram, limit) })
@@ -147,7 +147,7 @@
 // ratio returns the likelihood ratio, without the new version's worst server if that makes
 // it smaller, or 0 if the old version has too few samples.
 func (c comparison) ratio() float64 {
-	if c.stable.Number < minStableSamples {
+	if c.stable.Total < minStableSamples {
 		return 0
 	}
 	all, worst := c.totals()
@@ -161,7 +161,7 @@
 func (c comparison) totals() (all, worst evidence.Share) {
 	for _, s := range c.canary {
 		all = all.Plus(s)
-		if s.Events > worst.Events || s.Events == worst.Events && s.Number < worst.Number {
+		if s.Events > worst.Events || s.Events == worst.Events && s.Total < worst.Total {
 			worst = s
 		}
 	}
@@ -171,7 +171,7 @@
 // String describes the comparison for operators.
 func (c comparison) String() string {
 	all, _ := c.totals()
-	return fmt.Sprintf("%s: %.0f of %.0f, old version %.0f of %.0f", c.name, all.Events, all.Number, c.stable.Events, c.stable.Number)
+	return fmt.Sprintf("%s: %.0f of %.0f, old version %.0f of %.0f", c.name, all.Events, all.Total, c.stable.Events, c.stable.Total)
 }
 
 // slowThreshold returns the bucket from which on an answer is slow, given the old
@@ -200,7 +200,7 @@
 func slowShare(histogram map[int]int, limit int) evidence.Share {
 	var s evidence.Share
 	for b, n := range histogram {
-		s.Number += float64(n)
+		s.Total += float64(n)
 		if b >= limit {
 			s.Events += float64(n)
 		}
