--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -14,8 +14,8 @@
 // Share is a number of events, such as failures, among a total number of answers.
 type Share struct{ Events, Total float64 }
 
-// Plus returns the sum of two shares.
-func (s Share) Plus(t Share) Share { return Share{s.Events + t.Events, s.Total + t.Total} }
+// Add returns the sum of two shares.
+func (s Share) Add(t Share) Share { return Share{s.Events + t.Events, s.Total + t.Total} }
 
 // Minus returns the difference of two shares.
 func (s Share) Minus(t Share) Share { return Share{s.Events - t.Events, s.Total - t.Total} }
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -120,7 +120,7 @@
 			d.counts[k] = c
 		}
 		c.decay(now)
-		c.share = c.share.Plus(evidence.Share{Events: float64(a.Failed), Total: float64(a.Total)})
+		c.share = c.share.Add(evidence.Share{Events: float64(a.Failed), Total: float64(a.Total)})
 		s, ok := d.servers[a.Server]
 		if !ok {
 			s = &server{}
@@ -189,12 +189,12 @@
 		for _, other := range ids {
 			if o, ok := d.counts[key{other, k.route}]; ok && other != id {
 				o.decay(now)
-				usual = usual.Plus(o.share)
+				usual = usual.Add(o.share)
 			}
 		}
 		if usual.Total >= minOtherAnswers {
 			pairs = append(pairs, evidence.Pair{Baseline: usual, Observed: c.share})
-			seen = seen.Plus(c.share)
+			seen = seen.Add(c.share)
 		}
 	}
 	return pairs, seen
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -128,9 +128,9 @@
 		if g.metric != MetricAnswer {
 			return
 		}
-		pooled.stable = pooled.stable.Plus(comp.stable)
+		pooled.stable = pooled.stable.Add(comp.stable)
 		for id, s := range comp.canary {
-			pooled.canary[id] = pooled.canary[id].Plus(s)
+			pooled.canary[id] = pooled.canary[id].Add(s)
 		}
 	}
 	for _, g := range groups {
@@ -160,7 +160,7 @@
 
 func (c comparison) totals() (all, worst evidence.Share) {
 	for _, s := range c.canary {
-		all = all.Plus(s)
+		all = all.Add(s)
 		if s.Events > worst.Events || s.Events == worst.Events && s.Total < worst.Total {
 			worst = s
 		}
