--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -17,8 +17,8 @@
 // Add returns the sum of two shares.
 func (s Share) Add(t Share) Share { return Share{s.Events + t.Events, s.Total + t.Total} }
 
-// Minus returns the difference of two shares.
-func (s Share) Minus(t Share) Share { return Share{s.Events - t.Events, s.Total - t.Total} }
+// Sub returns the difference of two shares.
+func (s Share) Sub(t Share) Share { return Share{s.Events - t.Events, s.Total - t.Total} }
 
 // Pair holds the observed share and the baseline share of one kind of request.
 type Pair struct{ Baseline, Observed Share }
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -153,7 +153,7 @@
 	all, worst := c.totals()
 	ratio := evidence.Ratio(evidence.Pair{Baseline: c.stable, Observed: all})
 	if len(c.canary) >= minServersToExclude {
-		ratio = min(ratio, evidence.Ratio(evidence.Pair{Baseline: c.stable, Observed: all.Minus(worst)}))
+		ratio = min(ratio, evidence.Ratio(evidence.Pair{Baseline: c.stable, Observed: all.Sub(worst)}))
 	}
 	return ratio
 }
