--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -151,9 +151,9 @@
 		return 0
 	}
 	all, worst := c.totals()
-	ratio := evidence.Ratio(evidence.Pair{Baseline: c.stable, Observed: all})
+	ratio := evidence.LikelihoodRatio(evidence.Pair{Baseline: c.stable, Observed: all})
 	if len(c.canary) >= minServersToExclude {
-		ratio = min(ratio, evidence.Ratio(evidence.Pair{Baseline: c.stable, Observed: all.Sub(worst)}))
+		ratio = min(ratio, evidence.LikelihoodRatio(evidence.Pair{Baseline: c.stable, Observed: all.Sub(worst)}))
 	}
 	return ratio
 }
