--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -1,11 +1,11 @@
-// Package evidence compares the failure rate of some servers with that of other servers at the same
-// time, as a likelihood ratio.
+// Package evidence compares the rate of events, such as failures, on some servers with the rate on
+// other servers at the same time, as a likelihood ratio.
 //
 // # Usage
 //
-//	ratio := evidence.Ratio(evidence.Pair{
-//		Usual: evidence.Share{Events: 3, Number: 400},
-//		Seen:  evidence.Share{Events: 4, Number: 12},
+//	ratio := evidence.LikelihoodRatio(evidence.Pair{
+//		Baseline: evidence.Share{Events: 3, Total: 400},
+//		Observed: evidence.Share{Events: 4, Total: 12},
 //	})
 package evidence
 
@@ -27,9 +27,9 @@
 // that succeed in the baseline but fail here.
 var effectSizes = []float64{0.03, 0.08, 0.2, 0.5}
 
-// LikelihoodRatio returns the likelihood ratio of the observations, averaged over the effect sizes: how much
-// more likely they are if some of the answers that succeed in the baseline fail than if none do. 1
-// favours neither.
+// LikelihoodRatio returns the likelihood ratio of the observations, averaged over the effect sizes:
+// how much more likely they are if some of the answers that succeed in the baseline fail than if none
+// do. 1 favours neither.
 func LikelihoodRatio(pairs ...Pair) float64 {
 	sum := 0.0
 	for _, effect := range effectSizes {
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -33,7 +33,7 @@
 const (
 	// bytesPerToken converts the prompt's length in bytes to an estimate of its tokens. English has
 	// about four bytes per token and other languages fewer; the JSON syntax counted with the prompt
-	// keeps the estimate high.
+	// raises the estimate, which is the safe side.
 	bytesPerToken = 4
 	// minPrefixBytes and maxPrefixBytes limit the lengths of the prompt prefixes that are hashed; each
 	// is twice as long as the previous one. Shorter prefixes save an engine's cache little, and
--- a/internal/openai/response.go
+++ b/internal/openai/response.go
@@ -45,8 +45,8 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Response returns the complete response as JSON. If the engine reported no usage, each event counts as
-// one output token and promptTokens, an estimate, as the prompt's tokens.
+// Response returns the complete response as JSON. If the engine reported no usage, each event counts
+// as one output token and promptTokens, an estimate, is the number of prompt tokens.
 func (c *Collector) Response(id string, promptTokens int) ([]byte, error) {
 	response := Response{
 		ID: id, Object: "chat.completion", Created: c.first.Created, Model: c.first.Model,
--- a/pkg/cmd/server/list/list.go
+++ b/pkg/cmd/server/list/list.go
@@ -30,7 +30,7 @@
 
 // Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `The load is the last one that the owner received from the backend server.
+	return `The load is the latest that the owner knows of the backend server.
 
 Examples:
   pollenspindle server list --zone kigali-a`
