--- a/pkg/cmd/server/drain/drain.go
+++ b/pkg/cmd/server/drain/drain.go
@@ -1,4 +1,4 @@
-// Package drain is the command `pollenspindle server drain`: it gives a backend server no new work.
+// Package drain implements the command `pollenspindle server drain`: it drains a backend server.
 //
 // # Usage
 //
@@ -14,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -27,9 +27,9 @@
 // NewCmdDrain returns the command.
 func NewCmdDrain(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `What runs on the backend server ends in its own time.
+	return `The backend server gets no new work. Work in progress on it continues to its end.
 
 Examples:
   pollenspindle server drain briefing-3 -m "reclaimed tonight"`
@@ -40,10 +40,10 @@
 
 func drainRun(ctx context.Context, o *Options) error {
 	return cmdutil.RunChange(ctx, o.Factory, o.Connection, o.Change, o.Output, cmdutil.PlannedChange{
-		Tell: func(cfg pollenspindle.Config) {
-			cmdutil.PlanServer(o.Factory.Streams, cfg, o.Server, "Draining")
+		PrintPlan: func(cfg pollenspindle.Config) {
+			cmdutil.PrintServerPlan(o.Factory.Streams, cfg, o.Server, "Draining")
 		},
-		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
 			return client.DrainServer(ctx, o.Server, req)
 		},
 	})
--- a/pkg/cmd/zone/drain/drain.go
+++ b/pkg/cmd/zone/drain/drain.go
@@ -1,4 +1,4 @@
-// Package drain is the command `pollenspindle zone drain`: it takes an availability zone out.
+// Package drain implements the command `pollenspindle zone drain`: it drains an availability zone.
 //
 // # Usage
 //
@@ -14,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -27,10 +27,10 @@
 // NewCmdDrain returns the command.
 func NewCmdDrain(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `Within seconds no instance sends new work to the availability zone. What runs
-there ends in its own time.
+	return `Within seconds no instance sends new work to the availability zone. Work in
+progress there continues to its end.
 
 Examples:
   pollenspindle zone drain kigali-a -m "power work"`
@@ -41,10 +41,10 @@
 
 func drainRun(ctx context.Context, o *Options) error {
 	return cmdutil.RunChange(ctx, o.Factory, o.Connection, o.Change, o.Output, cmdutil.PlannedChange{
-		Tell: func(cfg pollenspindle.Config) {
-			cmdutil.PlanZone(o.Factory.Streams, cfg, o.Zone, "Taking out")
+		PrintPlan: func(cfg pollenspindle.Config) {
+			cmdutil.PrintZonePlan(o.Factory.Streams, cfg, o.Zone, "Taking out")
 		},
-		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
 			return client.DrainZone(ctx, o.Zone, req)
 		},
 	})
--- a/pkg/cmd/zone/restore/restore.go
+++ b/pkg/cmd/zone/restore/restore.go
@@ -1,4 +1,5 @@
-// Package restore is the command `pollenspindle zone restore`: it brings an availability zone back.
+// Package restore implements the command `pollenspindle zone restore`: it restores a drained
+// availability zone.
 //
 // # Usage
 //
@@ -14,7 +15,7 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -27,9 +28,9 @@
 // NewCmdRestore returns the command.
 func NewCmdRestore(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `Each backend server of the availability zone is taken to be cold.
+	return `Each backend server of the availability zone is treated as cold.
 
 Examples:
   pollenspindle zone restore kigali-a`
@@ -40,10 +41,10 @@
 
 func restoreRun(ctx context.Context, o *Options) error {
 	return cmdutil.RunChange(ctx, o.Factory, o.Connection, o.Change, o.Output, cmdutil.PlannedChange{
-		Tell: func(cfg pollenspindle.Config) {
-			cmdutil.PlanZone(o.Factory.Streams, cfg, o.Zone, "Bringing back")
+		PrintPlan: func(cfg pollenspindle.Config) {
+			cmdutil.PrintZonePlan(o.Factory.Streams, cfg, o.Zone, "Bringing back")
 		},
-		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
 			return client.RestoreZone(ctx, o.Zone, req)
 		},
 	})
