--- a/internal/caller/client_test.go
+++ b/internal/caller/client_test.go
@@ -10,7 +10,7 @@
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 )
 
-// The official client needs a base URL and a key, nothing else.
+// OpenAI's official client works with only a base URL and a key.
 func TestOfficialClient(t *testing.T) {
 	f := startServer(t, testConfig(startEngine(t, 100)))
 	client := openai.NewClient(option.WithBaseURL(f.url+"/v1"), option.WithAPIKey(clubToken), option.WithMaxRetries(0))
@@ -18,10 +18,10 @@
 		Model: "glide-7b", MaxCompletionTokens: openai.Int(30),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("brief me")},
 	}
-	whole, err := client.Chat.Completions.New(t.Context(), params)
+	completion, err := client.Chat.Completions.New(t.Context(), params)
 	require.NoError(t, err)
-	require.NotEmpty(t, whole.Choices[0].Message.Content)
-	require.Positive(t, whole.Usage.CompletionTokens)
+	require.NotEmpty(t, completion.Choices[0].Message.Content)
+	require.Positive(t, completion.Usage.CompletionTokens)
 
 	stream := client.Chat.Completions.NewStreaming(t.Context(), params)
 	accumulated := openai.ChatCompletionAccumulator{}
@@ -43,7 +43,7 @@
 	require.Equal(t, "unknownModel", failure.Code)
 }
 
-// Each hop of a request has a span, under the trace that the caller began.
+// Each hop of a request has a span in the trace that the caller started.
 func TestSpans(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(recorder))
--- a/internal/caller/fixture_test.go
+++ b/internal/caller/fixture_test.go
@@ -34,7 +34,7 @@
 	shopToken = "shop-token"
 )
 
-// fixedConfig is a configuration that stays, confirmed or not.
+// fixedConfig is a constant configuration, confirmed or not.
 type fixedConfig struct {
 	snapshot    *config.Snapshot
 	unconfirmed atomic.Bool
@@ -43,11 +43,11 @@
 func (f *fixedConfig) Snapshot() *config.Snapshot              { return f.snapshot }
 func (f *fixedConfig) Confirmed(time.Time, time.Duration) bool { return !f.unconfirmed.Load() }
 
-// openPermits lets every request go to the first server of its service.
+// openPermits permits every request, for the first server of its service.
 type openPermits struct {
 	config *fixedConfig
 	mu     sync.Mutex
-	given  int
+	issued int
 	ended  []permit.Ending
 	tokens int
 }
@@ -57,14 +57,14 @@
 	defer p.mu.Unlock()
 	for _, s := range p.config.snapshot.ServersByService[req.Service] {
 		if !slices.Contains(req.ExcludeServers, s.Name) {
-			p.given++
+			p.issued++
 			return permit.Permit{Server: s.Name, Address: s.Address, Zone: s.Zone, ExpiresAt: now.Add(time.Minute)}, nil
 		}
 	}
 	return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonNoServer, RetryAfter: time.Second}
 }
 
-func (p *openPermits) MaySend(now time.Time, given permit.Permit) bool { return given.Valid(now) }
+func (p *openPermits) MaySend(now time.Time, issued permit.Permit) bool { return issued.Valid(now) }
 
 func (p *openPermits) ReportBroken(time.Time, permit.Permit) {}
 
@@ -75,34 +75,34 @@
 	p.tokens += o.OutputTokens
 }
 
-// balanced reports whether each permit given was released once.
+// balanced reports whether each issued permit was released once.
 func (p *openPermits) balanced() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.given == len(p.ended)
+	return p.issued == len(p.ended)
 }
 
 type fixedInstances []Instance
 
 func (f fixedInstances) Live() ([]Instance, int64) { return f, 7 }
 
-// fakeService keeps what reaches it.
+// fakeService records the requests that it gets.
 type fakeService struct {
-	mu  sync.Mutex
-	got []service.Request
+	mu       sync.Mutex
+	requests []service.Request
 }
 
 func (s *fakeService) Do(_ context.Context, _ string, req service.Request) (service.Response, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.got = append(s.got, req)
+	s.requests = append(s.requests, req)
 	return service.Response{Status: 201, Header: []service.Header{{Name: "Location", Value: "/bookings/1"}}, Body: []byte("booked")}, nil
 }
 
 func (s *fakeService) calls() []service.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.got)
+	return slices.Clone(s.requests)
 }
 
 type fixture struct {
@@ -187,7 +187,7 @@
 	return f
 }
 
-// stop ends at once: the context of the shutdown has ended.
+// stop shuts the server down without waiting, since the context of the shutdown has ended.
 func (f *fixture) stop() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/caller/gate.go
+++ b/internal/caller/gate.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// gate counts the requests at work and says which are let in.
+// gate limits the number of running requests and rejects new ones once the server stops.
 type gate struct {
 	mu       sync.Mutex
 	limit    int
@@ -12,11 +12,11 @@
 	idle     chan struct{}
 }
 
-// admittance is what the gate says to a request.
-type admittance int
+// admission is the gate's decision on a request.
+type admission int
 
 const (
-	admitted admittance = iota
+	admitted admission = iota
 	gateFull
 	gateStopped
 )
@@ -25,8 +25,8 @@
 	return &gate{limit: limit, idle: make(chan struct{})}
 }
 
-// Enter lets a request in; an admitted one calls Leave at its end.
-func (g *gate) Enter() admittance {
+// Enter admits or rejects a request. An admitted request calls Leave when it ends.
+func (g *gate) Enter() admission {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
@@ -39,7 +39,7 @@
 	return admitted
 }
 
-// Leave ends a request that was let in.
+// Leave ends a request that Enter admitted.
 func (g *gate) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -47,21 +47,21 @@
 	g.closeIdle()
 }
 
-// Drain marks the instance as leaving.
+// Drain marks the instance as shutting down; requests are still admitted.
 func (g *gate) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.draining = true
 }
 
-// Draining reports whether the instance is leaving.
+// Draining reports whether Drain was called.
 func (g *gate) Draining() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.draining
 }
 
-// Stop lets no further request in; the channel is closed when all have left.
+// Stop rejects all further requests. The returned channel is closed when no request runs.
 func (g *gate) Stop() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/caller/generate.go
+++ b/internal/caller/generate.go
@@ -19,10 +19,11 @@
 )
 
 const (
-	// defaultQueueWait and defaultPatientWait hold when a service sets none.
+	// defaultQueueWait and defaultPatientWait limit the queueing of a request whose service sets
+	// no limit of its own.
 	defaultQueueWait   = 10 * time.Second
 	defaultPatientWait = 5 * time.Minute
-	// Engines run lower priorities first; the gap leaves room between.
+	// Engines run lower priorities first. The gap leaves values for classes in between.
 	priorityInteractive = 0
 	priorityPatient     = 10
 )
@@ -46,24 +47,25 @@
 		return err
 	}
 	if b.stream {
-		return s.writeStream(newStreamWriter(c, ""), b.generation, b.name)
+		return s.writeStream(newStreamWriter(c, ""), b.generation, b.formatID)
 	}
-	return s.writeWhole(c, b)
+	return s.writeComplete(c, b)
 }
 
-// begun is a generation that the relay has taken, and what is needed to write
-// it. It holds neither the request nor its body, which may be long.
-type begun struct {
+// startedGeneration is a generation that the relay has started, with what the response needs. It holds
+// neither the request nor its body, which may be large.
+type startedGeneration struct {
 	generation   *relay.Generation
-	name         namer
+	formatID     idFunc
 	stream       bool
 	endpoint     openai.Endpoint
 	promptTokens int
 }
 
-// begin is apart from the writing, which may take minutes: its frame would be
-// kept so long, and make the stack of each open stream twice as large.
-func (s *Server) begin(ctx context.Context, c *app.RequestContext, e openai.Endpoint) (*begun, error) {
+// begin validates the request and starts its generation. It is separate from the writing of the
+// response, which may take minutes: its stack frame would be kept for that time and double the
+// stack of each open stream.
+func (s *Server) begin(ctx context.Context, c *app.RequestContext, e openai.Endpoint) (*startedGeneration, error) {
 	who, err := s.authenticate(c)
 	if err != nil {
 		return nil, err
@@ -83,8 +85,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &begun{
-		generation: g, name: s.namer(ctx, generation.ID{
+	return &startedGeneration{
+		generation: g, formatID: s.idFunc(ctx, generation.ID{
 			Workspace: job.Permit.Workspace, Service: job.Permit.Service,
 			Model: job.Permit.Model, Class: job.Permit.Class, Entry: s.opts.Address,
 		}),
@@ -92,8 +94,8 @@
 	}, nil
 }
 
-// knownModel returns the name only if it is declared: a caller could write
-// anything into the field, also a prompt.
+// knownModel returns name if the configuration declares it, and an empty string otherwise: a
+// caller could put anything into the field, even a prompt, which must not be recorded.
 func knownModel(who identity, name string) string {
 	if _, ok := who.snapshot.Models[name]; !ok {
 		return ""
@@ -114,7 +116,7 @@
 	return req, fieldFailure(err)
 }
 
-// fieldFailure turns an error of the openai package into a failure.
+// fieldFailure converts a [openai.FieldError] into a failure.
 func fieldFailure(err error) error {
 	var field *openai.FieldError
 	if errors.As(err, &field) {
@@ -137,20 +139,20 @@
 	if err != nil {
 		return relay.Job{}, fieldFailure(err)
 	}
-	mark := fingerprint(who.workspace.Name, req.Body)
+	hash := fingerprint(who.workspace.Name, req.Body)
 	return relay.Job{
 		Path: string(req.Endpoint), Body: body, Streamed: req.Stream,
 		Permit: permit.Request{
 			Service: model.Service, Model: model.Name, Workspace: who.workspace.Name, Class: class,
-			PromptTokens: req.PromptTokens, MaxTokens: req.MaxTokens, PrefixHash: s.prefixes.Shared(req.PrefixHashes, mark),
-			Fingerprint: mark,
+			PromptTokens: req.PromptTokens, MaxTokens: req.MaxTokens, PrefixHash: s.prefixes.Shared(req.PrefixHashes, hash),
+			Fingerprint: hash,
 			Deadline:    now.Add(queueWait(who.snapshot.Services[model.Service], class)),
 		},
 	}, nil
 }
 
-// notConfirmed is the refusal of an instance that reaches neither platform nor
-// peers: it might send to an availability zone that was taken out.
+// notConfirmed returns the refusal of an instance that reaches neither the platform nor its
+// peers: it might send the request to a drained availability zone.
 func notConfirmed() error {
 	return &permit.Refusal{Reason: permit.ReasonNotConfirmed, RetryAfter: time.Second}
 }
@@ -186,7 +188,7 @@
 	return wait
 }
 
-// fingerprint names a request within its workspace, whoever repeats it.
+// fingerprint hashes a request with its workspace, so that repeats of it are recognized.
 func fingerprint(workspace string, body []byte) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(workspace)
--- a/internal/caller/generate_test.go
+++ b/internal/caller/generate_test.go
@@ -61,11 +61,11 @@
 			require.Contains(t, d.Message, tt.message)
 		})
 	}
-	require.Zero(t, f.permits.given)
+	require.Zero(t, f.permits.issued)
 }
 
-// One caller streams, another asks for the whole answer, through the engine's
-// own protocol. Both get whole answers in OpenAI's form.
+// A streamed and a complete response of the same request are both complete and in OpenAI's
+// format, through the engine's own protocol.
 func TestGenerations(t *testing.T) {
 	f := startServer(t, testConfig(startEngine(t, 100)))
 	tests := map[string]struct{ path, body string }{
@@ -74,13 +74,13 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			whole := f.do(t, request{path: tt.path, body: tt.body})
-			require.Equal(t, http.StatusOK, whole.status, "%s", whole.body)
-			var w openai.Whole
-			require.NoError(t, json.Unmarshal(whole.body, &w))
-			require.Equal(t, whole.header.Get(headerGeneration), w.ID)
-			require.Len(t, w.Choices, 1)
-			require.NotEmpty(t, w.Choices[0].FinishReason)
+			complete := f.do(t, request{path: tt.path, body: tt.body})
+			require.Equal(t, http.StatusOK, complete.status, "%s", complete.body)
+			var parsed openai.Whole
+			require.NoError(t, json.Unmarshal(complete.body, &parsed))
+			require.Equal(t, complete.header.Get(headerGeneration), parsed.ID)
+			require.Len(t, parsed.Choices, 1)
+			require.NotEmpty(t, parsed.Choices[0].FinishReason)
 
 			resp := f.open(t.Context(), t, request{path: tt.path, body: streamed(tt.body)})
 			defer resp.Body.Close()
@@ -97,10 +97,10 @@
 	require.Eventually(t, f.permits.balanced, time.Minute, time.Millisecond)
 }
 
-// The caller's connection breaks in the middle of its answer. It comes back
-// through another instance with the position it has and reads the rest; the
-// first instance is told, so its grace period doesn't end the answer. Another
-// workspace can't find the generation, and a cancelled one ends.
+// The caller's connection breaks in the middle of a response. The caller resumes through another
+// instance after its last position and reads the rest; the first instance is notified, so that it
+// doesn't cancel the generation after its grace period. Another workspace can't find the
+// generation, and a cancelled generation ends.
 func TestResumeThroughAnotherInstance(t *testing.T) {
 	cfg := testConfig(startEngine(t, 2))
 	scope := tally.NewTestScope("", nil)
@@ -113,8 +113,8 @@
 	cancel()
 	resp.Body.Close()
 
-	stolen := second.do(t, request{method: "GET", path: "/v1/generations/" + id, token: shopToken})
-	require.Equal(t, http.StatusNotFound, stolen.status)
+	foreign := second.do(t, request{method: "GET", path: "/v1/generations/" + id, token: shopToken})
+	require.Equal(t, http.StatusNotFound, foreign.status)
 
 	again := second.open(t.Context(), t, request{
 		method: "GET", path: "/v1/generations/" + id, header: map[string]string{"Last-Event-ID": "3"},
@@ -124,40 +124,40 @@
 	rest := readEvents(bufio.NewReader(again.Body), math.MaxInt)
 	require.Equal(t, "4", rest[0].id)
 	require.Equal(t, id, again.Header.Get(headerGeneration))
-	require.Contains(t, rest[0].data, `"id":"`+id+`"`, "to resume again with")
+	require.Contains(t, rest[0].data, `"id":"`+id+`"`, "the ID to resume with again")
 	require.Equal(t, doneMarker, rest[len(rest)-1].data)
-	require.Equal(t, strconv.Itoa(len(rest)+2), rest[len(rest)-2].id, "each position once")
+	require.Equal(t, strconv.Itoa(len(rest)+2), rest[len(rest)-2].id, "each position occurs once")
 	require.Eventually(t, first.permits.balanced, time.Minute, time.Millisecond)
 	require.Eventually(t, func() bool {
-		told, ok := scope.Snapshot().Counters()["takeovers+"]
-		return ok && told.Value() == 1
-	}, time.Minute, time.Millisecond, "the first instance was told")
+		notices, ok := scope.Snapshot().Counters()["takeovers+"]
+		return ok && notices.Value() == 1
+	}, time.Minute, time.Millisecond, "the first instance was notified")
 
-	done := second.do(t, request{method: "DELETE", path: "/v1/generations/" + id})
-	require.Equal(t, http.StatusNoContent, done.status)
+	cancelled := second.do(t, request{method: "DELETE", path: "/v1/generations/" + id})
+	require.Equal(t, http.StatusNoContent, cancelled.status)
 }
 
-// A streaming caller vanishes before its first token: nobody can come back
-// for it, so the permit must come back soon instead of after the answer.
-func TestVanishedCallerFreesItsPermit(t *testing.T) {
+// A streaming caller disconnects before its first token. Without a generation ID it can't resume,
+// so its permit must be released soon instead of after the complete response.
+func TestPermitReleasedWhenCallerDisconnectsBeforeFirstToken(t *testing.T) {
 	f := startServer(t, testConfig(startEngine(t, 0.01)))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	gone := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(closed)
 		openStream(ctx, f.url)
 	}()
-	require.Eventually(t, f.hasGiven, time.Minute, time.Millisecond)
+	require.Eventually(t, f.permitIssued, time.Minute, time.Millisecond)
 	cancel()
-	<-gone
+	<-closed
 	require.Eventually(t, f.permits.balanced, time.Minute, time.Millisecond)
 }
 
-func (f *fixture) hasGiven() bool {
+func (f *fixture) permitIssued() bool {
 	f.permits.mu.Lock()
 	defer f.permits.mu.Unlock()
-	return f.permits.given > 0
+	return f.permits.issued > 0
 }
 
 // openStream reads a stream until its end or that of ctx.
--- a/internal/caller/instances.go
+++ b/internal/caller/instances.go
@@ -15,26 +15,27 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// maxAnswered bounds the instances in one answer: a caller that finds so many
-// down has lost its own network.
-const maxAnswered = 16
+// maxListedInstances limits the instances in one response. A caller that finds so many down has
+// lost its own network connection.
+const maxListedInstances = 16
 
-// InstancesAnswer is the answer of GET /v1/instances.
+// InstancesAnswer is the response of GET /v1/instances.
 type InstancesAnswer struct {
+	// Instances are in the order in which the caller should try them.
 	Instances  []InstanceAnswer `json:"instances"`
 	TTLSeconds int              `json:"ttlSeconds"`
 	Epoch      int64            `json:"epoch"`
 }
 
-// InstanceAnswer is one entry instance, the one to try first at the front.
+// InstanceAnswer is one entry instance.
 type InstanceAnswer struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 }
 
-// instances needs no token: a caller asks it before anything else, and the
-// answer holds addresses only.
+// instances lists the entry instances. It requires no token: callers request it first, and the
+// response holds only addresses.
 func (s *Server) instances(_ context.Context, c *app.RequestContext) error {
 	live, epoch := s.opts.Instances.Live()
 	return writeJSON(c, InstancesAnswer{
@@ -43,9 +44,9 @@
 	})
 }
 
-// order sorts instances by rendezvous hash of the caller. Callers spread
-// without a balancer, each keeps its order while others join and leave, and when
-// an instance is lost its callers spread over all the others.
+// order sorts instances by the rendezvous hash of the caller's key. This spreads callers without
+// a load balancer, keeps each caller's order while instances join and leave, and spreads the
+// callers of a lost instance over all others.
 func order(live []Instance, key string) []InstanceAnswer {
 	byAddress := make(map[string]Instance, len(live))
 	addresses := make([]string, 0, len(live))
@@ -53,10 +54,10 @@
 		byAddress[in.Address] = in
 		addresses = append(addresses, in.Address)
 	}
-	ordered := make([]InstanceAnswer, 0, min(len(live), maxAnswered))
-	for len(addresses) > 0 && len(ordered) < maxAnswered {
-		// The library's Remove reads behind its slice, so each place is looked
-		// up in what is left.
+	ordered := make([]InstanceAnswer, 0, min(len(live), maxListedInstances))
+	for len(addresses) > 0 && len(ordered) < maxListedInstances {
+		// The library's Remove reads beyond the end of its slice, so each position is looked up
+		// in a new hash of the remaining addresses.
 		first := rendezvous.New(addresses, xxhash.Sum64String).Lookup(key)
 		addresses = slices.DeleteFunc(addresses, func(a string) bool { return a == first })
 		ordered = append(ordered, InstanceAnswer(byAddress[first]))
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// readyz fails while the instance leaves, or can't take new work.
+// readyz fails while the instance shuts down or can't accept new requests.
 func (s *Server) readyz(_ context.Context, c *app.RequestContext) error {
 	snapshot := s.opts.Config.Snapshot()
 	switch {
@@ -93,13 +94,13 @@
 	return nil
 }
 
-// ModelsAnswer is the answer of GET /v1/models.
+// ModelsAnswer is the response of GET /v1/models.
 type ModelsAnswer struct {
 	Object string        `json:"object"`
 	Data   []ModelAnswer `json:"data"`
 }
 
-// ModelAnswer is one model in OpenAI's form.
+// ModelAnswer is one model in OpenAI's format.
 type ModelAnswer struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
--- a/internal/caller/journal_test.go
+++ b/internal/caller/journal_test.go
@@ -14,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/internal/journal"
 )
 
-func whats(r journal.Record) []journal.What {
+func stepKinds(r journal.Record) []journal.What {
 	var list []journal.What
 	for _, s := range r.Steps {
 		list = append(list, s.What)
@@ -22,9 +22,9 @@
 	return list
 }
 
-// A refused request has no generation; its caller gets an id all the same, and
-// an operator finds under it why.
-func TestRefusedRequestCanBeExplained(t *testing.T) {
+// A refused request has no generation. Its caller still gets a request ID, under which the journal
+// holds the reason.
+func TestJournalOfRefusedRequest(t *testing.T) {
 	j := journal.New(journal.DefaultLimits)
 	cfg := testConfig(startEngine(t, 100))
 	cfg.snapshot.ServersByService["briefing"] = nil
@@ -47,7 +47,7 @@
 			require.Len(t, records, 1)
 			require.Equal(t, journal.Refused, records[0].State)
 			require.Equal(t, journal.Subject{Workspace: "club", Model: tt.model}, records[0].Subject)
-			require.Equal(t, []journal.What{journal.Received, journal.Ended}, whats(records[0]))
+			require.Equal(t, []journal.What{journal.Received, journal.Ended}, stepKinds(records[0]))
 			require.Equal(t, tt.code, records[0].Steps[1].Reason)
 		})
 	}
@@ -56,17 +56,17 @@
 	require.Empty(t, j.Find(nobody.header.Get("X-Request-Id")))
 }
 
-// A caller leaves in the middle and comes back. The id that it got with the
-// first token tells both parts of the story.
-func TestResumedGenerationCanBeExplained(t *testing.T) {
+// A caller disconnects during a stream and resumes. The journal holds the entries of both
+// connections under the generation ID.
+func TestJournalOfResumedGeneration(t *testing.T) {
 	j := journal.New(journal.DefaultLimits)
 	f := startServer(t, testConfig(startEngine(t, 5)), func(o *Options) { o.Journal = j })
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	resp := f.open(ctx, t, request{path: "/v1/chat/completions", body: streamed(chatBody)})
 	defer resp.Body.Close()
 	id := resp.Header.Get(headerGeneration)
 	readEvents(bufio.NewReader(resp.Body), 3)
-	leave()
+	disconnect()
 	require.Eventually(t, func() bool {
 		records := j.Find(id)
 		return len(records) == 1 && records[0].Steps[len(records[0].Steps)-1].What == journal.CallerGone
@@ -82,7 +82,7 @@
 	records := j.Find(id)
 	require.Equal(t, []journal.What{
 		journal.Received, journal.Permit, journal.Sent, journal.FirstToken, journal.CallerGone, journal.TakenOver, journal.Ended,
-	}, whats(records[0]))
+	}, stepKinds(records[0]))
 	require.Equal(t, "engine-1", records[0].Server)
 	require.Equal(t, journal.Received, records[1].Steps[0].What)
 	require.Equal(t, journal.Step{At: records[1].Steps[1].At, What: journal.Resumed, Server: "engine-1", Count: 3}, records[1].Steps[1])
--- a/internal/caller/listen.go
+++ b/internal/caller/listen.go
@@ -9,8 +9,8 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Listen opens the listener for callers. It is without multipath TCP, which Go
-// asks for by itself: that has no limit for what stays unacknowledged.
+// Listen opens the listener for callers. It disables multipath TCP, Go's default, which has no
+// timeout for unacknowledged data.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	var listen net.ListenConfig
 	listen.SetMultipathTCP(false)
@@ -21,18 +21,18 @@
 	return ln, nil
 }
 
-// bound sets what callers may leave unread.
-func bound(ln net.Listener, limit time.Duration) error {
+// limitUnread limits the data that callers may leave unread.
+func limitUnread(ln net.Listener, limit time.Duration) error {
 	socket, ok := ln.(syscall.Conn)
 	if !ok {
-		return merry.Prepend(ErrOptions, "the listener is no socket")
+		return merry.Prepend(ErrOptions, "the listener is not a socket")
 	}
 	c, err := socket.SyscallConn()
 	if err == nil {
-		err = boundUnread(c, limit)
+		err = setUnreadLimits(c, limit)
 	}
 	if err != nil {
-		return merry.Prepend(err, "bound what callers leave unread")
+		return merry.Prepend(err, "limit the unread data of callers")
 	}
 	return nil
 }
--- a/internal/caller/logs_test.go
+++ b/internal/caller/logs_test.go
@@ -16,23 +16,22 @@
 	"pollenspindle.example/pollenspindle/internal/telemetry"
 )
 
-// A caller's request fails in one way or another while logs are at their most
-// talkative, and errors are logged with their causes. Parsers of lower layers
-// quote what they could not read, which is the caller's prompt or its answer;
-// neither these nor the caller's token may be in a log.
-func TestLogsHoldNothingOfRequests(t *testing.T) {
+// Requests fail in different ways at log level debug, with causes of errors logged. Parsers quote
+// input that they can't read, which may be a caller's prompt or its response. Neither of them nor
+// the caller's token may be logged.
+func TestLogsHoldNoRequestContent(t *testing.T) {
 	const secret = "gusting-to-forty"
 	ok := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Engine-Incarnation: e1\r\n\r\n"
 	prompt := strings.Replace(chatBody, `"content":"`, `"content":"`+secret, 1)
 	require.Contains(t, prompt, secret)
 	tests := map[string]struct{ body, answer string }{
-		"caller's JSON is broken":  {prompt[:len(prompt)-1], ""},
-		"caller's field is wrong":  {`{"model":{"` + secret + `":1},"messages":"` + secret + `"}`, ""},
-		"engine's header is none":  {prompt, secret + " " + secret + "\r\n\r\n"},
-		"engine's field is broken": {prompt, "HTTP/1.1 200 OK\r\n" + secret + "\r\n\r\n" + secret},
-		"engine's chunk is broken": {prompt, ok + "id: 1\ndata: {" + secret + "\n\n"},
-		"engine's event is broken": {prompt, ok + "id: " + secret + "\ndata: " + secret + "\n\n"},
-		"engine refuses":           {prompt, "HTTP/1.1 400 Bad Request\r\nContent-Length: 16\r\n\r\n" + secret},
+		"caller's JSON is broken":    {prompt[:len(prompt)-1], ""},
+		"caller's field is wrong":    {`{"model":{"` + secret + `":1},"messages":"` + secret + `"}`, ""},
+		"engine's header is invalid": {prompt, secret + " " + secret + "\r\n\r\n"},
+		"engine's field is broken":   {prompt, "HTTP/1.1 200 OK\r\n" + secret + "\r\n\r\n" + secret},
+		"engine's chunk is broken":   {prompt, ok + "id: 1\ndata: {" + secret + "\n\n"},
+		"engine's event is broken":   {prompt, ok + "id: " + secret + "\ndata: " + secret + "\n\n"},
+		"engine refuses":             {prompt, "HTTP/1.1 400 Bad Request\r\nContent-Length: 16\r\n\r\n" + secret},
 	}
 	t.Cleanup(func() { zerolog.SetGlobalLevel(zerolog.InfoLevel) })
 	for name, tt := range tests {
@@ -43,7 +42,7 @@
 				Settings: settings.Settings{Instance: "i1", Log: settings.Log{Level: "debug"}}, ErrOut: zerolog.SyncWriter(&logs),
 			})
 			require.NoError(t, err)
-			f := startServer(t, testConfig(startAnswering(t, tt.answer)), func(o *Options) { o.Logger = tel.Log })
+			f := startServer(t, testConfig(startFixedServer(t, tt.answer)), func(o *Options) { o.Logger = tel.Log })
 			for _, body := range []string{tt.body, strings.Replace(tt.body, "{", `{"stream":true,`, 1)} {
 				req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, f.url+"/v1/chat/completions", strings.NewReader(body))
 				require.NoError(t, err)
@@ -62,8 +61,8 @@
 	}
 }
 
-// startAnswering gives each connection the same bytes, and closes it.
-func startAnswering(t *testing.T, answer string) string {
+// startFixedServer sends the same bytes on each connection and closes it.
+func startFixedServer(t *testing.T, answer string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
--- a/internal/caller/memory_test.go
+++ b/internal/caller/memory_test.go
@@ -13,23 +13,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkOpenStreams gives the memory that one open stream takes in an entry
-// instance. Caller and engine are bare connections in the same process, so the
-// figure is a little too high.
+// BenchmarkOpenStreams measures the memory of one open stream in an entry instance. Caller and
+// engine are plain connections in the same process, which makes the result a little too high.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 500
 	f := startServer(b, testConfig(oneTokenEngine(b)))
-	// Pools and caches of the first streams aren't counted.
+	// Fills pools and caches, which are not counted.
 	closeAll(openStreams(b, f, streams))
 	for b.Loop() {
-		before := memory()
+		before := memoryInUse()
 		conns := openStreams(b, f, streams)
-		b.ReportMetric(float64(memory()-before)/streams, "B/stream")
+		b.ReportMetric(float64(memoryInUse()-before)/streams, "B/stream")
 		closeAll(conns)
 	}
 }
 
-func memory() int64 {
+func memoryInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -49,7 +48,7 @@
 		conns[i] = conn
 	}
 	for _, conn := range conns {
-		// The first token has come.
+		// Wait for the first token.
 		_, err := io.ReadAtLeast(conn, make([]byte, 512), 300)
 		require.NoError(b, err)
 	}
@@ -62,7 +61,7 @@
 	}
 }
 
-// oneTokenEngine gives one token on each connection and then nothing.
+// oneTokenEngine sends one token on each connection and then nothing.
 func oneTokenEngine(b *testing.B) string {
 	const event = "id: 1\ndata: {\"id\":\"c\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"calm\"},\"finish_reason\":null}]}\n\n"
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/caller/request.go
+++ b/internal/caller/request.go
@@ -15,9 +15,10 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
+// bodyReadKey is set in the context of a request whose body was read to its end.
 const bodyReadKey = "bodyRead"
 
-// identity is who asks, under one version of the configuration.
+// identity is the workspace of a request, as of one version of the configuration.
 type identity struct {
 	snapshot  *config.Snapshot
 	workspace *pollenspindle.Workspace
@@ -25,9 +26,9 @@
 
 // authenticate finds the workspace of the bearer token.
 //
-// The token's SHA-256 is looked up in a map. That takes a time that depends
-// on the hash, but a caller can't choose hashes, so it learns nothing about
-// other tokens from it; a comparison in constant time would add nothing.
+// The token's SHA-256 is looked up in a map, whose timing depends on the hash. Callers can't
+// choose hashes, so the timing reveals nothing about other tokens, and a constant-time comparison
+// would add no protection.
 func (s *Server) authenticate(c *app.RequestContext) (identity, error) {
 	snapshot := s.opts.Config.Snapshot()
 	if token, ok := bearerToken(c); ok && snapshot != nil {
@@ -44,7 +45,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// readBody reads the body up to the limit.
+// readBody reads the body and fails if it is larger than limit bytes.
 func readBody(c *app.RequestContext, limit int) ([]byte, error) {
 	if limit <= 0 || limit > maxBodyBytes {
 		limit = maxBodyBytes
@@ -62,7 +63,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(c.RequestBodyStream(), int64(limit)+1))
 	if err != nil {
-		return nil, answer.Invalid("body", "ended before its length")
+		return nil, answer.Invalid("body", "is shorter than its Content-Length")
 	}
 	if len(body) > limit {
 		return nil, tooLarge(limit)
--- a/internal/caller/resume.go
+++ b/internal/caller/resume.go
@@ -16,15 +16,15 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// located is a generation of the caller and where it runs.
+// located is a generation of the caller and the backend server that runs it.
 type located struct {
 	id     generation.ID
 	text   string
 	server *pollenspindle.Server
 }
 
-// locate reads the id in the path. A generation of another workspace is not
-// found, like one that never was, so that ids can't be tried out.
+// locate finds the generation whose ID is in the path. A generation of another workspace gives
+// the same "not found" as an unknown one, so that IDs can't be probed.
 func (s *Server) locate(c *app.RequestContext) (located, error) {
 	who, err := s.authenticate(c)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return located{id, text, server}, nil
 }
 
-// resume goes on with a stream that another connection began, perhaps through
-// another instance. It is not new work: it takes no permit.
+// resume continues a stream that another connection started, perhaps through another instance.
+// The generation already runs, so no permit is needed.
 func (s *Server) resume(ctx context.Context, c *app.RequestContext) error {
 	at, err := s.locate(c)
 	if err != nil {
@@ -61,7 +61,7 @@
 	entry.Name(at.text)
 	trace.SpanFromContext(ctx).SetAttributes(attribute.String("generation.id", at.text))
 	entry.Add(journal.Step{At: now(), What: journal.Resumed, Server: at.server.Name, Count: after})
-	s.tellHolder(c, at)
+	s.notifyEntry(c, at)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g, err := s.relay.Attach(ctx, relay.Attachment{
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// CancelGeneration ends a generation of any workspace, for operators. The
-// error is an *answer.Failure.
+// CancelGeneration cancels a generation of any workspace, for operators. The error is an
+// [*answer.Failure].
 func (s *Server) CancelGeneration(ctx context.Context, text string) error {
 	id, err := s.codec.Parse(text)
 	if err != nil {
@@ -112,9 +112,9 @@
 	return s.relay.Cancel(ctx, server.Address, id.Request)
 }
 
-// takeOver is asked by another instance, on behalf of the caller that came
+// serveResumeNotice handles the notice of another instance that a caller resumed its generation
 // there.
-func (s *Server) takeOver(_ context.Context, c *app.RequestContext) error {
+func (s *Server) serveResumeNotice(_ context.Context, c *app.RequestContext) error {
 	at, err := s.locate(c)
 	if err != nil {
 		return err
--- a/internal/caller/routes.go
+++ b/internal/caller/routes.go
@@ -23,8 +23,8 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// shutdownRetryAfter is said by an instance that stops: another one answers
-// at once.
+// shutdownRetryAfter is the Retry-After of an instance that shuts down. It is short, since other
+// instances can serve the request immediately.
 const shutdownRetryAfter = 100 * time.Millisecond
 
 func newHertz(opts Options) *server.Hertz {
@@ -36,23 +36,22 @@
 		server.WithUseRawPath(true),
 		server.WithUnescapePathValues(false),
 		server.WithDisablePreParseMultipartForm(true),
-		// Handlers read the body, so that they say in the usual form when it
-		// is too large and refuse the rest without reading it.
+		// Handlers read the body themselves, so that they can reject one that is too large with
+		// the usual failure and without reading the rest.
 		server.WithStreamBody(true),
 		server.WithMaxHeaderBytes(maxHeaderBytes),
 		server.WithReadTimeout(readTimeout),
 		server.WithWriteTimeout(opts.SlowCaller),
 		server.WithIdleTimeout(idleTimeout),
 		server.WithExitWaitTime(endMargin),
-		server.WithOnConnect(boundConnections(maxConnections)),
+		server.WithOnConnect(limitConnections(maxConnections)),
 	}
 	return server.New(options...)
 }
 
-// boundConnections closes connections beyond a limit at once. Without it,
-// callers that reconnect in a storm take all file descriptors, and the
-// instance can reach neither engines nor peers.
-func boundConnections(limit int) func(context.Context, network.Conn) context.Context {
+// limitConnections closes connections above the limit immediately. Without it, a reconnect storm
+// of callers uses up all file descriptors, and the instance can reach neither engines nor peers.
+func limitConnections(limit int) func(context.Context, network.Conn) context.Context {
 	slots := make(chan struct{}, limit)
 	return func(ctx context.Context, conn network.Conn) context.Context {
 		select {
@@ -66,7 +65,7 @@
 	}
 }
 
-// handler answers one request or returns a failure; nothing was written then.
+// handler serves one request. If it returns an error, it has written nothing.
 type handler func(ctx context.Context, c *app.RequestContext) error
 
 func (s *Server) routes() {
@@ -79,8 +78,8 @@
 	h.POST("/v1/completions", s.wrap("completions", s.completions))
 	h.GET("/v1/generations/:id", s.wrap("resume", s.resume))
 	h.DELETE("/v1/generations/:id", s.wrap("cancel", s.cancel))
-	// Also while the instance stops: it may hold the generation until the end.
-	h.POST("/v1/generations/:id/takeover", s.wrapOpen("takeover", s.takeOver))
+	// Served during a shutdown too, since the instance may hold the generation until its end.
+	h.POST("/v1/generations/:id/takeover", s.wrapOpen("takeover", s.serveResumeNotice))
 	h.Any("/v1/services/:service", s.wrap("service", s.service))
 	h.Any("/v1/services/:service/*path", s.wrap("service", s.service))
 	h.NoRoute(s.wrapOpen("none", noRoute))
@@ -90,8 +89,8 @@
 	return answer.NotRun(http.StatusNotFound, answer.CodeNotFound, "path: unknown")
 }
 
-// wrapOpen makes a hertz handler that is always answered, also while the
-// instance stops: probes and the list of instances.
+// wrapOpen returns a hertz handler for requests that bypass the gate and are served during a
+// shutdown too, such as probes and the list of instances.
 func (s *Server) wrapOpen(name string, h handler) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		defer s.recover(c, name, nil)
@@ -101,17 +100,17 @@
 	}
 }
 
-// wrap makes a hertz handler that is counted by the gate and traced.
+// wrap returns a hertz handler for requests that pass the gate and are traced.
 func (s *Server) wrap(name string, h handler) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
-		// A full or stopping instance refuses at once: the caller gets to
-		// another one sooner than any queue here would end.
+		// A full or stopping instance refuses immediately: the caller reaches another instance
+		// sooner than it would leave a queue here.
 		switch s.gate.Enter() {
 		case gateStopped:
 			s.fail(c, name, &permit.Refusal{Reason: permit.ReasonShuttingDown, RetryAfter: shutdownRetryAfter})
 			return
 		case gateFull:
-			f := answer.NotRun(http.StatusServiceUnavailable, answer.CodeTooManyStreams, "this entry instance is full")
+			f := answer.NotRun(http.StatusServiceUnavailable, answer.CodeTooManyStreams, "this entry instance serves its maximum number of requests")
 			f.RetryAfter = time.Second
 			s.fail(c, name, f)
 			return
@@ -131,8 +130,8 @@
 	}
 }
 
-// beginEntry gives the request an id, which its caller gets in any case, so
-// that an operator can be asked about a refused request too.
+// beginEntry assigns the request ID and starts the request's journal entry. Every caller gets the
+// ID, so that an operator can look up refused requests too.
 func (s *Server) beginEntry(c *app.RequestContext, name string) *journal.Entry {
 	id, err := s.codec.FormatRequest(generation.RequestID{Entry: s.opts.Address, Unique: uuid.NewString()})
 	if err != nil {
@@ -149,26 +148,26 @@
 	return journal.Failed
 }
 
-// startSpan starts the span of this hop under the caller's own.
+// startSpan starts the span of this hop as a child of the caller's span.
 //
-// The failure that the limit is for: a caller, also one without a token, marks
-// each of its requests to be traced. Spans of every hop would then be made and
-// sent for all of them, and be paid for by the other callers' tokens. Above the
-// limit a request keeps its trace id and is served without spans.
+// A rate limit applies to requests that their callers mark as sampled, since any caller, even one
+// without a token, could mark all its requests: recording and exporting spans of every hop would
+// slow down the streams of other callers. Above the limit a request keeps its trace ID and is
+// served without spans.
 func (s *Server) startSpan(ctx context.Context, now time.Time, c *app.RequestContext, name string) (context.Context, trace.Span) {
 	carrier := propagation.MapCarrier{
 		"traceparent": string(c.GetHeader("traceparent")),
 		"tracestate":  string(c.GetHeader("tracestate")),
 	}
 	ctx = propagation.TraceContext{}.Extract(ctx, carrier)
-	if parent := trace.SpanContextFromContext(ctx); parent.IsSampled() && !s.asked.AllowN(now, 1) {
+	if parent := trace.SpanContextFromContext(ctx); parent.IsSampled() && !s.traceLimiter.AllowN(now, 1) {
 		ctx = trace.ContextWithRemoteSpanContext(ctx, parent.WithTraceFlags(parent.TraceFlags().WithSampled(false)))
 	}
 	return s.tracer.Start(ctx, "caller."+name, trace.WithSpanKind(trace.SpanKindServer))
 }
 
-// recover turns a panic into a failure. One bad request must not end the
-// process, which carries many others; what became of it isn't known.
+// recover turns a panic into a failure, so that one bad request doesn't end the process, which
+// serves many others. The outcome of the request is unknown.
 func (s *Server) recover(c *app.RequestContext, name string, entry *journal.Entry) {
 	r := recover()
 	if r == nil {
@@ -187,7 +186,7 @@
 	c.SetConnectionClose()
 }
 
-// fail answers with a failure.
+// fail writes the failure response for err.
 func (s *Server) fail(c *app.RequestContext, name string, err error) {
 	f := answer.Of(err)
 	s.scope.Tagged(map[string]string{"code": string(f.Code)}).Counter("failures").Inc(1)
@@ -199,7 +198,7 @@
 		c.Response.Header.Set("WWW-Authenticate", "Bearer")
 	}
 	if c.Request.IsBodyStream() && !bodyRead(c) {
-		// The rest of the body would be read as the next request.
+		// The unread rest of the body would be parsed as the next request.
 		c.SetConnectionClose()
 	}
 	c.Data(f.Status, "application/json", f.JSON())
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -1,13 +1,13 @@
-// Package caller is the HTTP API towards callers: which entry instances to
-// use, generations in OpenAI's form, and calls to plain services.
+// Package caller serves the HTTP API for callers: the list of entry instances, generations in
+// OpenAI's format, and calls to plain services.
 //
 // # Usage
 //
 //	s, err := caller.NewServer(caller.Options{Address: "10.0.0.1:8080", ...})
 //	go s.Run(ctx)
 //	...
-//	s.Drain()         // fail readiness, go on accepting
-//	s.Shutdown(ctx)   // wait out answers of /v1/instances, end every stream, stop
+//	s.Drain()         // fail readiness, keep accepting requests
+//	s.Shutdown(ctx)   // wait until cached instance lists expire, end all streams, stop
 package caller
 
 import (
@@ -36,40 +36,40 @@
 )
 
 const (
-	// maxHeaderBytes is room for a long token and trace headers.
+	// maxHeaderBytes is enough for a long token and trace headers.
 	maxHeaderBytes = 16 << 10
-	// maxBodyBytes bounds bodies before the configuration's own limit is
-	// known, and when it sets none.
+	// maxBodyBytes limits request bodies while the configuration's limit is unknown or unset,
+	// and is the upper end of that limit.
 	maxBodyBytes = 8 << 20
-	// maxConnections bounds the callers connected at the same time; a further
-	// connection is closed at once.
+	// maxConnections limits the open connections of callers. Further ones are closed
+	// immediately.
 	maxConnections = 8192
-	// maxRequests bounds the requests at work; a further one is refused.
+	// maxRequests limits the running requests. Further ones are refused.
 	maxRequests = 4096
-	// readTimeout bounds reading one request, so that a caller that sends a
-	// byte a minute doesn't hold a connection.
+	// readTimeout limits the reading of one request, so that a caller that sends a byte a minute
+	// doesn't occupy a connection.
 	readTimeout = 20 * time.Second
-	// idleTimeout ends connections without requests.
+	// idleTimeout closes connections without requests.
 	idleTimeout = 90 * time.Second
-	// backgroundPool bounds the notices to other entry instances under way; a
-	// further one is dropped and counted.
-	backgroundPool = 64
-	// drainMargin is added to how long callers keep an answer of
-	// /v1/instances: it covers the way of the answer.
+	// maxNotices limits the concurrent notices to other entry instances. Further ones are
+	// dropped and counted.
+	maxNotices = 64
+	// drainMargin is added to the time for which callers may cache a response of /v1/instances.
+	// It covers the network delay of the response.
 	drainMargin = 500 * time.Millisecond
-	// endMargin is how long handlers get to write their last event.
+	// endMargin is the time that handlers have at a shutdown to write their last event.
 	endMargin = 2 * time.Second
 )
 
-// ErrOptions means that NewServer was given unusable options.
+// ErrOptions means that the options of [NewServer] are invalid.
 var ErrOptions = merry.New("unusable caller options")
 
-// ConfigSource gives the configuration in force.
+// ConfigSource provides the active configuration.
 type ConfigSource interface {
 	Snapshot() *config.Snapshot
-	// Confirmed reports whether the configuration was confirmed with the
-	// platform or a peer during the time before now.
-	Confirmed(now time.Time, within time.Duration) bool
+	// Confirmed reports whether the platform or a peer confirmed the configuration at most maxAge
+	// before now.
+	Confirmed(now time.Time, maxAge time.Duration) bool
 }
 
 // Instance is an entry instance that callers may use.
@@ -79,15 +79,15 @@
 	Zone    string
 }
 
-// Instances gives the live entry instances that aren't leaving, and the epoch.
+// Instances provides the live entry instances that aren't leaving, and the roster's epoch.
 type Instances interface {
 	Live() ([]Instance, int64)
 }
 
 // Options configures a [Server].
 type Options struct {
-	// Address is where callers reach this instance; that of the listener if
-	// it is empty. Listener is one of [Listen].
+	// Address is where callers reach this instance; empty means the listener's address. Listener
+	// comes from [Listen].
 	Address   string
 	Listener  net.Listener
 	Config    ConfigSource
@@ -95,45 +95,45 @@
 	Permits   permit.Acquirer
 	Engine    relay.Engine
 	Services  forward.Client
-	// Claims may be nil; then calls with an idempotency key are refused.
+	// Claims may be nil: calls with an idempotency key are then refused.
 	Claims        forward.Claims
 	Retries       *retry.Budgets
 	GenerationKey []byte
-	// AcceptedGenerationKeys are further keys whose ids are read.
+	// AcceptedGenerationKeys are further keys whose generation IDs are accepted.
 	AcceptedGenerationKeys [][]byte
 	Timing                 settings.Timing
-	// Grace is how long a generation is kept for a caller that has gone; zero
-	// takes [relay.DefaultGrace].
+	// Grace is how long a generation keeps running after its caller disconnected; zero means
+	// [relay.DefaultGrace].
 	Grace time.Duration
-	// SlowCaller is how long a caller may leave unread or unacknowledged what
-	// is written to it; zero takes [relay.DefaultSlowCaller].
+	// SlowCaller is how long data written to a caller may stay unread or unacknowledged; zero
+	// means [relay.DefaultSlowCaller].
 	SlowCaller time.Duration
-	// Journal keeps the steps of requests; nil keeps none.
+	// Journal records the steps of requests; nil records none.
 	Journal *journal.Journal
 	Logger  zerolog.Logger
 	Scope   tally.Scope
 	Tracer  trace.Tracer
-	// CallerTraces bounds the requests a second that are traced because their
-	// callers ask for it; zero allows none.
+	// CallerTraces limits the requests per second that are traced because their callers sampled
+	// them; zero allows none.
 	CallerTraces int
 }
 
-// Server serves callers.
+// Server serves the HTTP API for callers.
 type Server struct {
-	opts       Options
-	hertz      *server.Hertz
-	relay      *relay.Relay
-	forward    *forward.Forwarder
-	codec      *generation.Codec
-	gate       *gate
-	prefixes   *placement.Prefixes
-	background *ants.Pool
-	peers      *peerCaller
-	log        zerolog.Logger
-	scope      tally.Scope
-	tracer     trace.Tracer
-	// asked bounds the traces that callers ask for.
-	asked *rate.Limiter
+	opts     Options
+	hertz    *server.Hertz
+	relay    *relay.Relay
+	forward  *forward.Forwarder
+	codec    *generation.Codec
+	gate     *gate
+	prefixes *placement.Prefixes
+	notices  *ants.Pool
+	peers    *peerClient
+	log      zerolog.Logger
+	scope    tally.Scope
+	tracer   trace.Tracer
+	// traceLimiter limits the requests that are traced because their callers sampled them.
+	traceLimiter *rate.Limiter
 }
 
 // NewServer returns a server that is ready to run.
@@ -148,7 +148,7 @@
 	s := &Server{
 		opts: opts, codec: codec, gate: newGate(maxRequests), log: opts.Logger,
 		prefixes: placement.NewPrefixes(), scope: opts.Scope, tracer: opts.Tracer,
-		asked: rate.NewLimiter(rate.Limit(opts.CallerTraces), opts.CallerTraces),
+		traceLimiter: rate.NewLimiter(rate.Limit(opts.CallerTraces), opts.CallerTraces),
 	}
 	if s.relay, err = newRelay(opts, s.confirmed); err != nil {
 		return nil, err
@@ -156,13 +156,13 @@
 	if s.forward, err = newForwarder(opts, s.confirmed); err != nil {
 		return nil, err
 	}
-	if s.background, err = ants.NewPool(backgroundPool, ants.WithNonblocking(true)); err != nil {
+	if s.notices, err = ants.NewPool(maxNotices, ants.WithNonblocking(true)); err != nil {
 		return nil, merry.Wrap(ErrOptions, merry.WithCause(err))
 	}
-	if s.peers, err = newPeerCaller(); err != nil {
+	if s.peers, err = newPeerClient(); err != nil {
 		return nil, err
 	}
-	if err := bound(opts.Listener, opts.SlowCaller); err != nil {
+	if err := limitUnread(opts.Listener, opts.SlowCaller); err != nil {
 		return nil, err
 	}
 	s.hertz = newHertz(opts)
@@ -207,7 +207,7 @@
 	})
 }
 
-// Run serves until Shutdown. The error is nil after a shutdown.
+// Run serves callers until [Server.Shutdown] and then returns nil.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { s.hertz.Close() })
 	defer stop()
@@ -217,14 +217,14 @@
 	return nil
 }
 
-// Drain fails readiness. Requests are still accepted: callers that hold an
-// older answer of /v1/instances go on coming until it expires.
+// Drain makes the readiness probe fail. Requests are still accepted, since callers with an older
+// response of /v1/instances keep using this instance until that expires.
 func (s *Server) Drain() { s.gate.Drain() }
 
-// Shutdown drains, waits until no caller holds an answer of /v1/instances
-// that named this instance, then takes no new work and lets every request
-// end. What hasn't ended after the stop limit, or when ctx ends, is told to
-// resume through another instance.
+// Shutdown drains and waits until every response of /v1/instances that lists this instance has
+// expired. It then refuses new requests and waits for the running ones. Callers of streams that
+// still run after [settings.Timing.StopSeconds], or when ctx ends, are asked to resume through
+// another instance.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.Drain()
 	wait(ctx, time.Duration(s.opts.Timing.AddressSeconds)*time.Second+drainMargin)
@@ -242,7 +242,7 @@
 	}
 	s.relay.Close()
 	s.forward.Close()
-	s.background.Release()
+	s.notices.Release()
 	s.peers.Close()
 }
 
@@ -252,7 +252,7 @@
 
 func wait(ctx context.Context, d time.Duration) { waitFor(ctx, nil, d) }
 
-// waitFor reports whether done came before d and the end of ctx.
+// waitFor reports whether done was closed before d passed and before ctx ended.
 func waitFor(ctx context.Context, done <-chan struct{}, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -17,7 +17,7 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-func TestInstancesSpreadAndStay(t *testing.T) {
+func TestInstanceOrderSpreadsCallersAndIsStable(t *testing.T) {
 	f := startServer(t, testConfig("127.0.0.1:1"))
 	var got InstancesAnswer
 	r := f.do(t, request{method: "GET", path: "/v1/instances", token: "-"})
@@ -26,8 +26,8 @@
 	require.Equal(t, 1, got.TTLSeconds)
 	require.Equal(t, int64(7), got.Epoch)
 
-	// Of many callers each instance is the first of a fair share; when one is
-	// lost, only its own callers move.
+	// Each instance is the first choice of an equal share of callers; when an instance is lost,
+	// only its own callers change theirs.
 	live := []Instance{{ID: "1", Address: "a"}, {ID: "2", Address: "b"}, {ID: "3", Address: "c"}}
 	first := map[string]int{}
 	for i := range 3000 {
@@ -43,8 +43,8 @@
 	}
 }
 
-// An instance that lost platform and peers might serve a zone that was taken
-// out: it fails readiness and takes no new work, and says "not run".
+// An instance that reaches neither the platform nor its peers might send to a drained zone. It
+// must fail readiness and refuse new requests with the outcome "not run".
 func TestUnconfirmedConfiguration(t *testing.T) {
 	cfg := testConfig("127.0.0.1:1")
 	f := startServer(t, cfg)
@@ -58,7 +58,7 @@
 		require.Equal(t, answer.OutcomeNotRun, d.Outcome)
 		require.Equal(t, "1", r.header.Get("Retry-After"))
 	}
-	require.Zero(t, f.permits.given)
+	require.Zero(t, f.permits.issued)
 }
 
 func TestPanicIsAnswered(t *testing.T) {
@@ -67,14 +67,13 @@
 	f.server.wrap("x", func(context.Context, *app.RequestContext) error { panic("boom") })(t.Context(), c)
 	require.Equal(t, http.StatusInternalServerError, c.Response.StatusCode())
 	require.Contains(t, string(c.Response.Body()), `"outcome":"unknown"`)
-	require.Equal(t, admitted, f.server.gate.Enter(), "the panic gave its place back")
+	require.Equal(t, admitted, f.server.gate.Enter(), "the panic released its slot")
 	f.server.gate.Leave()
 }
 
-// A shutdown begins while an answer streams. The stream goes on to its end;
-// callers with an older list of instances are served until that has expired;
-// then new requests are refused as not run, and the process can stop.
-func TestShutdownCutsNothing(t *testing.T) {
+// A shutdown starts during a stream. The stream must complete, and callers with an older list of
+// instances must be served until the list has expired.
+func TestShutdownCompletesStreams(t *testing.T) {
 	f := startServer(t, testConfig(startEngine(t, 1)))
 	resp := f.open(t.Context(), t, request{path: "/v1/chat/completions", body: streamed(chatBody)})
 	defer resp.Body.Close()
@@ -100,9 +99,9 @@
 	require.True(t, f.permits.balanced())
 }
 
-// The stop limit of a shutdown is reached while an answer streams. Its caller
-// gets an event that names its position and goes on through another instance.
-func TestStopLimitSendsCallersElsewhere(t *testing.T) {
+// A stream runs longer than the time limit of a shutdown. Its caller gets an event with its
+// position and resumes through another instance.
+func TestStreamResumesElsewhereAfterStopLimit(t *testing.T) {
 	cfg := testConfig(startEngine(t, 1))
 	first, second := startServer(t, cfg), startServer(t, cfg)
 	resp := first.open(t.Context(), t, request{path: "/v1/chat/completions", body: streamed(chatBody)})
--- a/internal/caller/services.go
+++ b/internal/caller/services.go
@@ -21,13 +21,13 @@
 	maxKeyCharacters = 255
 )
 
-// notForwarded are the fields that are for entry instances: a service never
-// sees a caller's token, and the trace goes on with the span of this hop.
+// notForwarded holds the request headers that are meant for entry instances only: a service must
+// not see a caller's token, and the trace continues with the span of this hop.
 var notForwarded = map[string]bool{
 	"authorization": true, "traceparent": true, "tracestate": true,
 }
 
-// service passes a call on to a plain service.
+// service forwards a call to a plain service.
 func (s *Server) service(ctx context.Context, c *app.RequestContext) error {
 	who, err := s.authenticate(c)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// call reads a call from the request.
+// call builds the call to forward from the request.
 func (s *Server) call(c *app.RequestContext, who identity) (forward.Call, error) {
 	name, path, query, err := target(string(c.Request.Header.RequestURI()))
 	if err != nil {
@@ -81,8 +81,8 @@
 	}, nil
 }
 
-// target splits the request target as it came: the path goes to the service
-// unchanged, so it isn't taken from a parsed URL, which resolves dots.
+// target splits the raw request target. The path is forwarded unchanged, so it isn't taken from a
+// parsed URL, which resolves dot segments.
 func target(uri string) (name, path, query string, err error) {
 	rest, ok := strings.CutPrefix(uri, servicesPrefix)
 	if !ok {
@@ -96,7 +96,7 @@
 	return name, "/" + path, query, nil
 }
 
-// readHeader returns the fields to pass on and the idempotency key.
+// readHeader returns the headers to forward and the idempotency key.
 func readHeader(c *app.RequestContext) ([]service.Header, string, error) {
 	var header []service.Header
 	var keys []string
@@ -114,12 +114,13 @@
 	case len(keys) == 0:
 		return header, "", nil
 	case len(keys) > 1:
-		return nil, "", answer.Invalid(headerKey, "stands twice")
+		return nil, "", answer.Invalid(headerKey, "is given twice")
 	}
 	return header, keys[0], checkKey(keys[0])
 }
 
-// checkKey refuses an empty key too: its caller believes to be protected.
+// checkKey validates an idempotency key. An empty one is rejected too, since its caller expects
+// protection against duplicates.
 func checkKey(key string) error {
 	printable := strings.IndexFunc(key, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 	if key == "" || len(key) > maxKeyCharacters || !printable {
@@ -136,7 +137,7 @@
 			continue
 		}
 		if strings.EqualFold(h.Name, headerRequest) {
-			// The service names the request itself, and that is its answer.
+			// The service's own request ID replaces that of this instance.
 			c.Response.Header.Del(headerRequest)
 		}
 		c.Response.Header.Add(h.Name, h.Value)
--- a/internal/caller/services_test.go
+++ b/internal/caller/services_test.go
@@ -14,8 +14,8 @@
 	"pollenspindle.example/pollenspindle/internal/service"
 )
 
-// The service sees the call as the caller made it, but for what is between
-// the caller and the entry instance.
+// The service gets the call as the caller made it, without the headers that are meant for entry
+// instances.
 func TestServiceCall(t *testing.T) {
 	f := startServer(t, testConfig("127.0.0.1:1"))
 	r := f.do(t, request{
@@ -37,7 +37,7 @@
 	}
 }
 
-// storedClaims has run every key before.
+// storedClaims has a stored result for every key.
 type storedClaims struct{}
 
 func (storedClaims) Begin(context.Context, time.Time, claim.Key, string) claim.Answer {
@@ -54,7 +54,7 @@
 	require.Equal(t, "/bookings/1", r.header.Get("Location"))
 	require.Equal(t, "booked", string(r.body))
 	require.Empty(t, f.services.calls())
-	require.Zero(t, f.permits.given)
+	require.Zero(t, f.permits.issued)
 }
 
 func TestBadServiceCalls(t *testing.T) {
--- a/internal/caller/slow_test.go
+++ b/internal/caller/slow_test.go
@@ -12,15 +12,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller sends a request and then never reads. The engine goes on giving
-// tokens; what the caller leaves unread fills the instance's buffers. They are
-// bounded, so that after a while the connection ends, and as nobody comes back
-// the engine is free again long before the answer's end. What the caller finds
-// when it looks is the beginning of the answer, without an end marker, so that
-// it knows the position to resume after; an event may say that it was too slow.
+// A caller sends a request and never reads while the engine sends tokens. The instance's buffers
+// are limited, so the connection must end and the engine must be freed long before the response is
+// complete. The caller finds the beginning of the response without an end marker, so that it knows
+// the position to resume after; an event may report that it was too slow.
 func TestCallerThatNeverReads(t *testing.T) {
-	// Ring and bounded buffers held 683 tokens; with the kernel's own limit of
-	// 4 MiB they held 17,280.
+	// The ring and the limited buffers hold 683 tokens; with the kernel's default limit of 4 MiB
+	// they hold 17,280.
 	const maxTokens = 4000
 	s := startTokens(t, func(o *Options) { o.SlowCaller, o.Grace = 200*time.Millisecond, time.Millisecond })
 	defer s.close()
@@ -35,8 +33,8 @@
 	defer resp.Body.Close()
 	events := readEvents(bufio.NewReader(resp.Body), maxTokens)
 	require.NotEmpty(t, events)
-	// The ring's end and a full socket come at about the same time: the event
-	// that says so may still get through, and names the last position.
+	// The ring and the socket fill up at about the same time: the event that reports it may still
+	// be written, with the last position.
 	last := events[len(events)-1]
 	if last.kind == eventError {
 		events = events[:len(events)-1]
--- a/internal/caller/socket_other.go
+++ b/internal/caller/socket_other.go
@@ -7,5 +7,5 @@
 	"time"
 )
 
-// boundUnread does nothing: these systems aren't for operation.
-func boundUnread(syscall.RawConn, time.Duration) error { return nil }
+// setUnreadLimits does nothing: these systems aren't supported in production.
+func setUnreadLimits(syscall.RawConn, time.Duration) error { return nil }
--- a/internal/caller/token_test.go
+++ b/internal/caller/token_test.go
@@ -17,10 +17,9 @@
 const tokenData = "\ndata: {\"id\":\"8036dfc9\",\"object\":\"chat.completion.chunk\",\"created\":1796254948,\"model\":\"glide-7b\"," +
 	"\"choices\":[{\"index\":0,\"delta\":{\"content\":\"gusty \"},\"finish_reason\":null}]}\n\n"
 
-// BenchmarkRelayedToken gives what one token costs from an engine's socket to
-// a caller's. The engine sends a token when the caller has read the one
-// before, so that none are read together; both are bare connections that
-// allocate nothing.
+// BenchmarkRelayedToken measures the relaying of one token from an engine's socket to a caller's.
+// The engine sends a token after the caller has read the previous one, so that no two are read
+// together. Both are plain connections that allocate nothing.
 func BenchmarkRelayedToken(b *testing.B) {
 	s := startTokens(b)
 	defer s.close()
@@ -34,12 +33,12 @@
 	}
 }
 
-// maxTokenAllocations is above what a token takes, since background work of
-// the process is counted too and the race detector drops pooled buffers.
+// maxTokenAllocations is above the allocations of one token, since background work of the process
+// is counted too and the race detector drops pooled buffers.
 const maxTokenAllocations = 10
 
-// Callers don't see garbage, but an instance with some dozens of open streams
-// spends its processor time on it and holds several times what is live.
+// Allocations per token make an instance with some dozens of open streams spend its processor time
+// on garbage collection and hold several times its live memory.
 func TestTokenAllocations(t *testing.T) {
 	s := startTokens(t)
 	defer s.close()
@@ -48,12 +47,12 @@
 	require.Less(t, allocations, float64(maxTokenAllocations))
 }
 
-// tokens is one stream with a bare engine and a bare caller.
+// tokens is one stream between a plain engine connection and a plain caller connection.
 type tokens struct {
 	*fixture
 	caller net.Conn
 	engine net.Conn
-	at     int64
+	last   int64
 	out    []byte
 	in     []byte
 }
@@ -97,8 +96,8 @@
 
 // send sends the next token.
 func (s *tokens) send() error {
-	s.at++
-	event := strconv.AppendInt(append(s.in[:0], "id: "...), s.at, 10)
+	s.last++
+	event := strconv.AppendInt(append(s.in[:0], "id: "...), s.last, 10)
 	event = append(event, tokenData...)
 	s.out = strconv.AppendInt(s.out[:0], int64(len(event)), 16)
 	s.out = append(s.out, "\r\n"...)
@@ -107,7 +106,7 @@
 	return err
 }
 
-// check spares the allocations of require for each token.
+// check calls require only for an error, to avoid its allocations for each token.
 func (s *tokens) check(t testing.TB, err error) {
 	if err != nil {
 		require.NoError(t, err)
--- a/internal/caller/trace_test.go
+++ b/internal/caller/trace_test.go
@@ -10,10 +10,9 @@
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 )
 
-// A caller marks each of its requests to be traced. Those above the limit are
-// served like the others, and no span is made of them; with a limit of none, of
-// no request.
-func TestCallersTracesAreBounded(t *testing.T) {
+// A caller marks each of its requests as sampled. Requests above the limit must be served without
+// spans; with a limit of zero that applies to all.
+func TestLimitOfCallerTraces(t *testing.T) {
 	const requests = 5
 	tests := map[string]struct{ limit, want int }{
 		"none":  {0, 0},
@@ -27,8 +26,8 @@
 			f := startServer(t, testConfig("127.0.0.1:1"), func(o *Options) {
 				o.Tracer, o.CallerTraces = provider.Tracer("test"), tt.limit
 			})
-			// A limit that fills within the test would let more through.
-			f.server.asked.SetLimit(0)
+			// The limiter must not refill during the test.
+			f.server.traceLimiter.SetLimit(0)
 			for i := range requests {
 				req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, f.url+"/v1/models", nil)
 				require.NoError(t, err)
--- a/internal/caller/write.go
+++ b/internal/caller/write.go
@@ -22,29 +22,29 @@
 	headerRequest    = "X-Request-Id"
 	eventError       = "error"
 	doneMarker       = "[DONE]"
-	// maxWholeBytes bounds an answer that is collected.
-	maxWholeBytes = 8 << 20
+	// maxCompleteBytes limits the events that are collected for a response without streaming.
+	maxCompleteBytes = 8 << 20
 )
 
-// namer gives the id of a generation when it is known where it runs.
-type namer func(relay.Begun) (string, error)
+// idFunc returns the ID of a generation once the backend server that runs it is known.
+type idFunc func(relay.Begun) (string, error)
 
-// namer fills in where the generation of an id runs.
-func (s *Server) namer(ctx context.Context, of generation.ID) namer {
+// idFunc returns a function that completes id with the backend server that runs the generation.
+func (s *Server) idFunc(ctx context.Context, id generation.ID) idFunc {
 	return func(b relay.Begun) (string, error) {
-		of.Server, of.Incarnation, of.Request = b.Permit.Server, b.Incarnation, b.Request
-		id, err := s.codec.Format(of)
+		id.Server, id.Incarnation, id.Request = b.Permit.Server, b.Incarnation, b.Request
+		text, err := s.codec.Format(id)
 		if err != nil {
 			return "", err
 		}
-		journal.From(ctx).Name(id)
-		trace.SpanFromContext(ctx).SetAttributes(attribute.String("generation.id", id))
-		return id, nil
+		journal.From(ctx).Name(text)
+		trace.SpanFromContext(ctx).SetAttributes(attribute.String("generation.id", text))
+		return text, nil
 	}
 }
 
-// streamWriter writes one generation as server-sent events. Until the first
-// event nothing is written, so that a failure still has its own status.
+// streamWriter writes one generation as server-sent events. It writes nothing before the first
+// event, so that a failure until then still sets the HTTP status.
 type streamWriter struct {
 	c    *app.RequestContext
 	sse  *sse.Writer
@@ -53,41 +53,42 @@
 	last int64
 }
 
-// newStreamWriter returns a writer. A resumed stream has its id already and
-// gets no [relay.Begun]; for another one the id is empty until then.
+// newStreamWriter returns a writer. The ID of a resumed stream is known, since that gets no
+// [relay.Begun]; for a new stream it is empty until then.
 func newStreamWriter(c *app.RequestContext, id string) *streamWriter {
 	return &streamWriter{c: c, id: id, ids: openai.NewIDWriter(id)}
 }
 
-func (s *Server) writeStream(w *streamWriter, g *relay.Generation, name namer) error {
+func (s *Server) writeStream(w *streamWriter, g *relay.Generation, formatID idFunc) error {
 	c := w.c
 	for m := range g.Messages() {
 		switch m := m.(type) {
 		case relay.Begun:
-			id, err := name(m)
+			id, err := formatID(m)
 			if err != nil {
 				return answer.Of(err)
 			}
 			w.id, w.ids = id, openai.NewIDWriter(id)
 		case relay.Token:
 			if err := w.token(m.Event); err != nil {
-				return s.broken(c, err)
+				return s.closeOnError(c, err)
 			}
 		case relay.Finished:
 			w.begin()
-			return s.broken(c, w.sse.WriteEvent("", "", []byte(doneMarker)))
+			return s.closeOnError(c, w.sse.WriteEvent("", "", []byte(doneMarker)))
 		case relay.Failed:
-			return s.broken(c, w.fail(m.Failure))
+			return s.closeOnError(c, w.fail(m.Failure))
 		}
 	}
-	return s.broken(c, w.fail(&answer.Failure{
+	return s.closeOnError(c, w.fail(&answer.Failure{
 		Status: http.StatusServiceUnavailable, Code: answer.CodeSlowCaller, Outcome: answer.OutcomeRan,
 		Message: "events were read too slowly; resume after the last one",
 	}))
 }
 
-// broken ends a connection that can't be written to: the caller has gone.
-func (s *Server) broken(c *app.RequestContext, err error) error {
+// closeOnError closes the connection if a write to it failed, since the caller has disconnected.
+// It returns errors from before the first write unchanged.
+func (s *Server) closeOnError(c *app.RequestContext, err error) error {
 	if err == nil || c.Response.GetHijackWriter() == nil {
 		return err
 	}
@@ -110,7 +111,7 @@
 	if err != nil {
 		return w.fail(&answer.Failure{
 			Status: http.StatusBadGateway, Code: answer.CodeGenerationLost, Outcome: answer.OutcomeRan,
-			Message: "the backend server's answer isn't understood",
+			Message: "the backend server's response could not be parsed",
 		})
 	}
 	w.begin()
@@ -118,8 +119,7 @@
 	return w.sse.WriteEvent(strconv.FormatInt(e.Position, 10), "", data)
 }
 
-// fail ends the stream with an event, or returns the failure when nothing was
-// written yet.
+// fail ends the stream with an error event, or returns the failure if nothing was written yet.
 func (w *streamWriter) fail(f *answer.Failure) error {
 	if w.sse == nil {
 		return f
@@ -129,24 +129,25 @@
 	return w.sse.WriteEvent("", eventError, last.JSON())
 }
 
-func (s *Server) writeWhole(c *app.RequestContext, b *begun) error {
+// writeComplete collects the events of a generation and writes them as one response.
+func (s *Server) writeComplete(c *app.RequestContext, b *startedGeneration) error {
 	collector, size, id := openai.NewCollector(b.endpoint), 0, ""
 	for m := range b.generation.Messages() {
 		switch m := m.(type) {
 		case relay.Begun:
-			// A restart: what came before isn't part of this generation.
+			// The generation was restarted: earlier events are not part of it.
 			collector, size = openai.NewCollector(b.endpoint), 0
 			var err error
-			if id, err = b.name(m); err != nil {
+			if id, err = b.formatID(m); err != nil {
 				return answer.Of(err)
 			}
 		case relay.Token:
 			size += len(m.Event.Data)
-			if size > maxWholeBytes {
-				return wholeFailure(answer.CodeAnswerTooLarge, "the answer is too large; ask for a stream")
+			if size > maxCompleteBytes {
+				return badGateway(answer.CodeAnswerTooLarge, "the response is too large; request a stream")
 			}
 			if err := collector.Add(m.Event.Data); err != nil {
-				return wholeFailure(answer.CodeGenerationLost, "the backend server's answer isn't understood")
+				return badGateway(answer.CodeGenerationLost, "the backend server's response could not be parsed")
 			}
 		case relay.Finished:
 			body, err := collector.Whole(id, b.promptTokens)
@@ -163,6 +164,6 @@
 	return answer.Of(nil)
 }
 
-func wholeFailure(code answer.Code, message string) error {
+func badGateway(code answer.Code, message string) error {
 	return &answer.Failure{Status: http.StatusBadGateway, Code: code, Message: message, Outcome: answer.OutcomeRan}
 }
