--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -23,16 +23,16 @@
 	ExporterOTLP   = "otlp"
 )
 
-// maxAccepted bounds what is accepted beside the own key: an exchange needs one,
-// a second exchange begun before the first is over needs two. Each makes a wrong
-// token dearer to refuse.
+// maxAccepted limits the keys that are accepted in addition to the own one: a key rotation needs
+// one, a second rotation that starts before the first ends needs two. Each makes it more expensive
+// to reject a wrong token.
 const maxAccepted = 2
 
-// maxCallerTraces is about what an instance can serve in a second.
+// maxCallerTraces is about the number of requests that an instance can serve in a second.
 const maxCallerTraces = 1000
 
-// keyBytes is the length of a key, in bytes: that of the SHA-256 which the
-// keys are used with.
+// keyBytes is the length of a key in bytes, which equals that of the SHA-256 that the keys are used
+// with.
 const keyBytes = 32
 
 var (
@@ -46,7 +46,7 @@
 	sumPattern  = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// check adds the faults of values that have the right type.
+// check adds the faults of decoded values to doc.
 func check(doc *strictjson.Document, s Settings) {
 	c := checker{doc}
 	c.name("instance", s.Instance)
@@ -64,8 +64,8 @@
 	c.timing(s.Timing)
 }
 
-// checker adds a fault to a field only when decoding found none there, since
-// the value of a field of the wrong type is empty and would look missing.
+// checker adds a fault to a field only if decoding found none there: a field of the wrong type has
+// a zero value and would be reported as missing too.
 type checker struct{ doc *strictjson.Document }
 
 func (c checker) add(path, format string, args ...any) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// missing reports whether value is empty, and records it.
+// missing reports whether value is empty, and adds a fault if so.
 func (c checker) missing(path, value string) bool {
 	if value == "" {
 		c.add(path, "is missing")
@@ -88,18 +88,17 @@
 	}
 }
 
-// addresses checks the addresses at which others reach the instance and those
-// at which it listens.
+// addresses checks the addresses at which others reach the instance, and its listening addresses.
 func (c checker) addresses(s Settings) {
-	reached := []address{
+	external := []address{
 		{"callerAddress", s.CallerAddress},
 		{"peerAddress", s.PeerAddress},
 		{"operatorAddress", s.OperatorAddress},
 	}
-	for _, a := range reached {
+	for _, a := range external {
 		c.missing(a.path, a.value)
 	}
-	c.distinct(reached, false)
+	c.distinct(external, false)
 	c.distinct([]address{
 		{"listen.callerAddress", s.Listen.CallerAddress},
 		{"listen.peerAddress", s.Listen.PeerAddress},
@@ -109,8 +108,8 @@
 
 type address struct{ path, value string }
 
-// distinct checks the addresses that are given. Two listeners on one address
-// would end the second at its start, after the first took work.
+// distinct checks that the non-empty addresses are valid and differ from each other. Of two
+// listeners on one address the second would fail at its start, after the first accepted requests.
 func (c checker) distinct(addresses []address, listening bool) {
 	first := map[string]string{}
 	for _, a := range addresses {
@@ -155,8 +154,8 @@
 	}
 }
 
-// accepted checks the lists like the fields that they stand beside. A repeat is
-// a slip of an exchange: the old key left where the new one should be.
+// accepted checks the elements of each list like the field that they are accepted in addition to. A
+// duplicate is a mistake in a key rotation: the old key where the new one should be.
 func (c checker) accepted(s Settings) {
 	for _, list := range []struct {
 		path, own string
@@ -206,17 +205,17 @@
 	}
 }
 
-// timing checks each range, then the order that the safeguards rest on.
+// timing checks the range of each field, then that heartbeats fit into the time to confirm.
 func (c checker) timing(t Timing) {
 	for _, f := range timingFields(&t) {
 		if *f.value == 0 {
-			*f.value = f.fallback
+			*f.value = f.defaultValue
 		}
-		if *f.value < f.least || *f.value > f.most {
-			c.add("timing."+f.name, "must be from %d to %d %s", f.least, f.most, f.unit)
+		if *f.value < f.min || *f.value > f.max {
+			c.add("timing."+f.name, "must be from %d to %d %s", f.min, f.max, f.unit)
 		}
 	}
-	// A single lost heartbeat must not stop an instance from taking work.
+	// A single lost heartbeat must not make an instance refuse requests.
 	if t.ConfirmMillis < 2*t.HeartbeatMillis {
 		c.add("timing.confirmMillis", "must be at least twice heartbeatMillis (%d)", t.HeartbeatMillis)
 	}
--- a/internal/settings/ingress.go
+++ b/internal/settings/ingress.go
@@ -7,8 +7,8 @@
 	"pollenspindle.example/pollenspindle/internal/strictjson"
 )
 
-// Ingress is what one instance is told that routes requests by host and path.
-// Its file is JSON with comments, as that of [Settings].
+// Ingress configures one instance of the ingress, which routes requests by host and path. Its file
+// is JSON with comments, like that of [Settings].
 type Ingress struct {
 	// Instance is the name of this instance, unique in the deployment.
 	Instance string `json:"instance"`
@@ -20,38 +20,36 @@
 	DirectoryAddress string `json:"directoryAddress"`
 	PeerAddress      string `json:"peerAddress"`
 	MetricsAddress   string `json:"metricsAddress"`
-	// Seeds are peer addresses of instances to begin with, separated by
-	// commas; some may be out of date.
+	// Seeds are the peer addresses of instances to contact first, separated by commas. Some may be
+	// out of date.
 	Seeds string `json:"seeds"`
-	// PlatformAddress is that of the platform's object API.
+	// PlatformAddress is the address of the platform's object API.
 	PlatformAddress string `json:"platformAddress"`
 	// PeerKey authenticates instances to each other: base64 of 32 bytes.
 	PeerKey string `json:"peerKey"`
-	// MemoryMegabytes is what the process may use.
+	// MemoryMegabytes is the memory that the process may use.
 	MemoryMegabytes int `json:"memoryMegabytes"`
-	// FirstStart says that all instances start for the first time, before any
-	// callers come.
+	// FirstStart means that all instances start for the first time, before there are callers.
 	FirstStart bool `json:"firstStart"`
-	// GraceSeconds is how long requests have to end at a shutdown.
+	// GraceSeconds is the time that requests have to complete at a shutdown.
 	GraceSeconds float64 `json:"graceSeconds"`
-	// ColdOverage and ColdSlack bound cold backend servers together: requests
-	// a second are the server's own figure times ColdOverage plus ColdSlack.
+	// ColdOverage and ColdSlack limit the requests per second to a cold backend server, over all
+	// instances: the server's own limit times ColdOverage, plus ColdSlack.
 	ColdOverage float64 `json:"coldOverage"`
 	ColdSlack   float64 `json:"coldSlack"`
-	// RetryRatio and RetrySlack bound what is sent again, over all instances:
-	// the ratio of all requests of a service, and the slack at once.
+	// RetryRatio and RetrySlack limit retries over all instances: RetryRatio as a fraction of all
+	// requests of a service, RetrySlack as a burst.
 	RetryRatio float64 `json:"retryRatio"`
 	RetrySlack float64 `json:"retrySlack"`
-	// ConfigurationMillis, DrainMillis and EvacuationMillis are the times in
-	// which a configuration, a server that leaves and a zone taken out are to be
-	// in force everywhere; 0 for the default, see observed.DefaultBounds.
+	// ConfigurationMillis, DrainMillis and EvacuationMillis are the times within which every
+	// instance must apply a new configuration, a leaving server and a drained zone; 0 means the
+	// default, see observed.DefaultPropagationLimits.
 	ConfigurationMillis float64 `json:"configurationMillis"`
 	DrainMillis         float64 `json:"drainMillis"`
 	EvacuationMillis    float64 `json:"evacuationMillis"`
-	// RollbackMillis is the time in which a version that answers badly is to get
-	// nothing more; 0 where no roll-outs are ordered. ExposureShare is the part of
-	// a service's requests that a version may get before it is known to be good,
-	// and ExposureSlack how many requests more.
+	// RollbackMillis is the time within which a faulty version must stop getting requests; 0 means
+	// that there are no rollouts. ExposureShare is the fraction of a service's requests that a new
+	// version may get before it is promoted, and ExposureSlack is a number of requests on top.
 	RollbackMillis float64 `json:"rollbackMillis"`
 	ExposureShare  float64 `json:"exposureShare"`
 	ExposureSlack  float64 `json:"exposureSlack"`
@@ -59,8 +57,8 @@
 	Trace          Trace   `json:"trace"`
 }
 
-// leastMemory is what an instance with nothing to do needs, in megabytes.
-const leastMemory = 64
+// minMemoryMegabytes is the memory of an idle instance.
+const minMemoryMegabytes = 64
 
 // LoadIngress reads and checks the settings file at path.
 func LoadIngress(path string) (Ingress, error) {
@@ -76,7 +74,7 @@
 	return ParseIngress(path, data)
 }
 
-// ParseIngress is [LoadIngress] for settings that were read already.
+// ParseIngress is [LoadIngress] for settings that are already in memory; name prefixes each fault.
 func ParseIngress(name string, data []byte) (Ingress, error) {
 	var s Ingress
 	doc := strictjson.Decode(data, &s)
@@ -111,8 +109,8 @@
 		c.distinct([]address{{"platformAddress", s.PlatformAddress}}, false)
 	}
 	c.key("peerKey", s.PeerKey)
-	if s.MemoryMegabytes != 0 && s.MemoryMegabytes < leastMemory {
-		c.add("memoryMegabytes", "must be at least %d", leastMemory)
+	if s.MemoryMegabytes != 0 && s.MemoryMegabytes < minMemoryMegabytes {
+		c.add("memoryMegabytes", "must be at least %d", minMemoryMegabytes)
 	}
 	for _, f := range []struct {
 		path  string
--- a/internal/settings/ingress_test.go
+++ b/internal/settings/ingress_test.go
@@ -22,12 +22,12 @@
 	require.Equal(t, DefaultLogLevel, s.Log.Level)
 }
 
-// A person who mends the file by hand is told of all faults at once.
+// All faults are reported together, for a person who edits the file by hand.
 func TestIngressFaults(t *testing.T) {
 	tests := map[string]struct{ old, new, want string }{
 		"missing":        {`"zone": "zone-a"`, `"zone": ""`, "zone: is missing"},
 		"no address":     {`"10.0.0.1:81"`, `"ready"`, "readyAddress: must be host:port"},
-		"taken twice":    {`"10.0.0.1:82"`, `"10.0.0.1:80"`, "directoryAddress: must differ from callerAddress"},
+		"address twice":  {`"10.0.0.1:82"`, `"10.0.0.1:80"`, "directoryAddress: must differ from callerAddress"},
 		"key":            {`cG9sbGVu`, `short`, "peerKey: must be the base64 of 32 bytes"},
 		"little memory":  {`134`, `3`, "memoryMegabytes: must be at least"},
 		"negative":       {`"graceSeconds": 8`, `"graceSeconds": -1`, "graceSeconds: must not be negative"},
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -10,30 +10,30 @@
 	"pollenspindle.example/pollenspindle/internal/strictjson"
 )
 
-// ErrRead says that the settings file could not be read.
+// ErrRead means that the settings file could not be read.
 var ErrRead = merry.Sentinel("settings cannot be read")
 
 // InvalidError lists every fault of a settings file.
 type InvalidError struct {
-	// Name is the file's name as it was given.
+	// Name is the file's name as passed by the caller.
 	Name   string
 	Faults []strictjson.Fault
 }
 
-// Error puts each fault on a line of its own: name:line:column: path: message.
+// Error formats each fault as a line of the form name:line:column: path: message.
 func (e *InvalidError) Error() string {
 	return strictjson.Format(e.Name, e.Faults)
 }
 
-// Load reads the settings file at path, checks it and fills in defaults. A
-// faulty file gives an [InvalidError], an unreadable one [ErrRead].
+// Load reads the settings file at path, checks it and sets defaults. It returns an [*InvalidError]
+// for an invalid file and [ErrRead] for an unreadable one.
 func Load(path string) (Settings, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return Settings{}, readError(err, path)
 	}
 	defer func() { _ = file.Close() }()
-	// One byte more than allowed, so that Decode sees and reports the excess.
+	// One byte above the limit lets Decode detect and report the excess.
 	data, err := io.ReadAll(io.LimitReader(file, strictjson.MaxBytes+1))
 	if err != nil {
 		return Settings{}, readError(err, path)
@@ -41,7 +41,8 @@
 	return Parse(path, data)
 }
 
-// readError drops the file system's own error type but keeps its cause.
+// readError wraps err in [ErrRead]. It replaces an [*os.PathError] by its cause, since the message
+// has the path already.
 func readError(err error, path string) error {
 	var pathErr *os.PathError
 	if errors.As(err, &pathErr) {
@@ -50,8 +51,7 @@
 	return merry.Appendf(ErrRead, "%s: %s", path, err.Error())
 }
 
-// Parse is [Load] for settings that were read already; name is put before
-// each fault.
+// Parse is [Load] for settings that are already in memory; name prefixes each fault.
 func Parse(name string, data []byte) (Settings, error) {
 	var s Settings
 	doc := strictjson.Decode(data, &s)
@@ -84,7 +84,7 @@
 	}
 	for _, f := range timingFields(&s.Timing) {
 		if *f.value == 0 {
-			*f.value = f.fallback
+			*f.value = f.defaultValue
 		}
 	}
 	return s
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -4,10 +4,10 @@
 	"pollenspindle.example/pollenspindle/internal/fieldschema"
 )
 
-// redacted is shown in place of keys.
+// redacted replaces keys in output.
 const redacted = "(set)"
 
-// WithoutKeys returns s with its keys replaced, to be shown to others.
+// WithoutKeys returns s with its keys redacted.
 func (s Settings) WithoutKeys() Settings {
 	s.PeerKey, s.GenerationKey = redacted, redacted
 	s.Accepted.PeerKeys = withoutKeys(s.Accepted.PeerKeys)
@@ -23,8 +23,8 @@
 	return out
 }
 
-// Schema returns the JSON Schema of a settings file, indented. The file itself
-// may hold comments, which a validator must strip.
+// Schema returns the indented JSON Schema of a settings file. A settings file may contain comments,
+// which have to be removed before validation.
 func Schema() ([]byte, error) {
 	return fieldschema.Print(&Settings{}, "Settings of an entry instance", schemaFields())
 }
@@ -64,13 +64,13 @@
 	for _, f := range timingFields(&Timing{}) {
 		fields["Timing."+f.name] = fieldschema.Field{
 			Description: timingPurpose[f.name] + " In " + f.unit + "; 0 takes the default.",
-			Range:       fieldschema.Between(0, f.most), Default: f.fallback,
+			Range:       fieldschema.Between(0, f.max), Default: f.defaultValue,
 		}
 	}
 	return fields
 }
 
-// timingPurpose says what each field of Timing is for.
+// timingPurpose describes each field of [Timing].
 var timingPurpose = map[string]string{
 	"heartbeatMillis": "Period of heartbeats between entry instances.",
 	"loadPollMillis":  "Period of load reports from owned backend servers.",
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -26,7 +26,7 @@
 }`
 )
 
-func TestLoadFillsInDefaults(t *testing.T) {
+func TestLoadSetsDefaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.jsonc")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	s, err := settings.Load(path)
@@ -44,12 +44,12 @@
 	require.ErrorIs(t, err, settings.ErrRead)
 }
 
-func TestParseReportsEveryFault(t *testing.T) {
+func TestParseReportsAllFaults(t *testing.T) {
 	tests := map[string]struct {
 		replace []string
 		want    []string
 	}{
-		"missing, unknown and doubled": {
+		"missing, unknown and duplicate": {
 			[]string{`"zone": "kigali-a"`, `"zonne": "kigali-a", "region": "x"`},
 			[]string{
 				"f:1:1: zone: is missing",
--- a/internal/settings/timing.go
+++ b/internal/settings/timing.go
@@ -1,18 +1,18 @@
 package settings
 
-// timingField is one field of Timing with its default and its range.
+// timingField is one field of [Timing] with its default and its range.
 type timingField struct {
-	name     string
-	value    *int
-	fallback int
-	least    int
-	most     int
-	unit     string
+	name         string
+	value        *int
+	defaultValue int
+	min          int
+	max          int
+	unit         string
 }
 
-// timingFields lists the fields of t. The lower bounds keep the cost of
-// control small; the upper bounds keep the promises that are made in seconds:
-// a zone taken out gets no new work after a few.
+// timingFields lists the fields of t. The minimums limit the overhead of control traffic; the
+// maximums keep the guarantees that are given in seconds, such as that a drained zone gets no new
+// requests after a few.
 func timingFields(t *Timing) []timingField {
 	const millis, seconds = "milliseconds", "seconds"
 	d := DefaultTiming
