--- a/internal/objectapi/backoff.go
+++ b/internal/objectapi/backoff.go
@@ -6,18 +6,17 @@
 	"time"
 )
 
-// Backoff spaces the attempts of one duty that keeps failing.
-//
-// The full range of the delay is random, so that instances whose calls fail in the
-// same moment don't return together.
+// Backoff computes exponentially growing delays with jitter between the attempts of a call that
+// fails repeatedly. The jitter keeps instances whose calls fail at the same time from retrying
+// together.
 type Backoff struct {
-	// Min is the greatest first delay, Max the greatest of all.
+	// Min is the upper limit of the first delay, Max that of all delays.
 	Min, Max time.Duration
 
 	failures int
 }
 
-// Fail counts a failure and answers how long to wait.
+// Fail counts a failure and returns the delay before the next attempt.
 func (b *Backoff) Fail() time.Duration {
 	d := b.Max
 	if b.failures < 30 {
@@ -27,18 +26,18 @@
 	return jitter(d)
 }
 
-// Reset forgets the failures, after a success.
+// Reset clears the failures after a success.
 func (b *Backoff) Reset() {
 	b.failures = 0
 }
 
-// jitter answers a random duration between a fifth of d and d.
+// jitter returns a random duration from a fifth of d to d.
 func jitter(d time.Duration) time.Duration {
-	least := d / 5
-	return least + time.Duration(rand.Int64N(int64(d-least)+1))
+	shortest := d / 5
+	return shortest + time.Duration(rand.Int64N(int64(d-shortest)+1))
 }
 
-// Pause waits for d or until ctx ends.
+// Pause sleeps for d or until ctx ends, and returns the error of ctx.
 func Pause(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -1,10 +1,9 @@
 // Package objectapi is the client of the platform's object API: objects with
 // versions, conditional writes, lists and long-poll watches.
 //
-// Each call has a deadline and its errors say what became of a write, so that
-// callers can tell "certainly not done" from "perhaps done". It uses the
-// transport of net/http: cancelling a long poll there closes its connection,
-// and its trace tells whether a call had a connection at all.
+// Each call has a timeout, and its error tells whether a write certainly had no effect or may have
+// had one. The client uses the transport of net/http: cancelling a long poll there closes its
+// connection, and its trace reports whether a call got a connection at all.
 //
 // # Usage
 //
@@ -12,7 +11,7 @@
 //	o, err := client.Create(ctx, "claim", name, value)
 //	var conflict *objectapi.ConflictError
 //	if errors.As(err, &conflict) {
-//		// conflict.Current is the object that is there.
+//		// conflict.Current is the existing object.
 //	}
 package objectapi
 
@@ -35,40 +34,39 @@
 )
 
 const (
-	// defaultTimeout bounds a call. The platform answers in milliseconds, so
-	// two seconds of silence mean an outage or a lost connection.
+	// defaultTimeout limits a call. The platform responds within milliseconds, so two seconds
+	// without a response mean an outage or a lost connection.
 	defaultTimeout = 2 * time.Second
-	// defaultReadsPerSecond and defaultReadBurst bound the reads of one
-	// instance, watches included: a start needs a few dozen at once and
-	// ordinary service about one a second. They keep a fault in one instance,
-	// or a recovery of all, from taking the reads that the others need.
+	// defaultReadsPerSecond and defaultReadBurst limit the reads of one instance, including
+	// watches: a start needs a burst of a few dozen, normal operation about one a second. They
+	// keep a fault in one instance, or a recovery of all, from using up the platform's capacity
+	// for reads.
 	defaultReadsPerSecond = 10
 	defaultReadBurst      = 40
-	// maxAnswerBytes bounds an answer: a page of large values.
+	// maxAnswerBytes limits a response; the largest is a page of large values.
 	maxAnswerBytes = 64 << 20
-	// pageLimit is the number of objects asked for at a time.
+	// pageLimit is the number of objects requested per page.
 	pageLimit = 500
-	// maxRetryAfter bounds what the platform may ask of a reader. Held back
-	// for longer, an instance couldn't confirm its configuration within the
-	// 3 s after which it takes no new work.
+	// maxRetryAfter limits the Retry-After that the client follows for reads. With a longer wait,
+	// an instance couldn't confirm its configuration within the 3 s after which it refuses new
+	// requests.
 	maxRetryAfter = 1500 * time.Millisecond
 )
 
-// Object is a value with its version.
+// Object is a stored value with its version.
 type Object struct {
 	Kind    string          `json:"kind"`
 	Name    string          `json:"name"`
 	Version int64           `json:"version"`
 	Value   json.RawMessage `json:"value"`
-	// Created tells apart objects that had the same name one after the other, where
-	// the platform says so.
+	// Created distinguishes successive objects of the same name, if the platform provides it.
 	Created json.RawMessage `json:"created,omitempty"`
-	// Status is what the object's keeper says of it, where the platform has it
-	// apart from the value.
+	// Status is the status that the object's controller reports, if the platform stores it
+	// separately from the value.
 	Status json.RawMessage `json:"status,omitempty"`
 }
 
-// EventType tells puts from deletes.
+// EventType distinguishes puts from deletes.
 type EventType string
 
 // The types of events.
@@ -77,7 +75,7 @@
 	EventDelete EventType = "delete"
 )
 
-// Event is one change that a watch saw. The object of a delete has no value.
+// Event is one change that a watch returned. The object of a delete has no value.
 type Event struct {
 	Type   EventType `json:"type"`
 	Object Object    `json:"object"`
@@ -89,24 +87,24 @@
 	Op       string
 	Kind     string
 	Duration time.Duration
-	// Sent and Received are the bytes of the exchange, headers included.
+	// Sent and Received are the bytes of the exchange, including headers.
 	Sent, Received int64
 	Err            error
 }
 
-// Options are the limits of a client. Zero fields take defaults.
+// Options configures a [Client]. Zero fields take defaults.
 type Options struct {
-	// Timeout bounds a call; a watch may take its wait and Timeout. Calls under
-	// [WithTimeout] have their own.
+	// Timeout limits a call; a watch may take its wait plus Timeout. [WithTimeout] overrides it
+	// for the calls of a context.
 	Timeout time.Duration
-	// ReadsPerSecond and ReadBurst bound reads, watches included. A read
-	// above them waits for its turn, at most Timeout.
+	// ReadsPerSecond and ReadBurst limit reads, including watches. A read above the limit waits
+	// for at most Timeout.
 	ReadsPerSecond float64
 	ReadBurst      int
-	// OnCall is told of each call that left; it must not block.
+	// OnCall is called after each call that was sent; it must not block.
 	OnCall func(Call)
-	// Form is how calls are written; nil takes that of the product's own
-	// interface.
+	// Form encodes calls and decodes their responses; nil means the format of this project's own
+	// object API.
 	Form Form
 }
 
@@ -121,8 +119,8 @@
 	opWatch  = "watch"
 )
 
-// reader takes in the body of a successful call.
-type reader func(body []byte) error
+// decodeFunc decodes the body of a successful response.
+type decodeFunc func(body []byte) error
 
 // Client calls the object API. It is safe for concurrent use.
 type Client struct {
@@ -130,12 +128,12 @@
 	opts      Options
 	transport *http.Transport
 	reads     *rate.Limiter
-	// heldUntil is the time, in Unix nanoseconds, before which the platform
-	// asked for no further reads.
-	heldUntil atomic.Int64
+	// readsBlockedUntil is the time, in Unix nanoseconds, until which reads fail because of the
+	// platform's Retry-After.
+	readsBlockedUntil atomic.Int64
 }
 
-// NewClient makes a client of the platform at baseURL.
+// NewClient returns a client of the platform at baseURL.
 func NewClient(baseURL string, opts Options) *Client {
 	if opts.Timeout == 0 {
 		opts.Timeout = defaultTimeout
@@ -144,7 +142,7 @@
 		opts.ReadsPerSecond = defaultReadsPerSecond
 	}
 	if opts.Form == nil {
-		opts.Form = ownForm{}
+		opts.Form = defaultCodec{}
 	}
 	if opts.ReadBurst == 0 {
 		opts.ReadBurst = defaultReadBurst
@@ -157,12 +155,12 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.transport.CloseIdleConnections()
 }
 
-// Get reads one object, or answers [ErrNotFound].
+// Get reads one object. It returns [ErrNotFound] if there is none.
 func (c *Client) Get(ctx context.Context, kind, name string) (Object, error) {
 	var o Object
 	err := c.read(ctx, Operation{Op: opGet, Kind: kind, Name: name}, func(body []byte) (err error) {
@@ -174,15 +172,15 @@
 
 // Page is one page of a list.
 type Page struct {
-	// Version is the store's version when the page was read. A watch from
-	// the version of the first page misses nothing.
+	// Version is the version of the store when the page was read. A watch from the version of the
+	// first page misses no changes.
 	Version int64    `json:"version"`
 	Objects []Object `json:"objects"`
-	// Cursor asks for the next page; empty on the last one.
+	// Cursor requests the next page; it is empty on the last one.
 	Cursor string `json:"cursor"`
 }
 
-// ListPage reads one page of at most limit objects in order of name.
+// ListPage reads one page of at most limit objects, ordered by name.
 func (c *Client) ListPage(ctx context.Context, kind, cursor string, limit int) (Page, error) {
 	var p Page
 	err := c.read(ctx, Operation{Op: opList, Kind: kind, Cursor: cursor, Limit: limit}, func(body []byte) (err error) {
@@ -192,8 +190,8 @@
 	return p, err
 }
 
-// List reads all objects of a kind. The pages are read one after the other,
-// so the list isn't of one moment; version is that of the first page.
+// List reads all objects of a kind. It reads page by page, so the list isn't a consistent snapshot;
+// version is that of the first page.
 func (c *Client) List(ctx context.Context, kind string) (version int64, objects []Object, err error) {
 	for cursor := ""; ; {
 		p, err := c.ListPage(ctx, kind, cursor, pageLimit)
@@ -211,19 +209,18 @@
 	}
 }
 
-// Create stores a new object, or answers *[ConflictError] if there is one.
+// Create stores a new object. It returns [*ConflictError] if the object exists.
 func (c *Client) Create(ctx context.Context, kind, name string, value []byte) (Object, error) {
 	return c.put(ctx, Operation{Op: opCreate, Kind: kind, Name: name, Value: value})
 }
 
-// Update replaces the object that has the given version, or answers
-// *[ConflictError].
+// Update replaces the object if it has the given version, and returns [*ConflictError] otherwise.
 func (c *Client) Update(ctx context.Context, kind, name string, version int64, value []byte) (Object, error) {
 	return c.put(ctx, Operation{Op: opUpdate, Kind: kind, Name: name, Version: version, Value: value})
 }
 
-// UpdateStatus replaces the status of the object that has the given version, or
-// answers *[ConflictError].
+// UpdateStatus replaces the status of the object if it has the given version, and returns
+// [*ConflictError] otherwise.
 func (c *Client) UpdateStatus(ctx context.Context, kind, name string, version int64, status []byte) (Object, error) {
 	return c.put(ctx, Operation{Op: opStatus, Kind: kind, Name: name, Version: version, Value: status})
 }
@@ -237,27 +234,26 @@
 	return o, err
 }
 
-// Delete removes the object that has the given version, or answers
-// *[ConflictError].
+// Delete removes the object if it has the given version, and returns [*ConflictError] otherwise.
 func (c *Client) Delete(ctx context.Context, kind, name string, version int64) error {
 	op := Operation{Op: opDelete, Kind: kind, Name: name, Version: version}
 	return c.write(ctx, op, func(body []byte) error {
 		if !json.Valid(body) {
-			return merry.New("answer is no JSON")
+			return merry.New("response is not JSON")
 		}
 		return nil
 	})
 }
 
-// Changes is the answer of a watch.
+// Changes is the result of a watch.
 type Changes struct {
 	// Version is the version to watch from next.
 	Version int64   `json:"version"`
 	Events  []Event `json:"events"`
 }
 
-// Watch waits, at most for wait, until an object of the kind changes after a
-// version. No events mean that nothing changed up to the answer.
+// Watch returns the changes to objects of a kind after a version, and waits for at most wait if
+// there are none. No events mean that nothing changed until the response.
 func (c *Client) Watch(ctx context.Context, kind string, after int64, wait time.Duration) (Changes, error) {
 	var changes Changes
 	err := c.read(ctx, Operation{Op: opWatch, Kind: kind, After: after, Wait: wait}, func(body []byte) (err error) {
@@ -267,37 +263,36 @@
 	return changes, err
 }
 
-// read sends a call without effect, within the budget of reads. Every
-// failure to get an answer is ErrUnavailable.
-func (c *Client) read(ctx context.Context, o Operation, answer reader) error {
-	o.Stale = stale(ctx)
+// read sends a read-only call within the rate limit of reads. Every failure to get a response is
+// [ErrUnavailable].
+func (c *Client) read(ctx context.Context, o Operation, decode decodeFunc) error {
+	o.Stale = staleAllowed(ctx)
 	ctx, cancel := context.WithTimeout(ctx, c.timeout(ctx)+o.Wait)
 	defer cancel()
-	if time.Now().UnixNano() < c.heldUntil.Load() {
-		return merry.Wrap(ErrUnavailable, merry.AppendMessage("asked to wait"))
+	if time.Now().UnixNano() < c.readsBlockedUntil.Load() {
+		return merry.Wrap(ErrUnavailable, merry.AppendMessage("reads are blocked by Retry-After"))
 	}
 	if err := c.reads.Wait(ctx); err != nil {
-		return merry.Wrap(ErrUnavailable, merry.AppendMessage("budget of reads spent"))
+		return merry.Wrap(ErrUnavailable, merry.AppendMessage("rate limit of reads exceeded"))
 	}
-	err := c.send(ctx, o, answer)
+	err := c.send(ctx, o, decode)
 	if errors.Is(err, ErrUnknownOutcome) {
 		return merry.Wrap(ErrUnavailable, merry.WithCause(err))
 	}
 	return err
 }
 
-func (c *Client) write(ctx context.Context, o Operation, answer reader) error {
+func (c *Client) write(ctx context.Context, o Operation, decode decodeFunc) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout(ctx))
 	defer cancel()
-	return c.send(ctx, o, answer)
+	return c.send(ctx, o, decode)
 }
 
-// send makes the call, tells the hook and turns failures into errors of this
-// package.
-func (c *Client) send(ctx context.Context, o Operation, answer reader) error {
+// send makes the call and reports it to OnCall. Failures are errors of this package.
+func (c *Client) send(ctx context.Context, o Operation, decode decodeFunc) error {
 	start := time.Now()
 	var exchange control.Exchange
-	err := c.roundTrip(ctx, o, &exchange, answer)
+	err := c.roundTrip(ctx, o, &exchange, decode)
 	if c.opts.OnCall != nil {
 		sent, received := exchange.Bytes()
 		c.opts.OnCall(Call{Op: o.Op, Kind: o.Kind, Duration: time.Since(start), Sent: sent, Received: received, Err: err})
@@ -305,7 +300,7 @@
 	return err
 }
 
-func (c *Client) roundTrip(ctx context.Context, o Operation, exchange *control.Exchange, answer reader) error {
+func (c *Client) roundTrip(ctx context.Context, o Operation, exchange *control.Exchange, decode decodeFunc) error {
 	m := c.opts.Form.Encode(o)
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -323,24 +318,23 @@
 	}
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
-		return c.lost(connected.Load(), err)
+		return c.noResponse(connected.Load(), err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		return c.lost(true, err)
+		return c.noResponse(true, err)
 	}
-	return c.decode(resp, o, body, answer)
+	return c.decodeResponse(resp, o, body, decode)
 }
 
-// lost turns a missing answer into an error. Without a connection no byte of
-// the call left, so that a write certainly had no effect.
+// noResponse returns the error of a call without a response. If there was no connection, nothing
+// was sent, so a write certainly had no effect.
 //
-// Idle connections are dropped as well: a connection that something between
-// the two ends has forgotten goes silent for good, and the others of the pool
-// are likely to be as old. The next call then dials anew instead of spending
-// its deadline on another dead one.
-func (c *Client) lost(connected bool, cause error) error {
+// It also closes idle connections: a connection whose state a middlebox lost goes silent for good,
+// and the others of the pool are likely to be as old. The next call then dials instead of waiting
+// for its timeout on another dead connection.
+func (c *Client) noResponse(connected bool, cause error) error {
 	c.transport.CloseIdleConnections()
 	if !connected {
 		return merry.Wrap(ErrUnavailable, merry.WithCause(cause))
@@ -348,7 +342,7 @@
 	return merry.Wrap(ErrUnknownOutcome, merry.WithCause(cause))
 }
 
-func (c *Client) decode(resp *http.Response, o Operation, body []byte, answer reader) error {
+func (c *Client) decodeResponse(resp *http.Response, o Operation, body []byte, decode decodeFunc) error {
 	if c.opts.Form.Conflict(resp.StatusCode) {
 		current, err := c.opts.Form.Object(o.Kind, body)
 		if err != nil {
@@ -358,7 +352,7 @@
 	}
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusCreated:
-		if err := answer(body); err != nil {
+		if err := decode(body); err != nil {
 			return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 		}
 		return nil
@@ -368,7 +362,7 @@
 		return merry.Wrap(ErrCompacted)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		if resp.Request.Method == http.MethodGet {
-			c.hold(resp.Header.Get("Retry-After"))
+			c.blockReads(resp.Header.Get("Retry-After"))
 		}
 		return merry.Wrap(ErrUnavailable, merry.AppendMessagef("status %d", resp.StatusCode))
 	}
@@ -378,14 +372,14 @@
 	return merry.Wrap(ErrRefused, merry.AppendMessagef("status %d", resp.StatusCode))
 }
 
-// hold stops reads for as long as the platform asks a reader. Writes go on,
-// and a refused one holds nothing back: each has a caller who waits and is
-// told at once, and the rates of reads and writes are apart.
-func (c *Client) hold(retryAfter string) {
+// blockReads makes reads fail for the time of the platform's Retry-After, up to maxRetryAfter.
+// Writes are not blocked, and a refused write blocks nothing: each has a waiting caller who gets the
+// error immediately, and the platform limits reads and writes separately.
+func (c *Client) blockReads(retryAfter string) {
 	seconds, err := strconv.Atoi(retryAfter)
 	if err != nil || seconds < 0 {
 		return
 	}
 	d := min(time.Duration(seconds)*time.Second, maxRetryAfter)
-	c.heldUntil.Store(time.Now().Add(jitter(d)).UnixNano())
+	c.readsBlockedUntil.Store(time.Now().Add(jitter(d)).UnixNano())
 }
--- a/internal/objectapi/client_test.go
+++ b/internal/objectapi/client_test.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	kind    = "config"
-	brief   = 20 * time.Millisecond
-	testMax = 20 * time.Second
+	kind      = "config"
+	shortWait = 20 * time.Millisecond
+	testMax   = 20 * time.Second
 )
 
-// start serves a platform stand-in and makes a client of it.
+// start serves a platform stand-in and returns a client of it.
 func start(t *testing.T) (*objectapi.Client, *httptest.Server) {
 	t.Helper()
 	server := httptest.NewServer(platform.NewHandler(platform.Options{}))
@@ -97,9 +97,9 @@
 	o, err := client.Create(ctx, kind, "zone.a", []byte(`{}`))
 	require.NoError(t, err)
 
-	quiet, err := client.Watch(ctx, kind, o.Version, brief)
+	unchanged, err := client.Watch(ctx, kind, o.Version, shortWait)
 	require.NoError(t, err)
-	require.Empty(t, quiet.Events)
+	require.Empty(t, unchanged.Events)
 
 	got := make(chan objectapi.Changes, 1)
 	go func() {
@@ -116,10 +116,10 @@
 	require.Equal(t, "zone.a", changes.Events[0].Object.Name)
 
 	control(t, server, "/control/compact", "{}")
-	_, err = client.Watch(ctx, kind, o.Version, brief)
+	_, err = client.Watch(ctx, kind, o.Version, shortWait)
 	require.ErrorIs(t, err, objectapi.ErrCompacted)
-	// A version from before the loss of a store must not wait for ever.
-	_, err = client.Watch(ctx, kind, 1000, brief)
+	// A watch from a version after the store's, as after the loss of a store, must not wait.
+	_, err = client.Watch(ctx, kind, 1000, shortWait)
 	require.ErrorIs(t, err, objectapi.ErrCompacted)
 }
 
@@ -136,11 +136,10 @@
 	return s
 }
 
-// A caller has to know whether its write may have taken effect. The platform
-// refuses one write while it is down, loses the answer of the next after its
-// effect, and is gone for the third. Only the second is "unknown"; calling it
-// "unavailable" would make a false "not run" of the layer above.
-func TestWriteFailuresTellWhetherThereMayBeAnEffect(t *testing.T) {
+// The platform refuses one write while it is down, loses the response to the next after its effect,
+// and can't be connected to for the third. Only the second may have taken effect, so only that one
+// has an unknown outcome; as "unavailable" it would be reported to callers as "not run".
+func TestWriteFailureReportsPossibleEffect(t *testing.T) {
 	client, server := start(t)
 	ctx := t.Context()
 
@@ -158,26 +157,25 @@
 	_, err = client.Create(ctx, kind, "a", []byte(`{}`))
 	require.NoError(t, err, "the refused write took no effect")
 
-	gone := objectapi.NewClient("http://127.0.0.1:1", objectapi.Options{})
-	_, err = gone.Create(ctx, kind, "c", []byte(`{}`))
+	unreachable := objectapi.NewClient("http://127.0.0.1:1", objectapi.Options{})
+	_, err = unreachable.Create(ctx, kind, "c", []byte(`{}`))
 	require.ErrorIs(t, err, objectapi.ErrUnavailable)
 }
 
-// The caller sees one call fail at its deadline and the next one succeed.
-// Something between the two ends has lost track of the pooled connections:
-// they go silent for good, while new ones work. Without dropping the whole
-// pool each of its connections would cost one more deadline.
-func TestSilentConnectionsAreLeft(t *testing.T) {
+// A middlebox loses the state of the pooled connections: they go silent for good, while new ones
+// work. Only one call may time out. Unless the client closes all idle connections, each of them
+// causes a timeout.
+func TestSilentConnectionsAreClosed(t *testing.T) {
 	type connNumber struct{}
 	var conns, silentUpTo atomic.Int64
-	stand := platform.NewHandler(platform.Options{})
+	handler := platform.NewHandler(platform.Options{})
 	end := make(chan struct{})
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Context().Value(connNumber{}).(int64) <= silentUpTo.Load() {
 			<-end
 			return
 		}
-		stand.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 	}))
 	server.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
 		return context.WithValue(ctx, connNumber{}, conns.Add(1))
@@ -197,11 +195,10 @@
 	require.NoError(t, err)
 }
 
-// Readers see their calls fail at once while the platform asks for patience.
-// The platform is over its rate; each further read would count towards it and
-// keep it there. So after one refusal the client sends no read for a while,
-// and its writes, which have waiting callers, still go out.
-func TestRefusedReadsAreHeldBack(t *testing.T) {
+// The platform refuses reads with a Retry-After because its rate limit is exceeded, and each further
+// read would count towards the limit. The client must fail reads without sending them for a while,
+// and must still send writes, which have waiting callers.
+func TestReadsAreBlockedAfterRefusal(t *testing.T) {
 	client, server := start(t)
 	control(t, server, "/control/faults", `{"down":true}`)
 	for range 50 {
--- a/internal/objectapi/form.go
+++ b/internal/objectapi/codec.go
@@ -8,53 +8,53 @@
 	"time"
 )
 
-// Operation is one call, apart from how it is written.
+// Operation is one call, independent of its encoding.
 type Operation struct {
-	// Op is get, list, create, update, status, delete or watch. A status is an
-	// update of what an object's keeper says of it, and Value is that.
+	// Op is get, list, create, update, status, delete or watch. A status replaces the status of
+	// the object by Value.
 	Op   string
 	Kind string
 	Name string
-	// Version is the condition of an update or a delete.
+	// Version is the required version for an update, a status or a delete.
 	Version int64
 	Value   []byte
-	// Cursor and Limit are of a list.
+	// Cursor and Limit apply to a list.
 	Cursor string
 	Limit  int
-	// After and Wait are of a watch.
+	// After and Wait apply to a watch.
 	After int64
 	Wait  time.Duration
-	// Stale says that the answer may be seconds old, which is cheaper.
+	// Stale allows a response that is seconds old, which is cheaper for the platform.
 	Stale bool
 }
 
-// Message is an operation as it is sent.
+// Message is the HTTP request of an operation.
 type Message struct {
 	Method string
-	// Path is escaped and may have a query.
+	// Path is escaped and may contain a query.
 	Path   string
 	Header http.Header
 	Body   []byte
 }
 
-// Form is how operations and their answers are written. Platforms differ in
-// it; what a call means is the same.
+// Form encodes operations and decodes their responses. Platforms differ in the encoding, not in the
+// meaning of a call.
 type Form interface {
 	Encode(o Operation) Message
-	// Object, Page and Changes read the bodies of successful calls, and Object
-	// that of a conflict.
+	// Object, Page and Changes decode the bodies of successful responses, and Object that of a
+	// conflict too.
 	Object(kind string, body []byte) (Object, error)
 	Page(kind string, body []byte) (Page, error)
 	Changes(kind string, body []byte) (Changes, error)
-	// Conflict reports whether a status says that a condition didn't hold.
+	// Conflict reports whether an HTTP status means that the condition of a write was not met.
 	Conflict(status int) bool
 }
 
-// ownForm is the form of the product's own interface: the version in If-Match
-// headers, plain JSON values as bodies.
-type ownForm struct{}
+// defaultCodec encodes the project's own object API: versions in If-Match headers, plain JSON
+// values as bodies.
+type defaultCodec struct{}
 
-func (ownForm) Encode(o Operation) Message {
+func (defaultCodec) Encode(o Operation) Message {
 	object := "/objects/" + url.PathEscape(o.Kind) + "/" + url.PathEscape(o.Name)
 	ifMatch := http.Header{"If-Match": {strconv.Quote(strconv.FormatInt(o.Version, 10))}}
 	switch o.Op {
@@ -79,19 +79,19 @@
 	return Message{Method: http.MethodGet, Path: object}
 }
 
-func (ownForm) Object(_ string, body []byte) (Object, error) {
+func (defaultCodec) Object(_ string, body []byte) (Object, error) {
 	var o Object
 	return o, json.Unmarshal(body, &o)
 }
 
-func (ownForm) Page(_ string, body []byte) (Page, error) {
+func (defaultCodec) Page(_ string, body []byte) (Page, error) {
 	var p Page
 	return p, json.Unmarshal(body, &p)
 }
 
-func (ownForm) Changes(_ string, body []byte) (Changes, error) {
+func (defaultCodec) Changes(_ string, body []byte) (Changes, error) {
 	var c Changes
 	return c, json.Unmarshal(body, &c)
 }
 
-func (ownForm) Conflict(status int) bool { return status == http.StatusPreconditionFailed }
+func (defaultCodec) Conflict(status int) bool { return status == http.StatusPreconditionFailed }
