--- a/internal/control/conn.go
+++ b/internal/control/conn.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// Conn counts the bytes on one connection.
+// Conn is a connection that counts its bytes.
 type Conn struct {
 	net.Conn
 	sent, received atomic.Int64
@@ -27,8 +27,8 @@
 	return n, err
 }
 
-// Dial opens a connection that is counted; it is for the DialContext of a
-// transport whose connections carry one exchange at a time.
+// Dial opens a [Conn]. It is for the DialContext of a transport whose connections carry one exchange
+// at a time.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := new(net.Dialer).DialContext(ctx, network, address)
 	if err != nil {
@@ -37,20 +37,19 @@
 	return &Conn{Conn: conn}, nil
 }
 
-// Exchange counts one exchange on connections from [Dial].
+// Exchange counts the bytes of one exchange on connections from [Dial].
 type Exchange struct {
 	mu             sync.Mutex
 	conn           *Conn
 	sent, received int64
 }
 
-// Begin takes the connection that the transport has chosen, perhaps under TLS.
-// The handshake of a new one was before, and counts with its first exchange. A
-// transport that meets a closed connection begins once more on another; both
-// count.
+// Begin sets the connection that the transport uses, which may be wrapped by TLS. The handshake of a
+// new connection counts with its first exchange. If the connection turns out to be closed, the
+// transport retries on another one and calls Begin again; the bytes of both count.
 func (e *Exchange) Begin(conn net.Conn, reused bool) {
-	if under, ok := conn.(interface{ NetConn() net.Conn }); ok {
-		conn = under.NetConn()
+	if wrapper, ok := conn.(interface{ NetConn() net.Conn }); ok {
+		conn = wrapper.NetConn()
 	}
 	c, ok := conn.(*Conn)
 	if !ok {
@@ -65,7 +64,7 @@
 	}
 }
 
-// add adds, or takes off, what was counted on a connection until now.
+// add adds or subtracts the bytes counted on a connection so far.
 func (e *Exchange) add(c *Conn, sign int64) {
 	if c != nil {
 		e.sent += sign * c.sent.Load()
@@ -73,7 +72,7 @@
 	}
 }
 
-// Bytes returns what was exchanged, once the exchange has ended.
+// Bytes returns the bytes of the exchange after its end.
 func (e *Exchange) Bytes() (sent, received int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,19 +1,17 @@
-// Package control counts what an instance spends on control: the bytes that it
-// exchanges with the platform, its peers and backend servers other than for
-// callers, and the processor time of the duties behind them, by role. An
-// operator reads from it whether an instance keeps to its budget; see
-// docs/CAPACITY.md.
+// Package control measures the control-plane overhead of an instance by role: the bytes that it
+// exchanges with the platform, its peers and backend servers other than for callers, and the CPU
+// time of the background work behind them. The metrics show operators whether an instance stays
+// within its budget; see docs/CAPACITY.md.
 //
-// Bytes of calls to the platform and of load polls are those of the whole
-// exchange on its connection, headers included, those of TLS, TCP and IP not.
-// Calls between peers share a connection, so that by role only their messages
-// are counted; [internal/peer] counts all bytes of its connections together.
+// Bytes of calls to the platform and of load polls are those of the complete exchange on its
+// connection, including headers, without TLS, TCP and IP overhead. Calls between peers share a
+// connection, so by role only their messages are counted; [internal/peer] counts all bytes of its
+// connections together.
 //
-// Processor time is that of the thread while a duty or a handler runs its own
-// code. Work that the libraries do on goroutines of their own is not in it:
-// the codecs of HTTP, the connections, the timers, the garbage collector. What
-// is left when all roles are taken from the process's time is those and the
-// callers' requests.
+// CPU time is that of the thread while background work or a handler runs its own code. It excludes
+// the work that libraries do on their own goroutines: HTTP codecs, connections, timers and the
+// garbage collector. The process's CPU time minus that of all roles is this work plus the callers'
+// requests.
 //
 // # Usage
 //
@@ -28,8 +26,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Role is a part of what control does. Roles are the only label, so that
-// they bound the number of series.
+// Role is one kind of control-plane work. Roles are the only metric label, apart from the direction
+// of bytes, which limits the number of series.
 type Role string
 
 // The roles.
@@ -52,24 +50,23 @@
 	RoleInstanceList, RoleClaims, RoleOrders, RoleOperators, RoleGauges,
 }
 
-// Costs are the meters of all roles. A nil Costs counts nothing. It is safe for
-// concurrent use.
+// Costs holds the meters of all roles. A nil Costs counts nothing. It is safe for concurrent use.
 type Costs struct {
 	meters map[Role]*Meter
 
-	mu     sync.Mutex
-	duties map[*duty]struct{}
+	mu    sync.Mutex
+	loops map[*loop]struct{}
 }
 
 // New returns meters that report to scope.
 func New(scope tally.Scope) *Costs {
-	c := &Costs{meters: map[Role]*Meter{}, duties: map[*duty]struct{}{}}
+	c := &Costs{meters: map[Role]*Meter{}, loops: map[*loop]struct{}{}}
 	for _, r := range roles {
 		role := scope.Tagged(map[string]string{"role": string(r)})
 		c.meters[r] = &Meter{
-			sent:      role.Tagged(map[string]string{"direction": "sent"}).Counter("bytes"),
-			received:  role.Tagged(map[string]string{"direction": "received"}).Counter("bytes"),
-			processor: role.Counter("processor_nanoseconds"),
+			sent:     role.Tagged(map[string]string{"direction": "sent"}).Counter("bytes"),
+			received: role.Tagged(map[string]string{"direction": "received"}).Counter("bytes"),
+			cpu:      role.Counter("processor_nanoseconds"),
 		}
 	}
 	return c
@@ -83,9 +80,9 @@
 	return c.meters[r]
 }
 
-// Meter counts what one role costs. A nil Meter counts nothing.
+// Meter counts the bytes and the CPU time of one role. A nil Meter counts nothing.
 type Meter struct {
-	sent, received, processor tally.Counter
+	sent, received, cpu tally.Counter
 }
 
 // Bytes counts the bytes of one exchange.
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -22,7 +22,7 @@
 
 const claimsTime = "processor_nanoseconds+role=claims"
 
-// burn takes processor time until stop.
+// burn uses CPU time until stop returns true.
 func burn(stop func() bool) {
 	sum := 0
 	for !stop() {
@@ -33,7 +33,7 @@
 	_ = sum
 }
 
-func TestRunCountsTheTimeOfItsRole(t *testing.T) {
+func TestRunCountsTimeByRole(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	costs := control.New(scope)
 	costs.Of(control.RoleClaims).Run(func() {
@@ -44,7 +44,7 @@
 	require.Zero(t, count(scope, "processor_nanoseconds+role=config"))
 }
 
-func TestDutyIsMeasuredWhileItRuns(t *testing.T) {
+func TestLoopIsMeasuredWhileItRuns(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	costs := control.New(scope)
 	stop, done := make(chan struct{}), make(chan struct{})
@@ -72,7 +72,7 @@
 	require.Equal(t, ended, count(scope, claimsTime))
 }
 
-func TestNothingIsCountedWithoutCosts(t *testing.T) {
+func TestNilCostsRunWithoutCounting(t *testing.T) {
 	var costs *control.Costs
 	ran := 0
 	costs.Of(control.RoleClaims).Run(func() { ran++ })
@@ -82,8 +82,8 @@
 	require.Equal(t, 2, ran)
 }
 
-// TestExchangeCountsItsOwnBytes: two exchanges share a connection, and each
-// counts all that was written and read for it, with and without TLS.
+// Two exchanges share a connection. Each must count exactly the bytes that were written and read for
+// it, with and without TLS.
 func TestExchangeCountsItsOwnBytes(t *testing.T) {
 	tests := map[string]func(http.Handler) *httptest.Server{"plain": httptest.NewServer, "TLS": httptest.NewTLSServer}
 	for name, newServer := range tests {
@@ -122,9 +122,8 @@
 	}
 }
 
-// TestExchangeOnTwoConnections: the instance goes on. The transport sends on a
-// connection that the platform has closed, and then once more on a new one,
-// which has carried fewer bytes. A sum that went down would end the process.
+// The transport sends on a connection that the platform has closed, then retries on a new one, which
+// has carried fewer bytes. The sum must not be negative: decreasing a counter ends the process.
 func TestExchangeOnTwoConnections(t *testing.T) {
 	first, other := net.Pipe()
 	defer other.Close()
