--- a/internal/strictjson/lines.go
+++ b/internal/strictjson/lines.go
@@ -26,10 +26,10 @@
 	return Position{Line: line, Column: offset - l[line-1] + 1}
 }
 
-// tooMuch returns the offset of the first bracket nested deeper than [MaxDepth]
-// or of the first separator past [MaxSeparators], and what is wrong there. It
-// passes over strings and comments and checks nothing else.
-func tooMuch(data []byte) (offset int, message string) {
+// checkLimits returns the offset and the message of the first bracket that is nested deeper than
+// [MaxDepth] or of the first separator above [MaxSeparators]; the message is empty if the input is
+// within the limits. It skips strings and comments and checks nothing else.
+func checkLimits(data []byte) (offset int, message string) {
 	depth, separators := 0, 0
 	for i := 0; i < len(data); i++ {
 		switch data[i] {
@@ -54,7 +54,7 @@
 	return 0, ""
 }
 
-// skipString returns the offset of the quote that ends the string at i.
+// skipString returns the offset of the closing quote of the string at i.
 func skipString(data []byte, i int) int {
 	for i++; i < len(data) && data[i] != '"'; i++ {
 		if data[i] == '\\' {
@@ -64,7 +64,7 @@
 	return i
 }
 
-// skipComment returns the offset of the last byte of the comment at i, or i.
+// skipComment returns the offset of the last byte of the comment at i, or i if there is none.
 func skipComment(data []byte, i int) int {
 	end, skip := "", 0
 	switch {
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,9 +1,9 @@
-// Package strictjson decodes JSON with comments into plain structs and reports
-// every fault of the input at once, each with its field path, line and column.
+// Package strictjson decodes JSON with comments into plain structs and reports all faults of the
+// input, each with its field path, line and column.
 //
-// encoding/json stops at the first fault, takes the last of two equal names
-// and matches names whatever their case. A person who mends a file by hand
-// then learns of one fault a run, and a doubled name silently loses a value.
+// encoding/json stops at the first fault, takes the last of duplicate names and ignores the case of
+// names: a person who edits a file by hand would see one fault per run, and a duplicate name would
+// silently lose a value.
 //
 // # Usage
 //
@@ -23,41 +23,42 @@
 	"github.com/tailscale/hujson"
 )
 
-// The bounds of an input. Beyond the first three it is refused unread.
+// The limits of an input. An input that exceeds one of the first three is rejected without being
+// parsed.
 const (
-	// MaxBytes is the largest input, in bytes. The configuration of 2,000
-	// backend servers and 290 workspaces takes 0.9 MB indented.
+	// MaxBytes is the maximum size of an input. The indented configuration of 2,000 backend servers
+	// and 290 workspaces takes 0.9 MB.
 	MaxBytes = 4 << 20
-	// MaxSeparators is the largest number of commas and colons; the same
-	// configuration has 50,000. The parser takes some hundred bytes for each
-	// value, so a few megabytes of the shortest ones would take gigabytes on
-	// an instance that carries streams.
+	// MaxSeparators is the maximum number of commas and colons; the same configuration has 50,000.
+	// The parser uses some hundred bytes per value, so a few megabytes of the shortest values would
+	// use gigabytes on an instance that serves streams.
 	MaxSeparators = 500_000
-	// MaxDepth is the deepest nesting of objects and arrays. The parser
-	// recurses, and a few megabytes of opening brackets would end the process
-	// by overflowing its stack, which cannot be recovered from.
+	// MaxDepth is the maximum nesting of objects and arrays. The parser is recursive, and a few
+	// megabytes of opening brackets would overflow its stack, which ends the process and cannot be
+	// recovered from.
 	MaxDepth = 64
-	// MaxFaults is the largest number of faults that are kept. Nobody reads
-	// more, and each takes memory.
+	// MaxFaults is the maximum number of faults that are kept. Nobody reads more, and each takes
+	// memory.
 	MaxFaults = 1000
 )
 
-// Position is a place in the input. Line and Column count from 1, columns in
-// bytes. The zero Position stands for a fault without a place.
+// Position is a position in the input. Line and Column count from 1, columns in bytes. The zero
+// Position means that a fault has no position.
 type Position struct {
 	Line   int
 	Column int
 }
 
-// Fault is one thing wrong with the input.
+// Fault is one error in the input.
 type Fault struct {
 	Position
-	// Path names the field, as in servers[3].zone. It is empty for the whole.
+	// Path is the path of the field, as in servers[3].zone. It is empty for a fault of the input as
+	// a whole.
 	Path    string
 	Message string
 }
 
-// String gives the path and the message, without the place.
+// String returns the path and the message, without the position.
 func (f Fault) String() string {
 	if f.Path == "" {
 		return f.Message
@@ -65,26 +66,26 @@
 	return f.Path + ": " + f.Message
 }
 
-// Document is a decoded input: the places of its fields and its faults.
+// Document holds the positions of the fields of a decoded input, and its faults.
 type Document struct {
-	lines  lineIndex
-	at     map[string]Position
-	faults []Fault
-	// faulty holds the paths of faults, dropped is how many were not kept.
+	lines     lineIndex
+	positions map[string]Position
+	faults    []Fault
+	// faulty holds the paths of faults, dropped is the number of faults above MaxFaults.
 	faulty  map[string]bool
 	dropped int
-	whole   bool
+	parsed  bool
 }
 
-// Decode reads data into the struct that v points to. Fields whose value is
-// faulty keep what they held before.
+// Decode decodes data into the struct that v points to. Fields whose value is invalid keep their
+// previous value.
 func Decode(data []byte, v any) *Document {
-	d := &Document{lines: newLineIndex(data), at: map[string]Position{}, faulty: map[string]bool{}}
+	d := &Document{lines: newLineIndex(data), positions: map[string]Position{}, faulty: map[string]bool{}}
 	if len(data) > MaxBytes {
 		d.Add("", fmt.Sprintf("is larger than %d bytes", MaxBytes))
 		return d
 	}
-	if offset, message := tooMuch(data); message != "" {
+	if offset, message := checkLimits(data); message != "" {
 		d.addAt(d.lines.position(offset), "", message)
 		return d
 	}
@@ -93,26 +94,26 @@
 		d.addSyntax(err)
 		return d
 	}
-	d.whole = true
+	d.parsed = true
 	d.value(root, reflect.ValueOf(v).Elem(), "")
 	return d
 }
 
-// WellFormed reports whether the input could be parsed at all. If not, checks
-// of the decoded values would only repeat that they are missing.
-func (d *Document) WellFormed() bool { return d.whole }
+// WellFormed reports whether the input could be parsed. If not, checks of the decoded values would
+// only report that they are missing.
+func (d *Document) WellFormed() bool { return d.parsed }
 
-// Add records a fault of the field at path, placed at the field or, when the
-// input lacks it, at the nearest field around it.
+// Add records a fault of the field at path. Its position is that of the field or, if the input lacks
+// the field, of the nearest enclosing one.
 func (d *Document) Add(path, message string) {
-	d.addAt(d.near(path), path, message)
+	d.addAt(d.nearest(path), path, message)
 }
 
 // Faulty reports whether a fault of the field at path is recorded.
 func (d *Document) Faulty(path string) bool { return d.faulty[path] }
 
-// Faults returns the recorded faults in the order of their places. After
-// [MaxFaults] there is one more that counts the rest.
+// Faults returns the recorded faults, ordered by position. If there were more than [MaxFaults], a
+// last fault reports how many were dropped.
 func (d *Document) Faults() []Fault {
 	sorted := slices.Clone(d.faults)
 	slices.SortStableFunc(sorted, func(a, b Fault) int {
@@ -136,18 +137,17 @@
 	d.faults = append(d.faults, Fault{Position: at, Path: path, Message: message})
 }
 
-func (d *Document) near(path string) Position {
+func (d *Document) nearest(path string) Position {
 	for path != "" {
-		if at, ok := d.at[path]; ok {
+		if at, ok := d.positions[path]; ok {
 			return at
 		}
 		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
 	}
-	return d.at[""]
+	return d.positions[""]
 }
 
-// addSyntax takes the place out of the parser's message, which is where the
-// parser gives it.
+// addSyntax records a syntax error of the parser, whose position is part of its message.
 func (d *Document) addSyntax(err error) {
 	var at Position
 	message := strings.TrimPrefix(err.Error(), "hujson: ")
@@ -157,16 +157,16 @@
 	d.addAt(at, "", message)
 }
 
-// Format puts each fault on a line of its own, as name:line:column: path:
-// message, the form that editors jump to.
+// Format formats each fault as a line of the form name:line:column: path: message, which editors
+// recognize as a position to jump to.
 func Format(name string, faults []Fault) string {
 	lines := make([]string, 0, len(faults))
 	for _, f := range faults {
-		place := name
+		position := name
 		if f.Line > 0 {
-			place = fmt.Sprintf("%s:%d:%d", name, f.Line, f.Column)
+			position = fmt.Sprintf("%s:%d:%d", name, f.Line, f.Column)
 		}
-		lines = append(lines, place+": "+f.String())
+		lines = append(lines, position+": "+f.String())
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/strictjson/value.go
+++ b/internal/strictjson/value.go
@@ -12,8 +12,8 @@
 
 func (d *Document) value(v hujson.Value, into reflect.Value, path string) {
 	at := d.lines.position(v.StartOffset)
-	if _, ok := d.at[path]; !ok {
-		d.at[path] = at
+	if _, ok := d.positions[path]; !ok {
+		d.positions[path] = at
 	}
 	switch tree := v.Value.(type) {
 	case *hujson.Object:
@@ -63,7 +63,7 @@
 	into.Set(list)
 }
 
-// setLiteral returns what is wrong with the literal, or nothing.
+// setLiteral sets into to the literal. It returns the message of a fault, or an empty string.
 func setLiteral(literal hujson.Literal, into reflect.Value) string {
 	want := into.Kind()
 	got := literal.Kind()
@@ -98,7 +98,7 @@
 	return literal.String()
 }
 
-// fieldsByName maps the names that a struct has in JSON to its field indexes.
+// fieldsByName maps the JSON names of a struct's fields to their indexes.
 func fieldsByName(t reflect.Type) map[string]int {
 	fields := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
@@ -111,7 +111,7 @@
 	return fields
 }
 
-// suggestion names the field that differs from name only by case.
+// suggestion returns a hint at the field that differs from name only by case, if there is one.
 func suggestion(name string, fields map[string]int) string {
 	for field := range fields {
 		if strings.EqualFold(field, name) {
@@ -121,7 +121,8 @@
 	return ""
 }
 
-// joinPath quotes names that would read as a path or break a line.
+// joinPath appends name to path. It quotes names that could be confused with a path or that contain
+// line breaks.
 func joinPath(path, name string) string {
 	if !isPlain(name) {
 		quoted, _ := json.Marshal(name)
