--- a/internal/fieldschema/fieldschema.go
+++ b/internal/fieldschema/fieldschema.go
@@ -1,5 +1,5 @@
-// Package fieldschema makes the JSON Schema of a plain struct from a table that
-// describes each of its fields.
+// Package fieldschema generates the JSON Schema of a plain struct from a table that describes each of
+// its fields.
 //
 // # Usage
 //
@@ -20,33 +20,32 @@
 	"github.com/invopop/jsonschema"
 )
 
-// Field describes one field. Its key in the table is the name of the struct
-// and the name in JSON, as in Zone.name.
+// Field describes one field. Its key in the table is the name of the struct type and the JSON name of
+// the field, as in Zone.name.
 type Field struct {
-	// Description says what the field is for and names its unit.
+	// Description explains the field and states its unit.
 	Description string
 	Required    bool
-	// Range bounds a number, both ends included.
+	// Range limits a number.
 	Range *Range
-	// Enum lists the allowed strings, Pattern is what they or, in a list of
-	// strings, its elements match.
+	// Enum lists the allowed strings. Pattern is the regular expression for a string, or for each
+	// element of a list of strings.
 	Enum    []string
 	Pattern string
-	// Filled means that a list holds at least one element.
+	// Filled means that a list must not be empty.
 	Filled bool
-	// Default is what an absent field means.
+	// Default is the value of an absent field.
 	Default any
 }
 
-// Range holds the ends of the allowed numbers.
+// Range is a range of numbers, both ends included.
 type Range struct{ Least, Most int }
 
-// Between returns the range from least to most.
-func Between(least, most int) *Range { return &Range{least, most} }
+// Between returns the range from low to high.
+func Between(low, high int) *Range { return &Range{low, high} }
 
-// Print returns the indented schema of the struct that v points to, with the
-// given title. A field without an entry and an entry without a field are
-// errors, so that the table cannot fall behind the struct.
+// Print returns the indented schema of the struct that v points to. A field without an entry in
+// fields and an entry without a field are errors, so that the table stays in sync with the struct.
 func Print(v any, title string, fields map[string]Field) ([]byte, error) {
 	reflector := jsonschema.Reflector{Anonymous: true, RequiredFromJSONSchemaTags: true}
 	schema := reflector.Reflect(v)
@@ -88,8 +87,8 @@
 		property.Enum = append(property.Enum, value)
 	}
 	if field.Filled {
-		least := uint64(1)
-		property.MinItems = &least
+		minItems := uint64(1)
+		property.MinItems = &minItems
 	}
 	if property.Items != nil {
 		property.Items.Pattern = field.Pattern
