--- a/internal/instancelist/instancelist.go
+++ b/internal/instancelist/instancelist.go
@@ -1,6 +1,5 @@
-// Package instancelist is the client of the platform's list of live and
-// leaving instances. The list lags: an instance in it may have died, and one
-// that has just started may be missing.
+// Package instancelist is the client of the platform's list of live and leaving instances. The list
+// lags: a listed instance may have crashed, and one that has just started may be missing.
 //
 // # Usage
 //
@@ -22,17 +21,17 @@
 )
 
 const (
-	// timeout bounds a call. The platform answers in milliseconds, or slowly for
-	// a long time; callers that can't wait as long say so in their context.
+	// timeout limits a call. The platform responds within milliseconds, but may be slow for a long
+	// time. Callers that need a shorter timeout set it in their context.
 	timeout = 8 * time.Second
-	// maxAnswerBytes bounds the list: 350 instances take about 50 KB.
-	maxAnswerBytes = 4 << 20
+	// maxListBytes limits the list; 350 instances take about 50 KB.
+	maxListBytes = 4 << 20
 )
 
 // ErrUnavailable means that the list could not be read.
 var ErrUnavailable = merry.Sentinel("instance list unavailable")
 
-// State says whether an instance stays.
+// State tells live instances from leaving ones.
 type State string
 
 // The states of an instance.
@@ -57,8 +56,7 @@
 	meter     *control.Meter
 }
 
-// NewClient makes a client of the platform at baseURL. Meter counts its bytes;
-// it may be nil.
+// NewClient returns a client of the platform at baseURL. meter counts its bytes and may be nil.
 func NewClient(baseURL string, meter *control.Meter) *Client {
 	return &Client{
 		base:      baseURL,
@@ -67,7 +65,7 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.transport.CloseIdleConnections()
 }
@@ -87,7 +85,7 @@
 	}
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
-		// The connection may have gone silent for good; the next call dials.
+		// The connection may have gone silent for good, so the next call dials a new one.
 		c.transport.CloseIdleConnections()
 		return nil, merry.Wrap(ErrUnavailable, merry.WithCause(err))
 	}
@@ -95,11 +93,11 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, merry.Wrap(ErrUnavailable, merry.AppendMessagef("status %d", resp.StatusCode))
 	}
-	var answer struct {
+	var list struct {
 		Instances []Instance `json:"instances"`
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&list); err != nil {
 		return nil, merry.Wrap(ErrUnavailable, merry.WithCause(err))
 	}
-	return answer.Instances, nil
+	return list.Instances, nil
 }
--- a/internal/instancelist/instancelist_test.go
+++ b/internal/instancelist/instancelist_test.go
@@ -13,7 +13,9 @@
 	"pollenspindle.example/pollenspindle/internal/standin/platform"
 )
 
-func TestListLagsAndFreezes(t *testing.T) {
+// The client returns the list as the platform serves it: with lag, frozen after a fault, or not at
+// all.
+func TestListWithPlatformFaults(t *testing.T) {
 	server := httptest.NewServer(platform.NewHandler(platform.Options{Lag: time.Millisecond}))
 	defer server.Close()
 	put := func(path, body string) {
