--- a/internal/caller/instances.go
+++ b/internal/caller/instances.go
@@ -19,8 +19,8 @@
 // lost its own network connection.
 const maxListedInstances = 16
 
-// InstancesAnswer is the response of GET /v1/instances.
-type InstancesAnswer struct {
+// InstancesResponse is the response of GET /v1/instances.
+type InstancesResponse struct {
 	// Instances are in the order in which the caller should try them.
 	Instances  []InstanceAnswer `json:"instances"`
 	TTLSeconds int              `json:"ttlSeconds"`
@@ -38,7 +38,7 @@
 // response holds only addresses.
 func (s *Server) instances(_ context.Context, c *app.RequestContext) error {
 	live, epoch := s.opts.Instances.Live()
-	return writeJSON(c, InstancesAnswer{
+	return writeJSON(c, InstancesResponse{
 		Instances:  order(live, callerKey(c)),
 		TTLSeconds: s.opts.Timing.AddressSeconds, Epoch: epoch,
 	})
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -19,7 +19,7 @@
 
 func TestInstanceOrderSpreadsCallersAndIsStable(t *testing.T) {
 	f := startServer(t, testConfig("127.0.0.1:1"))
-	var got InstancesAnswer
+	var got InstancesResponse
 	r := f.do(t, request{method: "GET", path: "/v1/instances", token: "-"})
 	require.NoError(t, json.Unmarshal(r.body, &got), "%s", r.body)
 	require.Len(t, got.Instances, 3, "%s", r.body)
--- a/test/system/caller.go
+++ b/test/system/caller.go
@@ -31,7 +31,7 @@
 		return nil
 	}
 	defer func() { _ = res.Body.Close() }()
-	var a caller.InstancesAnswer
+	var a caller.InstancesResponse
 	if json.NewDecoder(res.Body).Decode(&a) != nil {
 		return nil
 	}
