--- a/internal/caller/instances.go
+++ b/internal/caller/instances.go
@@ -22,13 +22,13 @@
 // InstancesResponse is the response of GET /v1/instances.
 type InstancesResponse struct {
 	// Instances are in the order in which the caller should try them.
-	Instances  []InstanceAnswer `json:"instances"`
+	Instances  []ListedInstance `json:"instances"`
 	TTLSeconds int              `json:"ttlSeconds"`
 	Epoch      int64            `json:"epoch"`
 }
 
-// InstanceAnswer is one entry instance.
-type InstanceAnswer struct {
+// ListedInstance is one entry instance.
+type ListedInstance struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
@@ -47,20 +47,20 @@
 // order sorts instances by the rendezvous hash of the caller's key. This spreads callers without
 // a load balancer, keeps each caller's order while instances join and leave, and spreads the
 // callers of a lost instance over all others.
-func order(live []Instance, key string) []InstanceAnswer {
+func order(live []Instance, key string) []ListedInstance {
 	byAddress := make(map[string]Instance, len(live))
 	addresses := make([]string, 0, len(live))
 	for _, in := range live {
 		byAddress[in.Address] = in
 		addresses = append(addresses, in.Address)
 	}
-	ordered := make([]InstanceAnswer, 0, min(len(live), maxListedInstances))
+	ordered := make([]ListedInstance, 0, min(len(live), maxListedInstances))
 	for len(addresses) > 0 && len(ordered) < maxListedInstances {
 		// The library's Remove reads beyond the end of its slice, so each position is looked up
 		// in a new hash of the remaining addresses.
 		first := rendezvous.New(addresses, xxhash.Sum64String).Lookup(key)
 		addresses = slices.DeleteFunc(addresses, func(a string) bool { return a == first })
-		ordered = append(ordered, InstanceAnswer(byAddress[first]))
+		ordered = append(ordered, ListedInstance(byAddress[first]))
 	}
 	return ordered
 }
--- a/test/failure/shutdown_test.go
+++ b/test/failure/shutdown_test.go
@@ -171,7 +171,7 @@
 type directory struct {
 	s       *system.System
 	first   *instances
-	known   []caller.InstanceAnswer
+	known   []caller.ListedInstance
 	askedAt time.Time
 }
 
--- a/test/system/caller.go
+++ b/test/system/caller.go
@@ -24,7 +24,7 @@
 
 // Addresses returns the answer of GET /v1/instances of an instance, nil if it
 // gives none.
-func (s *System) Addresses(t testing.TB, in *Instance) []caller.InstanceAnswer {
+func (s *System) Addresses(t testing.TB, in *Instance) []caller.ListedInstance {
 	t.Helper()
 	res, err := http.DefaultClient.Do(request(t.Context(), t, http.MethodGet, "http://"+in.Caller+"/v1/instances", "", nil))
 	if err != nil {
