--- a/internal/caller/instances.go
+++ b/internal/caller/instances.go
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// ModelsAnswer is the response of GET /v1/models.
-type ModelsAnswer struct {
+// ModelsResponse is the response of GET /v1/models.
+type ModelsResponse struct {
 	Object string        `json:"object"`
 	Data   []ModelAnswer `json:"data"`
 }
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	list := ModelsAnswer{Object: "list", Data: []ModelAnswer{}}
+	list := ModelsResponse{Object: "list", Data: []ModelAnswer{}}
 	for _, m := range who.snapshot.Config.Models {
 		list.Data = append(list.Data, ModelAnswer{ID: m.Name, Object: "model", OwnedBy: m.Service})
 	}
