--- a/internal/caller/instances.go
+++ b/internal/caller/instances.go
@@ -97,11 +97,11 @@
 // ModelsResponse is the response of GET /v1/models.
 type ModelsResponse struct {
 	Object string        `json:"object"`
-	Data   []ModelAnswer `json:"data"`
+	Data   []ListedModel `json:"data"`
 }
 
-// ModelAnswer is one model in OpenAI's format.
-type ModelAnswer struct {
+// ListedModel is one model in OpenAI's format.
+type ListedModel struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	Created int64  `json:"created"`
@@ -113,9 +113,9 @@
 	if err != nil {
 		return err
 	}
-	list := ModelsResponse{Object: "list", Data: []ModelAnswer{}}
+	list := ModelsResponse{Object: "list", Data: []ListedModel{}}
 	for _, m := range who.snapshot.Config.Models {
-		list.Data = append(list.Data, ModelAnswer{ID: m.Name, Object: "model", OwnedBy: m.Service})
+		list.Data = append(list.Data, ListedModel{ID: m.Name, Object: "model", OwnedBy: m.Service})
 	}
 	return writeJSON(c, list)
 }
