--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -102,9 +102,9 @@
 	// AcceptedGenerationKeys are further keys whose generation IDs are accepted.
 	AcceptedGenerationKeys [][]byte
 	Timing                 settings.Timing
-	// Grace is how long a generation keeps running after its caller disconnected; zero means
+	// GracePeriod is how long a generation keeps running after its caller disconnected; zero means
 	// [relay.DefaultGrace].
-	Grace time.Duration
+	GracePeriod time.Duration
 	// SlowCaller is how long data written to a caller may stay unread or unacknowledged; zero
 	// means [relay.DefaultSlowCaller].
 	SlowCaller time.Duration
@@ -195,7 +195,7 @@
 func newRelay(opts Options, confirmed func(time.Time) bool) (*relay.Relay, error) {
 	return relay.New(relay.Options{
 		Engine: opts.Engine, Permits: opts.Permits, Retries: opts.Retries, Confirmed: confirmed,
-		Stall: time.Duration(opts.Timing.StallMillis) * time.Millisecond, Grace: opts.Grace, SlowCaller: opts.SlowCaller,
+		Stall: time.Duration(opts.Timing.StallMillis) * time.Millisecond, Grace: opts.GracePeriod, SlowCaller: opts.SlowCaller,
 		Logger: opts.Logger, Scope: opts.Scope.SubScope("relay"), Tracer: opts.Tracer,
 	})
 }
