--- a/internal/caller/routes.go
+++ b/internal/caller/routes.go
@@ -41,7 +41,7 @@
 		server.WithStreamBody(true),
 		server.WithMaxHeaderBytes(maxHeaderBytes),
 		server.WithReadTimeout(readTimeout),
-		server.WithWriteTimeout(opts.SlowCaller),
+		server.WithWriteTimeout(opts.SlowCallerTimeout),
 		server.WithIdleTimeout(idleTimeout),
 		server.WithExitWaitTime(endMargin),
 		server.WithOnConnect(limitConnections(maxConnections)),
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -105,9 +105,9 @@
 	// GracePeriod is how long a generation keeps running after its caller disconnected; zero means
 	// [relay.DefaultGrace].
 	GracePeriod time.Duration
-	// SlowCaller is how long data written to a caller may stay unread or unacknowledged; zero
+	// SlowCallerTimeout is how long data written to a caller may stay unread or unacknowledged; zero
 	// means [relay.DefaultSlowCaller].
-	SlowCaller time.Duration
+	SlowCallerTimeout time.Duration
 	// Journal records the steps of requests; nil records none.
 	Journal *journal.Journal
 	Logger  zerolog.Logger
@@ -162,7 +162,7 @@
 	if s.peers, err = newPeerClient(); err != nil {
 		return nil, err
 	}
-	if err := limitUnread(opts.Listener, opts.SlowCaller); err != nil {
+	if err := limitUnread(opts.Listener, opts.SlowCallerTimeout); err != nil {
 		return nil, err
 	}
 	s.hertz = newHertz(opts)
@@ -180,8 +180,8 @@
 	if opts.Scope == nil {
 		opts.Scope = tally.NoopScope
 	}
-	if opts.SlowCaller == 0 {
-		opts.SlowCaller = relay.DefaultSlowCaller
+	if opts.SlowCallerTimeout == 0 {
+		opts.SlowCallerTimeout = relay.DefaultSlowCaller
 	}
 	if opts.Tracer == nil {
 		opts.Tracer = noop.NewTracerProvider().Tracer("")
@@ -195,7 +195,7 @@
 func newRelay(opts Options, confirmed func(time.Time) bool) (*relay.Relay, error) {
 	return relay.New(relay.Options{
 		Engine: opts.Engine, Permits: opts.Permits, Retries: opts.Retries, Confirmed: confirmed,
-		Stall: time.Duration(opts.Timing.StallMillis) * time.Millisecond, Grace: opts.GracePeriod, SlowCaller: opts.SlowCaller,
+		Stall: time.Duration(opts.Timing.StallMillis) * time.Millisecond, Grace: opts.GracePeriod, SlowCaller: opts.SlowCallerTimeout,
 		Logger: opts.Logger, Scope: opts.Scope.SubScope("relay"), Tracer: opts.Tracer,
 	})
 }
--- a/internal/caller/slow_test.go
+++ b/internal/caller/slow_test.go
@@ -20,7 +20,7 @@
 	// The ring and the limited buffers hold 683 tokens; with the kernel's default limit of 4 MiB
 	// they hold 17,280.
 	const maxTokens = 4000
-	s := startTokens(t, func(o *Options) { o.SlowCaller, o.GracePeriod = 200*time.Millisecond, time.Millisecond })
+	s := startTokens(t, func(o *Options) { o.SlowCallerTimeout, o.GracePeriod = 200*time.Millisecond, time.Millisecond })
 	defer s.close()
 	require.NoError(t, s.caller.(*net.TCPConn).SetReadBuffer(32<<10))
 	for s.send() == nil {
