--- a/internal/caller/fixture_test.go
+++ b/internal/caller/fixture_test.go
@@ -165,7 +165,7 @@
 		Instances: fixedInstances{{"i1", "10.0.0.1:80", "a"}, {"i2", "10.0.0.2:80", "b"}, {"i3", "10.0.0.3:80", "b"}},
 		Retries:   retry.NewBudgets(rand.New(rand.NewPCG(1, 2))), GenerationKey: bytes.Repeat([]byte{7}, 32),
 		Timing:      settings.Timing{StallMillis: 2000, ConfirmMillis: 3000, AddressSeconds: 1, StopSeconds: 60},
-		GracePeriod: time.Minute, CallerTraces: 1000,
+		GracePeriod: time.Minute, CallerTracesPerSecond: 1000,
 	}
 	for _, c := range change {
 		c(&opts)
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -113,9 +113,9 @@
 	Logger  zerolog.Logger
 	Scope   tally.Scope
 	Tracer  trace.Tracer
-	// CallerTraces limits the requests per second that are traced because their callers sampled
+	// CallerTracesPerSecond limits the requests per second that are traced because their callers sampled
 	// them; zero allows none.
-	CallerTraces int
+	CallerTracesPerSecond int
 }
 
 // Server serves the HTTP API for callers.
@@ -148,7 +148,7 @@
 	s := &Server{
 		opts: opts, codec: codec, gate: newGate(maxRequests), log: opts.Logger,
 		prefixes: placement.NewPrefixes(), scope: opts.Scope, tracer: opts.Tracer,
-		traceLimiter: rate.NewLimiter(rate.Limit(opts.CallerTraces), opts.CallerTraces),
+		traceLimiter: rate.NewLimiter(rate.Limit(opts.CallerTracesPerSecond), opts.CallerTracesPerSecond),
 	}
 	if s.relay, err = newRelay(opts, s.confirmed); err != nil {
 		return nil, err
--- a/internal/caller/trace_test.go
+++ b/internal/caller/trace_test.go
@@ -24,7 +24,7 @@
 			recorder := tracetest.NewSpanRecorder()
 			provider := sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(recorder), sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.NeverSample())))
 			f := startServer(t, testConfig("127.0.0.1:1"), func(o *Options) {
-				o.Tracer, o.CallerTraces = provider.Tracer("test"), tt.limit
+				o.Tracer, o.CallerTracesPerSecond = provider.Tracer("test"), tt.limit
 			})
 			// The limiter must not refill during the test.
 			f.server.traceLimiter.SetLimit(0)
--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -198,7 +198,7 @@
 		Logger:                 telemetry.Part(p.tel.Log, "caller"),
 		Scope:                  p.tel.Metrics.SubScope("caller"),
 		Tracer:                 p.tel.Tracer,
-		CallerTraces:           p.settings.Trace.CallerTracesPerSecond,
+		CallerTracesPerSecond:  p.settings.Trace.CallerTracesPerSecond,
 	}
 }
 
