--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -77,7 +77,7 @@
 		}
 	}
 	if s.Trace.CallerTracesPerSecond == 0 {
-		s.Trace.CallerTracesPerSecond = DefaultCallerTraces
+		s.Trace.CallerTracesPerSecond = DefaultCallerTracesPerSecond
 	}
 	if s.Policy == "" {
 		s.Policy = PolicyPredicted
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -59,7 +59,7 @@
 		"Trace.exporter":                {Enum: exporters, Default: ExporterNone, Description: "Exporter of spans. No unit."},
 		"Trace.endpoint":                {Description: "For otlp the OTLP/HTTP URL, for file a path."},
 		"Trace.sampleRatio":             {Range: fieldschema.Between(0, 1), Description: "Share of requests that are traced, a ratio."},
-		"Trace.callerTracesPerSecond":   {Range: fieldschema.Between(0, maxCallerTraces), Default: DefaultCallerTraces, Description: "Most requests a second that are traced because their callers ask for it; 0 takes the default."},
+		"Trace.callerTracesPerSecond":   {Range: fieldschema.Between(0, maxCallerTraces), Default: DefaultCallerTracesPerSecond, Description: "Most requests a second that are traced because their callers ask for it; 0 takes the default."},
 	}
 	for _, f := range timingFields(&Timing{}) {
 		fields["Timing."+f.name] = fieldschema.Field{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -90,9 +90,9 @@
 	CallerTracesPerSecond int `json:"callerTracesPerSecond"`
 }
 
-// DefaultCallerTraces is the default of CallerTracesPerSecond. It is enough for a few developers who
+// DefaultCallerTracesPerSecond is the default of CallerTracesPerSecond. It is enough for a few developers who
 // inspect their own requests, and a hundredth of what an instance can serve.
-const DefaultCallerTraces = 10
+const DefaultCallerTracesPerSecond = 10
 
 // Timing holds the periods and timeouts of an instance. Zero fields take their values from
 // [DefaultTiming].
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -37,7 +37,7 @@
 	require.Equal(t, settings.PolicyPredicted, s.Policy)
 	require.Equal(t, settings.DefaultLogLevel, s.Log.Level)
 	require.Equal(t, settings.ExporterNone, s.Trace.Exporter)
-	require.Equal(t, settings.DefaultCallerTraces, s.Trace.CallerTracesPerSecond)
+	require.Equal(t, settings.DefaultCallerTracesPerSecond, s.Trace.CallerTracesPerSecond)
 	require.Equal(t, "kigali-a", s.Zone)
 
 	_, err = settings.Load(path + ".missing")
