--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -7,8 +7,8 @@
 // redacted replaces keys in output.
 const redacted = "(set)"
 
-// WithoutKeys returns s with its keys redacted.
-func (s Settings) WithoutKeys() Settings {
+// Redacted returns s with its keys redacted.
+func (s Settings) Redacted() Settings {
 	s.PeerKey, s.GenerationKey = redacted, redacted
 	s.Accepted.PeerKeys = withoutKeys(s.Accepted.PeerKeys)
 	s.Accepted.GenerationKeys = withoutKeys(s.Accepted.GenerationKeys)
--- a/pkg/cmd/settings/print/print.go
+++ b/pkg/cmd/settings/print/print.go
@@ -38,5 +38,5 @@
 	if err != nil {
 		return err
 	}
-	return cmdutil.PrintJSON(o.Factory.Streams.Out, s.WithoutKeys())
+	return cmdutil.PrintJSON(o.Factory.Streams.Out, s.Redacted())
 }
