--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -75,7 +75,7 @@
 		opts.Attempts = defaultAttempts
 	}
 	if opts.Pause == nil {
-		opts.Pause = objectapi.Pause
+		opts.Pause = objectapi.Sleep
 	}
 	return &Store{opts: opts, later: make(chan write, laterWrites), sweeper: newSweeper()}
 }
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -187,7 +187,7 @@
 		if err == nil || errors.As(err, &conflictErr) {
 			return nil
 		}
-		if errors.Is(err, objectapi.ErrRefused) || objectapi.Pause(ctx, backoff.Fail()) != nil {
+		if errors.Is(err, objectapi.ErrRefused) || objectapi.Sleep(ctx, backoff.Fail()) != nil {
 			break
 		}
 	}
@@ -218,7 +218,7 @@
 		case errors.Is(err, objectapi.ErrUnknownOutcome):
 			uncertain = true
 		}
-		if objectapi.Pause(ctx, backoff.Fail()) != nil {
+		if objectapi.Sleep(ctx, backoff.Fail()) != nil {
 			break
 		}
 	}
--- a/internal/config/follow.go
+++ b/internal/config/follow.go
@@ -64,7 +64,7 @@
 		// so each waits for a random backoff first.
 		p.failures++
 		synced = synced && !errors.Is(err, objectapi.ErrCompacted) && !errors.Is(err, ErrOlder)
-		_ = objectapi.Pause(ctx, backoff.Fail())
+		_ = objectapi.Sleep(ctx, backoff.Fail())
 	}
 }
 
--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -80,7 +80,7 @@
 		case <-g.wake:
 		}
 		g.forward(ctx, g.nextBroadcast(g.opts.Now()))
-		if objectapi.Pause(ctx, broadcastInterval) != nil {
+		if objectapi.Sleep(ctx, broadcastInterval) != nil {
 			return
 		}
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -181,7 +181,7 @@
 			}
 		}
 		g.probeNext(ctx, rng)
-		if objectapi.Pause(ctx, max(0, pause-g.opts.Now().Sub(now))) != nil {
+		if objectapi.Sleep(ctx, max(0, pause-g.opts.Now().Sub(now))) != nil {
 			break
 		}
 	}
--- a/internal/ingress/move.go
+++ b/internal/ingress/move.go
@@ -65,7 +65,7 @@
 		m.s.log.Info().Str("request", r.id).Str("server", m.source.ID).Err(err).Msg("moved without a turn")
 		return false
 	}
-	if objectapi.Pause(ctx, turn.Wait()) != nil {
+	if objectapi.Sleep(ctx, turn.Wait()) != nil {
 		return false
 	}
 	server, ok := m.s.opts.State.Server(turn.To)
--- a/internal/ingress/starting.go
+++ b/internal/ingress/starting.go
@@ -23,7 +23,7 @@
 		return
 	}
 	for until := now.Add(startingWait); !s.opts.State.Known() && !s.opts.State.Outage() && s.opts.Now().Before(until); {
-		if objectapi.Pause(ctx, startingLook) != nil {
+		if objectapi.Sleep(ctx, startingLook) != nil {
 			return
 		}
 	}
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -286,7 +286,7 @@
 		if status != http.StatusConflict {
 			return true
 		}
-		if objectapi.Pause(ctx, stopEvery) != nil {
+		if objectapi.Sleep(ctx, stopEvery) != nil {
 			return false
 		}
 	}
--- a/internal/ingressserve/serve.go
+++ b/internal/ingressserve/serve.go
@@ -174,7 +174,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), now.Add(grace))
 	defer cancel()
 	in.gossip.BroadcastLeaving()
-	for objectapi.Pause(ctx, leaveCheck) == nil {
+	for objectapi.Sleep(ctx, leaveCheck) == nil {
 		if in.server.Running() == 0 && time.Since(now) > leaveLeast {
 			break
 		}
--- a/internal/observed/follow.go
+++ b/internal/observed/follow.go
@@ -163,7 +163,7 @@
 }
 
 func (f *Follower) sweep(ctx context.Context) {
-	for objectapi.Pause(ctx, sweepInterval) == nil {
+	for objectapi.Sleep(ctx, sweepInterval) == nil {
 		f.opts.State.Sweep(f.opts.Now())
 	}
 }
@@ -182,13 +182,13 @@
 			f.opts.Log.Info().Str("kind", w.kind).Bool("watching", nowWatching).Msg("turn to watch the platform")
 		}
 		if !watching {
-			if objectapi.Pause(ctx, rankCheckInterval) != nil {
+			if objectapi.Sleep(ctx, rankCheckInterval) != nil {
 				return
 			}
 			continue
 		}
 		if !f.mayCall(f.opts.Now()) {
-			if objectapi.Pause(ctx, retryCheckInterval) != nil {
+			if objectapi.Sleep(ctx, retryCheckInterval) != nil {
 				return
 			}
 			continue
@@ -259,7 +259,7 @@
 			return true
 		}
 		if rank > 0 && len(changes.Events) > 0 {
-			if objectapi.Pause(ctx, standbyDelay) != nil {
+			if objectapi.Sleep(ctx, standbyDelay) != nil {
 				return true
 			}
 			if known, _ := f.opts.State.Version(w.resource); w.resource != Configuration && changes.Version <= known {
@@ -279,7 +279,7 @@
 		if rank == 0 || len(changes.Events) > 0 {
 			f.opts.Broadcast()
 		}
-		if len(changes.Events) > 0 && w.resource == Servers && objectapi.Pause(ctx, watchPause) != nil {
+		if len(changes.Events) > 0 && w.resource == Servers && objectapi.Sleep(ctx, watchPause) != nil {
 			return true
 		}
 	}
--- a/internal/observed/refresh.go
+++ b/internal/observed/refresh.go
@@ -48,7 +48,7 @@
 func (f *Follower) refresh(ctx context.Context, all []*watchedResource) {
 	var lists sync.WaitGroup
 	defer lists.Wait()
-	for objectapi.Pause(ctx, relistCheckInterval) == nil {
+	for objectapi.Sleep(ctx, relistCheckInterval) == nil {
 		now := f.opts.Now()
 		for _, w := range all {
 			if w.mayList(now) && f.relistDue(now, w) && w.startListing() {
--- a/internal/observed/watcher.go
+++ b/internal/observed/watcher.go
@@ -20,7 +20,7 @@
 // lists the resource if it is still unknown. If that fails, it is left to the watchers.
 func (f *Follower) start(ctx context.Context, w *watchedResource, patience *objectapi.Patience) error {
 	for !f.opts.State.Known() && f.opts.Now().Sub(f.started) < f.startWait() {
-		if err := objectapi.Pause(ctx, startCheckInterval); err != nil {
+		if err := objectapi.Sleep(ctx, startCheckInterval); err != nil {
 			return err
 		}
 	}
@@ -29,7 +29,7 @@
 			f.opts.Broadcast()
 		}
 	}
-	return objectapi.Pause(ctx, max(0, startupDelay-f.opts.Now().Sub(f.started)))
+	return objectapi.Sleep(ctx, max(0, startupDelay-f.opts.Now().Sub(f.started)))
 }
 
 const (
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -121,7 +121,7 @@
 
 // Run sends reports until ctx is done.
 func (p *Peer) Run(ctx context.Context) {
-	for objectapi.Pause(ctx, checkInterval) == nil {
+	for objectapi.Sleep(ctx, checkInterval) == nil {
 		now := p.opts.Now()
 		if answers, due := p.dueReport(now); due {
 			p.report(ctx, now, Report{Answers: answers})
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -78,7 +78,7 @@
 	}
 	now := p.opts.Now()
 	decided := p.schedule.Add(now, Copy{Run: l.Run, By: l.By, From: l.Engine, Tokens: l.Tokens})
-	if objectapi.Pause(ctx, decided.Sub(now)) != nil {
+	if objectapi.Sleep(ctx, decided.Sub(now)) != nil {
 		return Turn{}, ErrUnavailable
 	}
 	now = p.opts.Now()
--- a/internal/planner/reports.go
+++ b/internal/planner/reports.go
@@ -66,7 +66,7 @@
 				delete(last, address)
 			}
 		}
-		if objectapi.Pause(ctx, reportGap) != nil {
+		if objectapi.Sleep(ctx, reportGap) != nil {
 			return
 		}
 	}
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -107,7 +107,7 @@
 
 // Run takes part in rollouts until ctx ends.
 func (p *Peer) Run(ctx context.Context) {
-	for objectapi.Pause(ctx, tick) == nil {
+	for objectapi.Sleep(ctx, tick) == nil {
 		now := p.opts.Now()
 		p.checkPause(now)
 		rollouts := p.opts.State.Rollouts()
--- a/internal/slopes/configuration.go
+++ b/internal/slopes/configuration.go
@@ -132,7 +132,7 @@
 	ctx, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
 	for s.Version() < version {
-		if err := objectapi.Pause(ctx, 5*time.Millisecond); err != nil {
+		if err := objectapi.Sleep(ctx, 5*time.Millisecond); err != nil {
 			return merry.Wrap(ErrMeasure, merry.AppendMessage("change not in force"))
 		}
 	}
@@ -260,7 +260,7 @@
 		return nil, nil, err
 	}
 	before, callsBefore := count.bytes.Load(), len(made)
-	if err := objectapi.Pause(ctx, followFor); err != nil {
+	if err := objectapi.Sleep(ctx, followFor); err != nil {
 		return nil, nil, merry.Wrap(err)
 	}
 	seconds := followFor.Seconds()
--- a/internal/slopes/duties.go
+++ b/internal/slopes/duties.go
@@ -139,11 +139,11 @@
 		cancel()
 		<-done
 	}()
-	if err := objectapi.Pause(ctx, settle); err != nil {
+	if err := objectapi.Sleep(ctx, settle); err != nil {
 		return 0, merry.Wrap(err)
 	}
 	before, start := processorTime(), time.Now()
-	if err := objectapi.Pause(ctx, dutyFor); err != nil {
+	if err := objectapi.Sleep(ctx, dutyFor); err != nil {
 		return 0, merry.Wrap(err)
 	}
 	return 100 * float64(processorTime()-before) / float64(time.Since(start)), nil
@@ -221,7 +221,7 @@
 	var costs memberCosts
 	costs.cpu, err = share(ctx, func(ctx context.Context) {
 		go func() {
-			if objectapi.Pause(ctx, settle) == nil {
+			if objectapi.Sleep(ctx, settle) == nil {
 				world.reset()
 			}
 		}()
--- a/internal/slopes/polls.go
+++ b/internal/slopes/polls.go
@@ -84,11 +84,11 @@
 	for i, s := range cfg.Servers {
 		duties.Go(func() { askOften(ctx, o, s.Name, askRates[i], uint64(i)) })
 	}
-	if err := objectapi.Pause(ctx, calmSettle); err != nil {
+	if err := objectapi.Sleep(ctx, calmSettle); err != nil {
 		return out, merry.Wrap(err)
 	}
 	loads.reset()
-	if err := objectapi.Pause(ctx, pollsFor); err != nil {
+	if err := objectapi.Sleep(ctx, pollsFor); err != nil {
 		return out, merry.Wrap(err)
 	}
 	loads.mu.Lock()
@@ -106,7 +106,7 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for i := 0; ; i++ {
-		if objectapi.Pause(ctx, time.Duration(rng.ExpFloat64()/rate*float64(time.Second))) != nil {
+		if objectapi.Sleep(ctx, time.Duration(rng.ExpFloat64()/rate*float64(time.Second))) != nil {
 			return
 		}
 		res := o.Acquire(ctx, &peerv1.AcquireRequest{
--- a/internal/slopes/processes.go
+++ b/internal/slopes/processes.go
@@ -92,7 +92,7 @@
 	if err := d.start(ctx, n, fleet(processServers, fullWorkspaces)); err != nil {
 		return nil, err
 	}
-	if err := objectapi.Pause(ctx, processSettle); err != nil {
+	if err := objectapi.Sleep(ctx, processSettle); err != nil {
 		return nil, merry.Wrap(err)
 	}
 	values, err := d.measure(ctx, processFor)
@@ -110,7 +110,7 @@
 	if err := d.started[0].Process.Kill(); err != nil {
 		return 0, merry.Wrap(ErrMeasure, merry.WithCause(err))
 	}
-	if err := objectapi.Pause(ctx, outageFor); err != nil {
+	if err := objectapi.Sleep(ctx, outageFor); err != nil {
 		return 0, merry.Wrap(err)
 	}
 	ready := 0
@@ -150,7 +150,7 @@
 		if err == nil {
 			break
 		}
-		if objectapi.Pause(ready, 100*time.Millisecond) != nil {
+		if objectapi.Sleep(ready, 100*time.Millisecond) != nil {
 			return merry.Wrap(ErrMeasure, merry.WithCause(err))
 		}
 	}
@@ -317,7 +317,7 @@
 		return nil, err
 	}
 	start := time.Now()
-	if err := objectapi.Pause(ctx, during); err != nil {
+	if err := objectapi.Sleep(ctx, during); err != nil {
 		return nil, merry.Wrap(err)
 	}
 	after, err := d.read(ctx)
--- a/internal/slopes/relay.go
+++ b/internal/slopes/relay.go
@@ -74,7 +74,7 @@
 	if err := d.start(ctx, 1, cfg); err != nil {
 		return err
 	}
-	return objectapi.Pause(ctx, processSettle)
+	return objectapi.Sleep(ctx, processSettle)
 }
 
 // relayLevel keeps n streams open and returns tokens a second and what the
@@ -90,12 +90,12 @@
 			for ctx.Err() == nil {
 				if err := stream(ctx, d.callers[0], i, &tokens); err != nil {
 					// Refused or cut off: not at once again.
-					_ = objectapi.Pause(ctx, 100*time.Millisecond)
+					_ = objectapi.Sleep(ctx, 100*time.Millisecond)
 				}
 			}
 		})
 	}
-	if err := objectapi.Pause(ctx, warmUp); err != nil {
+	if err := objectapi.Sleep(ctx, warmUp); err != nil {
 		return 0, nil, merry.Wrap(err)
 	}
 	before, start := tokens.Load(), time.Now()
--- a/internal/slopes/world.go
+++ b/internal/slopes/world.go
@@ -51,7 +51,7 @@
 
 // Watch implements member.Objects.
 func (w *fakeWorld) Watch(ctx context.Context, _ string, after int64, wait time.Duration) (objectapi.Changes, error) {
-	return objectapi.Changes{Version: max(after, epoch)}, objectapi.Pause(ctx, wait)
+	return objectapi.Changes{Version: max(after, epoch)}, objectapi.Sleep(ctx, wait)
 }
 
 // List implements member.List.
