--- a/internal/config/follow.go
+++ b/internal/config/follow.go
@@ -116,7 +116,7 @@
 		p.patience.Fail(elapsed)
 		return after, err
 	}
-	p.patience.Answered(elapsed)
+	p.patience.Succeed(elapsed)
 	var newest objectapi.Object
 	for _, e := range changes.Events {
 		if e.Type != objectapi.EventPut {
--- a/internal/config/follow_test.go
+++ b/internal/config/follow_test.go
@@ -38,10 +38,10 @@
 	}
 	require.Equal(t, maxAnswerTimeout, last)
 	p.failures = 0
-	p.patience.Answered(maxAnswerTimeout / 2)
+	p.patience.Succeed(maxAnswerTimeout / 2)
 	_, timeout := p.next(0)
 	require.Equal(t, maxAnswerTimeout, timeout, "a response that takes as long must not shorten the timeout")
-	p.patience.Answered(0)
+	p.patience.Succeed(0)
 	_, timeout = p.next(0)
 	require.Less(t, timeout, maxAnswerTimeout)
 }
--- a/internal/member/follow.go
+++ b/internal/member/follow.go
@@ -66,7 +66,7 @@
 		p.Fail(took)
 		return
 	}
-	p.Answered(took)
+	p.Succeed(took)
 }
 
 func (m *Member) readRoster(ctx context.Context, asked time.Time, patience time.Duration) (int64, error) {
--- a/internal/member/propose.go
+++ b/internal/member/propose.go
@@ -72,7 +72,7 @@
 		patience.Fail(time.Since(asked))
 		return
 	}
-	patience.Answered(time.Since(asked))
+	patience.Succeed(time.Since(asked))
 	listed := make([]roster.Listed, 0, len(instances))
 	for _, in := range instances {
 		listed = append(listed, roster.Listed{
--- a/internal/objectapi/timeout.go
+++ b/internal/objectapi/timeout.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// Answered records a response after elapsed, not counting the wait of a watch.
-func (p *Patience) Answered(elapsed time.Duration) {
+// Succeed records a response after elapsed, not counting the wait of a watch.
+func (p *Patience) Succeed(elapsed time.Duration) {
 	if p.timeouts > 0 && elapsed < p.Timeout()/2 {
 		p.timeouts--
 	}
--- a/internal/observed/follow.go
+++ b/internal/observed/follow.go
@@ -214,7 +214,7 @@
 		f.callFailed(start, w, err)
 		return 0, err
 	}
-	patience.Answered(f.opts.Now().Sub(start))
+	patience.Succeed(f.opts.Now().Sub(start))
 	f.callSucceeded()
 	w.list(start, version, objects)
 	if known, _ := f.opts.State.Version(w.resource); w.resource == Configuration || version >= known {
