--- a/internal/config/follow.go
+++ b/internal/config/follow.go
@@ -37,7 +37,7 @@
 func (s *Store) Run(ctx context.Context) {
 	backoff := objectapi.Backoff{Min: minRetryBackoff, Max: maxRetryBackoff}
 	p := newWatchTiming(s.opts.WatchWait)
-	lists := objectapi.Patience{Min: minListTimeout, Max: maxAnswerTimeout}
+	lists := objectapi.AdaptiveTimeout{Min: minListTimeout, Max: maxAnswerTimeout}
 	synced, after := false, int64(0)
 	for ctx.Err() == nil {
 		// A process that was paused may read the response long after it was sent, so the response
@@ -72,11 +72,11 @@
 type watchTiming struct {
 	wait     time.Duration
 	failures int
-	patience objectapi.Patience
+	patience objectapi.AdaptiveTimeout
 }
 
 func newWatchTiming(wait time.Duration) watchTiming {
-	return watchTiming{wait: wait, patience: objectapi.Patience{Min: minAnswerTimeout, Max: maxAnswerTimeout}}
+	return watchTiming{wait: wait, patience: objectapi.AdaptiveTimeout{Min: minAnswerTimeout, Max: maxAnswerTimeout}}
 }
 
 // next returns how long the platform may wait for a change, and the timeout of the watch. After a
--- a/internal/member/follow.go
+++ b/internal/member/follow.go
@@ -32,7 +32,7 @@
 // long after it was sent, by a process that was paused meanwhile.
 func (m *Member) followRoster(ctx context.Context) {
 	backoff := objectapi.Backoff{Min: firstRetry, Max: maxRetry}
-	patience := objectapi.Patience{Min: readTimeout, Max: maxPatience}
+	patience := objectapi.AdaptiveTimeout{Min: readTimeout, Max: maxPatience}
 	after, read := int64(0), false
 	for ctx.Err() == nil {
 		asked := time.Now()
@@ -61,7 +61,7 @@
 }
 
 // notePatience counts how a call ended. A refusal is an answer.
-func notePatience(p *objectapi.Patience, err error, took time.Duration) {
+func notePatience(p *objectapi.AdaptiveTimeout, err error, took time.Duration) {
 	if errors.Is(err, objectapi.ErrUnavailable) || errors.Is(err, objectapi.ErrUnknownOutcome) {
 		p.Fail(took)
 		return
--- a/internal/member/propose.go
+++ b/internal/member/propose.go
@@ -40,8 +40,8 @@
 // propose looks at list and heartbeats, and writes the next roster when it is
 // this instance's turn.
 func (m *Member) propose(ctx context.Context) {
-	lists := objectapi.Patience{Min: readTimeout, Max: maxPatience}
-	writes := objectapi.Patience{Min: writeTimeout, Max: maxPatience}
+	lists := objectapi.AdaptiveTimeout{Min: readTimeout, Max: maxPatience}
+	writes := objectapi.AdaptiveTimeout{Min: writeTimeout, Max: maxPatience}
 	for look := 0; ctx.Err() == nil; look++ {
 		if look == 0 || m.readsList() {
 			m.readList(ctx, &lists)
@@ -63,7 +63,7 @@
 	return m.random(int64(max(spareEvery, n/spareReads))) == 0
 }
 
-func (m *Member) readList(ctx context.Context, patience *objectapi.Patience) {
+func (m *Member) readList(ctx context.Context, patience *objectapi.AdaptiveTimeout) {
 	ctx, cancel := context.WithTimeout(ctx, patience.Timeout())
 	defer cancel()
 	asked := time.Now()
@@ -122,7 +122,7 @@
 
 // write stores a roster by conditional update. Losing the race is ordinary;
 // the watch brings the winner's. After a lost answer the watch brings ours.
-func (m *Member) write(ctx context.Context, epoch int64, next roster.Object, patience *objectapi.Patience) {
+func (m *Member) write(ctx context.Context, epoch int64, next roster.Object, patience *objectapi.AdaptiveTimeout) {
 	ctx, cancel := context.WithTimeout(objectapi.WithTimeout(ctx, patience.Timeout()), patience.Timeout())
 	defer cancel()
 	value, err := json.Marshal(next)
--- a/internal/objectapi/timeout.go
+++ b/internal/objectapi/timeout.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Patience is a timeout that adapts to a slow platform.
+// AdaptiveTimeout is a timeout that adapts to a slow platform.
 //
 // It doubles with each call that times out, up to Max, so that a slow platform can still be read. It
 // halves only after a response that took less than half of it. It is short at first, since a
 // connection may be half open.
-type Patience struct {
+type AdaptiveTimeout struct {
 	Min, Max time.Duration
 	timeouts int
 }
 
 // Timeout returns the timeout of the next call.
-func (p *Patience) Timeout() time.Duration {
+func (p *AdaptiveTimeout) Timeout() time.Duration {
 	return min(p.Min<<min(p.timeouts, maxDoublings), p.Max)
 }
 
@@ -25,14 +25,14 @@
 
 // Fail records a call that failed after elapsed. A failure before the timeout doesn't count: the
 // call was refused, and a longer timeout would gain nothing.
-func (p *Patience) Fail(elapsed time.Duration) {
+func (p *AdaptiveTimeout) Fail(elapsed time.Duration) {
 	if elapsed >= p.Timeout() && p.Timeout() < p.Max {
 		p.timeouts++
 	}
 }
 
 // Succeed records a response after elapsed, not counting the wait of a watch.
-func (p *Patience) Succeed(elapsed time.Duration) {
+func (p *AdaptiveTimeout) Succeed(elapsed time.Duration) {
 	if p.timeouts > 0 && elapsed < p.Timeout()/2 {
 		p.timeouts--
 	}
--- a/internal/observed/follow.go
+++ b/internal/observed/follow.go
@@ -171,7 +171,7 @@
 // follow watches a resource while this instance is one of its watchers, from the last list
 // or update on.
 func (f *Follower) follow(ctx context.Context, w *watchedResource) {
-	patience := objectapi.Patience{Min: callTimeout, Max: maxCallTimeout}
+	patience := objectapi.AdaptiveTimeout{Min: callTimeout, Max: maxCallTimeout}
 	if f.start(ctx, w, &patience) != nil {
 		return
 	}
@@ -206,7 +206,7 @@
 }
 
 // list lists a resource and applies the list.
-func (f *Follower) list(ctx context.Context, w *watchedResource, patience *objectapi.Patience) (int64, error) {
+func (f *Follower) list(ctx context.Context, w *watchedResource, patience *objectapi.AdaptiveTimeout) (int64, error) {
 	start := f.opts.Now()
 	version, objects, err := f.opts.Objects.List(objectapi.WithTimeout(ctx, patience.Timeout()), w.kind)
 	if err != nil {
@@ -225,7 +225,7 @@
 
 // watch applies changes while this instance is a watcher, and reports whether the resource
 // has to be listed before the next watch.
-func (f *Follower) watch(ctx context.Context, w *watchedResource, version int64, patience *objectapi.Patience) bool {
+func (f *Follower) watch(ctx context.Context, w *watchedResource, version int64, patience *objectapi.AdaptiveTimeout) bool {
 	for ctx.Err() == nil && f.isWatcher(w) {
 		start := f.opts.Now()
 		call, done := w.cancelable(ctx)
@@ -288,7 +288,7 @@
 
 // watchContext returns the context of one watch. A stale watch is cheaper for the
 // platform, but isn't allowed for a while after a missed change.
-func (f *Follower) watchContext(ctx context.Context, now time.Time, patience *objectapi.Patience) context.Context {
+func (f *Follower) watchContext(ctx context.Context, now time.Time, patience *objectapi.AdaptiveTimeout) context.Context {
 	ctx = objectapi.WithTimeout(ctx, patience.Timeout())
 	if f.allowsStaleWatch(now) {
 		ctx = objectapi.AllowStale(ctx)
--- a/internal/observed/refresh.go
+++ b/internal/observed/refresh.go
@@ -60,7 +60,7 @@
 
 // relist lists a resource and broadcasts the result.
 func (f *Follower) relist(ctx context.Context, w *watchedResource) error {
-	patience := objectapi.Patience{Min: callTimeout, Max: maxCallTimeout}
+	patience := objectapi.AdaptiveTimeout{Min: callTimeout, Max: maxCallTimeout}
 	before := f.opts.State.ContentHash(w.resource)
 	if _, err := f.list(ctx, w, &patience); err != nil {
 		return err
--- a/internal/observed/watcher.go
+++ b/internal/observed/watcher.go
@@ -18,7 +18,7 @@
 
 // start waits until others have sent the platform state, up to the start wait, and then
 // lists the resource if it is still unknown. If that fails, it is left to the watchers.
-func (f *Follower) start(ctx context.Context, w *watchedResource, patience *objectapi.Patience) error {
+func (f *Follower) start(ctx context.Context, w *watchedResource, patience *objectapi.AdaptiveTimeout) error {
 	for !f.opts.State.Known() && f.opts.Now().Sub(f.started) < f.startWait() {
 		if err := objectapi.Sleep(ctx, startCheckInterval); err != nil {
 			return err
