--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -164,7 +164,7 @@
 func (c *Client) Get(ctx context.Context, kind, name string) (Object, error) {
 	var o Object
 	err := c.read(ctx, Operation{Op: opGet, Kind: kind, Name: name}, func(body []byte) (err error) {
-		o, err = c.opts.Form.Object(kind, body)
+		o, err = c.opts.Form.DecodeObject(kind, body)
 		return err
 	})
 	return o, err
@@ -228,7 +228,7 @@
 func (c *Client) put(ctx context.Context, op Operation) (Object, error) {
 	var o Object
 	err := c.write(ctx, op, func(body []byte) (err error) {
-		o, err = c.opts.Form.Object(op.Kind, body)
+		o, err = c.opts.Form.DecodeObject(op.Kind, body)
 		return err
 	})
 	return o, err
@@ -344,7 +344,7 @@
 
 func (c *Client) decodeResponse(resp *http.Response, o Operation, body []byte, decode decodeFunc) error {
 	if c.opts.Form.Conflict(resp.StatusCode) {
-		current, err := c.opts.Form.Object(o.Kind, body)
+		current, err := c.opts.Form.DecodeObject(o.Kind, body)
 		if err != nil {
 			return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 		}
--- a/internal/objectapi/codec.go
+++ b/internal/objectapi/codec.go
@@ -41,9 +41,9 @@
 // meaning of a call.
 type Form interface {
 	Encode(o Operation) Message
-	// Object, Page and Changes decode the bodies of successful responses, and Object that of a
+	// DecodeObject, Page and Changes decode the bodies of successful responses, and DecodeObject that of a
 	// conflict too.
-	Object(kind string, body []byte) (Object, error)
+	DecodeObject(kind string, body []byte) (Object, error)
 	Page(kind string, body []byte) (Page, error)
 	Changes(kind string, body []byte) (Changes, error)
 	// Conflict reports whether an HTTP status means that the condition of a write was not met.
@@ -79,7 +79,7 @@
 	return Message{Method: http.MethodGet, Path: object}
 }
 
-func (defaultCodec) Object(_ string, body []byte) (Object, error) {
+func (defaultCodec) DecodeObject(_ string, body []byte) (Object, error) {
 	var o Object
 	return o, json.Unmarshal(body, &o)
 }
