--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -184,7 +184,7 @@
 func (c *Client) ListPage(ctx context.Context, kind, cursor string, limit int) (Page, error) {
 	var p Page
 	err := c.read(ctx, Operation{Op: opList, Kind: kind, Cursor: cursor, Limit: limit}, func(body []byte) (err error) {
-		p, err = c.opts.Form.Page(kind, body)
+		p, err = c.opts.Form.DecodePage(kind, body)
 		return err
 	})
 	return p, err
--- a/internal/objectapi/codec.go
+++ b/internal/objectapi/codec.go
@@ -44,7 +44,7 @@
 	// DecodeObject, Page and Changes decode the bodies of successful responses, and DecodeObject that of a
 	// conflict too.
 	DecodeObject(kind string, body []byte) (Object, error)
-	Page(kind string, body []byte) (Page, error)
+	DecodePage(kind string, body []byte) (Page, error)
 	Changes(kind string, body []byte) (Changes, error)
 	// Conflict reports whether an HTTP status means that the condition of a write was not met.
 	Conflict(status int) bool
@@ -84,7 +84,7 @@
 	return o, json.Unmarshal(body, &o)
 }
 
-func (defaultCodec) Page(_ string, body []byte) (Page, error) {
+func (defaultCodec) DecodePage(_ string, body []byte) (Page, error) {
 	var p Page
 	return p, json.Unmarshal(body, &p)
 }
