--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -257,7 +257,7 @@
 func (c *Client) Watch(ctx context.Context, kind string, after int64, wait time.Duration) (Changes, error) {
 	var changes Changes
 	err := c.read(ctx, Operation{Op: opWatch, Kind: kind, After: after, Wait: wait}, func(body []byte) (err error) {
-		changes, err = c.opts.Form.Changes(kind, body)
+		changes, err = c.opts.Form.DecodeChanges(kind, body)
 		return err
 	})
 	return changes, err
--- a/internal/objectapi/codec.go
+++ b/internal/objectapi/codec.go
@@ -45,7 +45,7 @@
 	// conflict too.
 	DecodeObject(kind string, body []byte) (Object, error)
 	DecodePage(kind string, body []byte) (Page, error)
-	Changes(kind string, body []byte) (Changes, error)
+	DecodeChanges(kind string, body []byte) (Changes, error)
 	// Conflict reports whether an HTTP status means that the condition of a write was not met.
 	Conflict(status int) bool
 }
@@ -89,7 +89,7 @@
 	return p, json.Unmarshal(body, &p)
 }
 
-func (defaultCodec) Changes(_ string, body []byte) (Changes, error) {
+func (defaultCodec) DecodeChanges(_ string, body []byte) (Changes, error) {
 	var c Changes
 	return c, json.Unmarshal(body, &c)
 }
