--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -343,7 +343,7 @@
 }
 
 func (c *Client) decodeResponse(resp *http.Response, o Operation, body []byte, decode decodeFunc) error {
-	if c.opts.Form.Conflict(resp.StatusCode) {
+	if c.opts.Form.IsConflict(resp.StatusCode) {
 		current, err := c.opts.Form.DecodeObject(o.Kind, body)
 		if err != nil {
 			return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
--- a/internal/objectapi/codec.go
+++ b/internal/objectapi/codec.go
@@ -46,8 +46,8 @@
 	DecodeObject(kind string, body []byte) (Object, error)
 	DecodePage(kind string, body []byte) (Page, error)
 	DecodeChanges(kind string, body []byte) (Changes, error)
-	// Conflict reports whether an HTTP status means that the condition of a write was not met.
-	Conflict(status int) bool
+	// IsConflict reports whether an HTTP status means that the condition of a write was not met.
+	IsConflict(status int) bool
 }
 
 // defaultCodec encodes the project's own object API: versions in If-Match headers, plain JSON
@@ -94,4 +94,4 @@
 	return c, json.Unmarshal(body, &c)
 }
 
-func (defaultCodec) Conflict(status int) bool { return status == http.StatusPreconditionFailed }
+func (defaultCodec) IsConflict(status int) bool { return status == http.StatusPreconditionFailed }
