--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -143,7 +143,7 @@
 	Paths  Paths
 	Kinds  Kinds
 	// Objects is the form of the platform's object API.
-	Objects objectapi.Form
+	Objects objectapi.Codec
 	// Configuration, Server and Report read messages.
 	Configuration func(value []byte) (routes.Configuration, error)
 	Server        func(id string, value []byte) (Server, error)
--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -105,7 +105,7 @@
 	OnCall func(Call)
 	// Form encodes calls and decodes their responses; nil means the format of this project's own
 	// object API.
-	Form Form
+	Form Codec
 }
 
 // The names of operations.
--- a/internal/objectapi/codec.go
+++ b/internal/objectapi/codec.go
@@ -37,9 +37,9 @@
 	Body   []byte
 }
 
-// Form encodes operations and decodes their responses. Platforms differ in the encoding, not in the
+// Codec encodes operations and decodes their responses. Platforms differ in the encoding, not in the
 // meaning of a call.
-type Form interface {
+type Codec interface {
 	Encode(o Operation) Message
 	// DecodeObject, Page and Changes decode the bodies of successful responses, and DecodeObject that of a
 	// conflict too.
