--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -36,7 +36,7 @@
 	cfg, d := in.cfg, in.opts.Dialect
 	in.state = observed.NewState()
 	objects := objectapi.NewClient("http://"+cfg.PlatformAddress, objectapi.Options{
-		Form: d.Objects, ReadsPerSecond: readsPerSecond, ReadBurst: readBurst, OnCall: in.countCall,
+		Codec: d.Objects, ReadsPerSecond: readsPerSecond, ReadBurst: readBurst, OnCall: in.countCall,
 	})
 	in.table = membership.NewTable(membership.Record{
 		ID: cfg.Instance, Peer: cfg.PeerAddress, Caller: cfg.CallerAddress, Zone: cfg.Zone, StartedAt: time.Now().UnixMilli(),
--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -103,9 +103,9 @@
 	ReadBurst      int
 	// OnCall is called after each call that was sent; it must not block.
 	OnCall func(Call)
-	// Form encodes calls and decodes their responses; nil means the format of this project's own
+	// Codec encodes calls and decodes their responses; nil means the format of this project's own
 	// object API.
-	Form Codec
+	Codec Codec
 }
 
 // The names of operations.
@@ -141,8 +141,8 @@
 	if opts.ReadsPerSecond == 0 {
 		opts.ReadsPerSecond = defaultReadsPerSecond
 	}
-	if opts.Form == nil {
-		opts.Form = defaultCodec{}
+	if opts.Codec == nil {
+		opts.Codec = defaultCodec{}
 	}
 	if opts.ReadBurst == 0 {
 		opts.ReadBurst = defaultReadBurst
@@ -164,7 +164,7 @@
 func (c *Client) Get(ctx context.Context, kind, name string) (Object, error) {
 	var o Object
 	err := c.read(ctx, Operation{Op: opGet, Kind: kind, Name: name}, func(body []byte) (err error) {
-		o, err = c.opts.Form.DecodeObject(kind, body)
+		o, err = c.opts.Codec.DecodeObject(kind, body)
 		return err
 	})
 	return o, err
@@ -184,7 +184,7 @@
 func (c *Client) ListPage(ctx context.Context, kind, cursor string, limit int) (Page, error) {
 	var p Page
 	err := c.read(ctx, Operation{Op: opList, Kind: kind, Cursor: cursor, Limit: limit}, func(body []byte) (err error) {
-		p, err = c.opts.Form.DecodePage(kind, body)
+		p, err = c.opts.Codec.DecodePage(kind, body)
 		return err
 	})
 	return p, err
@@ -228,7 +228,7 @@
 func (c *Client) put(ctx context.Context, op Operation) (Object, error) {
 	var o Object
 	err := c.write(ctx, op, func(body []byte) (err error) {
-		o, err = c.opts.Form.DecodeObject(op.Kind, body)
+		o, err = c.opts.Codec.DecodeObject(op.Kind, body)
 		return err
 	})
 	return o, err
@@ -257,7 +257,7 @@
 func (c *Client) Watch(ctx context.Context, kind string, after int64, wait time.Duration) (Changes, error) {
 	var changes Changes
 	err := c.read(ctx, Operation{Op: opWatch, Kind: kind, After: after, Wait: wait}, func(body []byte) (err error) {
-		changes, err = c.opts.Form.DecodeChanges(kind, body)
+		changes, err = c.opts.Codec.DecodeChanges(kind, body)
 		return err
 	})
 	return changes, err
@@ -301,7 +301,7 @@
 }
 
 func (c *Client) roundTrip(ctx context.Context, o Operation, exchange *control.Exchange, decode decodeFunc) error {
-	m := c.opts.Form.Encode(o)
+	m := c.opts.Codec.Encode(o)
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -343,8 +343,8 @@
 }
 
 func (c *Client) decodeResponse(resp *http.Response, o Operation, body []byte, decode decodeFunc) error {
-	if c.opts.Form.IsConflict(resp.StatusCode) {
-		current, err := c.opts.Form.DecodeObject(o.Kind, body)
+	if c.opts.Codec.IsConflict(resp.StatusCode) {
+		current, err := c.opts.Codec.DecodeObject(o.Kind, body)
 		if err != nil {
 			return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 		}
