--- a/internal/objectapi/codec.go
+++ b/internal/objectapi/codec.go
@@ -28,8 +28,8 @@
 	Stale bool
 }
 
-// Message is the HTTP request of an operation.
-type Message struct {
+// HTTPRequest is the HTTP request of an operation.
+type HTTPRequest struct {
 	Method string
 	// Path is escaped and may contain a query.
 	Path   string
@@ -40,7 +40,7 @@
 // Codec encodes operations and decodes their responses. Platforms differ in the encoding, not in the
 // meaning of a call.
 type Codec interface {
-	Encode(o Operation) Message
+	Encode(o Operation) HTTPRequest
 	// DecodeObject, Page and Changes decode the bodies of successful responses, and DecodeObject that of a
 	// conflict too.
 	DecodeObject(kind string, body []byte) (Object, error)
@@ -54,29 +54,29 @@
 // values as bodies.
 type defaultCodec struct{}
 
-func (defaultCodec) Encode(o Operation) Message {
+func (defaultCodec) Encode(o Operation) HTTPRequest {
 	object := "/objects/" + url.PathEscape(o.Kind) + "/" + url.PathEscape(o.Name)
 	ifMatch := http.Header{"If-Match": {strconv.Quote(strconv.FormatInt(o.Version, 10))}}
 	switch o.Op {
 	case opList:
 		query := url.Values{"limit": {strconv.Itoa(o.Limit)}, "cursor": {o.Cursor}}
-		return Message{Method: http.MethodGet, Path: "/objects/" + url.PathEscape(o.Kind) + "?" + query.Encode()}
+		return HTTPRequest{Method: http.MethodGet, Path: "/objects/" + url.PathEscape(o.Kind) + "?" + query.Encode()}
 	case opWatch:
 		query := url.Values{
 			"after":      {strconv.FormatInt(o.After, 10)},
 			"waitMillis": {strconv.FormatInt(o.Wait.Milliseconds(), 10)},
 		}
-		return Message{Method: http.MethodGet, Path: "/watch/" + url.PathEscape(o.Kind) + "?" + query.Encode()}
+		return HTTPRequest{Method: http.MethodGet, Path: "/watch/" + url.PathEscape(o.Kind) + "?" + query.Encode()}
 	case opCreate:
-		return Message{Method: http.MethodPut, Path: object, Header: http.Header{"If-None-Match": {"*"}}, Body: o.Value}
+		return HTTPRequest{Method: http.MethodPut, Path: object, Header: http.Header{"If-None-Match": {"*"}}, Body: o.Value}
 	case opUpdate:
-		return Message{Method: http.MethodPut, Path: object, Header: ifMatch, Body: o.Value}
+		return HTTPRequest{Method: http.MethodPut, Path: object, Header: ifMatch, Body: o.Value}
 	case opStatus:
-		return Message{Method: http.MethodPut, Path: object + "/status", Header: ifMatch, Body: o.Value}
+		return HTTPRequest{Method: http.MethodPut, Path: object + "/status", Header: ifMatch, Body: o.Value}
 	case opDelete:
-		return Message{Method: http.MethodDelete, Path: object, Header: ifMatch}
+		return HTTPRequest{Method: http.MethodDelete, Path: object, Header: ifMatch}
 	}
-	return Message{Method: http.MethodGet, Path: object}
+	return HTTPRequest{Method: http.MethodGet, Path: object}
 }
 
 func (defaultCodec) DecodeObject(_ string, body []byte) (Object, error) {
