--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -266,7 +266,7 @@
 // read sends a read-only call within the rate limit of reads. Every failure to get a response is
 // [ErrUnavailable].
 func (c *Client) read(ctx context.Context, o Operation, decode decodeFunc) error {
-	o.Stale = staleAllowed(ctx)
+	o.AllowStale = staleAllowed(ctx)
 	ctx, cancel := context.WithTimeout(ctx, c.timeout(ctx)+o.Wait)
 	defer cancel()
 	if time.Now().UnixNano() < c.readsBlockedUntil.Load() {
--- a/internal/objectapi/codec.go
+++ b/internal/objectapi/codec.go
@@ -24,8 +24,8 @@
 	// After and Wait apply to a watch.
 	After int64
 	Wait  time.Duration
-	// Stale allows a response that is seconds old, which is cheaper for the platform.
-	Stale bool
+	// AllowStale allows a response that is seconds old, which is cheaper for the platform.
+	AllowStale bool
 }
 
 // HTTPRequest is the HTTP request of an operation.
