--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -75,9 +75,9 @@
 	return s
 }
 
-// TakesNewWork reports whether server may receive new requests: both it and its availability zone
+// AcceptsRequests reports whether server may receive new requests: both it and its availability zone
 // are in service.
-func (s *Snapshot) TakesNewWork(server *pollenspindle.Server) bool {
+func (s *Snapshot) AcceptsRequests(server *pollenspindle.Server) bool {
 	zone, ok := s.Zones[server.Zone]
 	return ok && zone.State == pollenspindle.ZoneInService &&
 		server.State == pollenspindle.ServerInService
--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -36,7 +36,7 @@
 	received := time.Now()
 	snap := o.opts.Config()
 	server, ok := snap.Servers[req.GetServer()]
-	if !ok || !snap.TakesNewWork(server) {
+	if !ok || !snap.AcceptsRequests(server) {
 		return refused(permit.ReasonNoServer, retryNotReady, fullPermille)
 	}
 	if o.opts.Suspects.check(received, req.GetFingerprint()) == suspect.Refused {
--- a/internal/owner/decide.go
+++ b/internal/owner/decide.go
@@ -56,7 +56,7 @@
 	o.with(e, func() {
 		// The right is read again under the lock, so that no decision is made
 		// under one that a newer roster has ended.
-		e.follow(now, o.right(now, snap, server), snap.TakesNewWork(server))
+		e.follow(now, o.right(now, snap, server), snap.AcceptsRequests(server))
 		out.opened = e.openedAt
 		rests := e.rests(now, o.opts.PollEvery)
 		out.fresh = e.fresh
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -152,7 +152,7 @@
 				e.takeBack(now, r)
 			}
 			e.declare(o.admissionConfig(snap, server))
-			e.follow(now, right, snap.TakesNewWork(server))
+			e.follow(now, right, snap.AcceptsRequests(server))
 			e.deliver(e.state.Tick(now))
 		})
 		if right.Role != permit.RoleNone {
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -73,7 +73,7 @@
 		if ring == nil {
 			continue
 		}
-		ask := placement.Ask{Hash: req.PrefixHash, Zone: r.opts.Self.Zone, Request: req, Takes: snap.TakesNewWork}
+		ask := placement.Ask{Hash: req.PrefixHash, Zone: r.opts.Self.Zone, Request: req, Takes: snap.AcceptsRequests}
 		r.mu.Lock()
 		found := placement.Choose(now, ring, ask, r.views, r.rng)
 		r.mu.Unlock()
@@ -128,7 +128,7 @@
 	var found []*pollenspindle.Server
 	for i := range snap.Config.Servers {
 		server := &snap.Config.Servers[i]
-		if slices.Contains(poolKeys(server), key) && snap.TakesNewWork(server) && !slices.Contains(req.ExcludeServers, server.Name) {
+		if slices.Contains(poolKeys(server), key) && snap.AcceptsRequests(server) && !slices.Contains(req.ExcludeServers, server.Name) {
 			found = append(found, server)
 		}
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -213,7 +213,7 @@
 				return a.permit, nil
 			}
 		}
-		if server := r.opts.Config().Servers[server.Name]; server == nil || !r.opts.Config().TakesNewWork(server) {
+		if server := r.opts.Config().Servers[server.Name]; server == nil || !r.opts.Config().AcceptsRequests(server) {
 			return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonNoServer, RetryAfter: defaultRetryAfter}
 		}
 	}
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -84,7 +84,7 @@
 	req := &permit.Request{}
 	zone := zoneName(0)
 	return func() {
-		ask := placement.Ask{Hash: rng.Uint64(), Zone: zone, Request: req, Takes: snap.TakesNewWork}
+		ask := placement.Ask{Hash: rng.Uint64(), Zone: zone, Request: req, Takes: snap.AcceptsRequests}
 		placement.Choose(epochStart, ring, ask, views, rng)
 	}
 }
