--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -50,7 +50,7 @@
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		costs.Duty(control.RoleClaims, func() {
+		costs.RunLoop(control.RoleClaims, func() {
 			burn(func() bool {
 				select {
 				case <-stop:
@@ -77,7 +77,7 @@
 	ran := 0
 	costs.Of(control.RoleClaims).Run(func() { ran++ })
 	costs.Of(control.RoleClaims).Bytes(1, 1)
-	costs.Duty(control.RoleClaims, func() { ran++ })
+	costs.RunLoop(control.RoleClaims, func() { ran++ })
 	costs.Measure()
 	require.Equal(t, 2, ran)
 }
--- a/internal/control/cpu.go
+++ b/internal/control/cpu.go
@@ -28,10 +28,10 @@
 	counted time.Duration
 }
 
-// Duty runs the background loop f of a role on its own thread, whose CPU time [Costs.Measure] counts.
+// RunLoop runs the background loop f of a role on its own thread, whose CPU time [Costs.Measure] counts.
 // It is for loops that wake up a few times a second: each wake-up costs a thread switch of some ten
 // microseconds.
-func (c *Costs) Duty(r Role, f func()) {
+func (c *Costs) RunLoop(r Role, f func()) {
 	if c == nil {
 		f()
 		return
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -84,13 +84,15 @@
 	defer stop()
 	p := in.parts
 	failed := make(chan error, 3)
-	in.start(func() { p.costs.Duty(control.RoleConfig, func() { p.store.Run(duties) }) })
+	in.start(func() { p.costs.RunLoop(control.RoleConfig, func() { p.store.Run(duties) }) })
 	in.start(func() { p.members.Run(duties) })
 	in.start(func() { p.owner.Run(duties) })
 	in.start(func() { p.router.Run(duties) })
-	in.start(func() { p.costs.Duty(control.RoleGauges, func() { p.runGauges(duties) }) })
+	in.start(func() { p.costs.RunLoop(control.RoleGauges, func() { p.runGauges(duties) }) })
 	in.start(func() { p.claims.Run(duties) })
-	in.start(func() { p.costs.Duty(control.RoleClaims, func() { p.claims.RunSweep(duties, time.Now, p.ownsShard) }) })
+	in.start(func() {
+		p.costs.RunLoop(control.RoleClaims, func() { p.claims.RunSweep(duties, time.Now, p.ownsShard) })
+	})
 	in.start(func() { failed <- p.peerServer.Serve(duties, listeners.peer) })
 
 	callers, err := caller.NewServer(p.callerOptions(listeners.caller))
