--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -72,8 +72,8 @@
 	return c
 }
 
-// Of returns the meter of a role.
-func (c *Costs) Of(r Role) *Meter {
+// Meter returns the meter of a role.
+func (c *Costs) Meter(r Role) *Meter {
 	if c == nil {
 		return nil
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -36,7 +36,7 @@
 func TestRunCountsTimeByRole(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	costs := control.New(scope)
-	costs.Of(control.RoleClaims).Run(func() {
+	costs.Meter(control.RoleClaims).Run(func() {
 		rounds := 0
 		burn(func() bool { rounds++; return rounds > 10 })
 	})
@@ -75,8 +75,8 @@
 func TestNilCostsRunWithoutCounting(t *testing.T) {
 	var costs *control.Costs
 	ran := 0
-	costs.Of(control.RoleClaims).Run(func() { ran++ })
-	costs.Of(control.RoleClaims).Bytes(1, 1)
+	costs.Meter(control.RoleClaims).Run(func() { ran++ })
+	costs.Meter(control.RoleClaims).Bytes(1, 1)
 	costs.RunLoop(control.RoleClaims, func() { ran++ })
 	costs.Measure()
 	require.Equal(t, 2, ran)
--- a/internal/control/cpu.go
+++ b/internal/control/cpu.go
@@ -39,7 +39,7 @@
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	t := currentThread()
-	l := &loop{meter: c.Of(r), thread: t, counted: threadTime(t)}
+	l := &loop{meter: c.Meter(r), thread: t, counted: threadTime(t)}
 	c.mu.Lock()
 	c.loops[l] = struct{}{}
 	c.mu.Unlock()
--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -197,7 +197,7 @@
 
 // Release takes back permits.
 func (o *Owner) Release(released []*peerv1.Released) {
-	o.opts.Costs.Of(control.RolePermits).Run(func() { o.release(released) })
+	o.opts.Costs.Meter(control.RolePermits).Run(func() { o.release(released) })
 }
 
 func (o *Owner) release(released []*peerv1.Released) {
--- a/internal/owner/decide.go
+++ b/internal/owner/decide.go
@@ -33,7 +33,7 @@
 	for {
 		now := time.Now()
 		var d decided
-		o.opts.Costs.Of(control.RolePermits).Run(func() { d = o.decide(now, snap, server, e, req) })
+		o.opts.Costs.Meter(control.RolePermits).Run(func() { d = o.decide(now, snap, server, e, req) })
 		if d.fresh != nil {
 			// The poll outlives the ask, whose asker may go away.
 			o.poll(context.WithoutCancel(ctx), now, snap, *server, e)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -128,7 +128,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			o.opts.Costs.Of(control.RoleOwner).Run(func() { o.tick(ctx, time.Now()) })
+			o.opts.Costs.Meter(control.RoleOwner).Run(func() { o.tick(ctx, time.Now()) })
 		}
 	}
 }
--- a/internal/owner/poll.go
+++ b/internal/owner/poll.go
@@ -104,7 +104,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	report, err := o.opts.Loads.Load(ctx, time.Now(), kind, server.Address)
-	o.opts.Costs.Of(control.RoleLoadPolls).Run(func() { o.polled(time.Now(), server, e, report, err) })
+	o.opts.Costs.Meter(control.RoleLoadPolls).Run(func() { o.polled(time.Now(), server, e, report, err) })
 }
 
 // polled takes in a load report, or that there was none.
--- a/internal/peer/metered.go
+++ b/internal/peer/metered.go
@@ -32,7 +32,7 @@
 func Metered(costs *control.Costs) connect.Option {
 	return connect.WithInterceptors(connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
-			meter := costs.Of(roleOf(req.Spec().Procedure))
+			meter := costs.Meter(roleOf(req.Spec().Procedure))
 			res, err := handle(ctx, meter, next, req)
 			asked, answered := size(req.Any()), int64(0)
 			if err == nil {
--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -69,8 +69,8 @@
 	p.objects = objectapi.NewClient(s.PlatformURL, objectapi.Options{OnCall: p.countCall})
 	p.store = config.NewStore(config.StoreOptions{Objects: p.objects, Log: telemetry.Part(tel.Log, "config")})
 	p.claims = claim.NewStore(p.claimOptions())
-	p.engines = engine.NewClient(engine.Options{Loads: p.costs.Of(control.RoleLoadPolls)})
-	p.services = service.NewClient(service.Options{Loads: p.costs.Of(control.RoleLoadPolls)})
+	p.engines = engine.NewClient(engine.Options{Loads: p.costs.Meter(control.RoleLoadPolls)})
+	p.services = service.NewClient(service.Options{Loads: p.costs.Meter(control.RoleLoadPolls)})
 	p.retries = retry.NewBudgets(rand.New(rand.NewPCG(seed(s, 3), 0)))
 	return p, p.newPeers()
 }
@@ -88,7 +88,7 @@
 		Self:      p.self,
 		Timing:    p.rosterTiming(),
 		Objects:   p.objects,
-		List:      instancelist.NewClient(s.PlatformURL, p.costs.Of(control.RoleInstanceList)),
+		List:      instancelist.NewClient(s.PlatformURL, p.costs.Meter(control.RoleInstanceList)),
 		Config:    p.store,
 		Suspects:  suspects,
 		Peers:     pool,
