--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -50,8 +50,8 @@
 	RoleInstanceList, RoleClaims, RoleOrders, RoleOperators, RoleGauges,
 }
 
-// Costs holds the meters of all roles. A nil Costs counts nothing. It is safe for concurrent use.
-type Costs struct {
+// Meters holds the meters of all roles. A nil Meters counts nothing. It is safe for concurrent use.
+type Meters struct {
 	meters map[Role]*Meter
 
 	mu    sync.Mutex
@@ -59,8 +59,8 @@
 }
 
 // New returns meters that report to scope.
-func New(scope tally.Scope) *Costs {
-	c := &Costs{meters: map[Role]*Meter{}, loops: map[*loop]struct{}{}}
+func New(scope tally.Scope) *Meters {
+	c := &Meters{meters: map[Role]*Meter{}, loops: map[*loop]struct{}{}}
 	for _, r := range roles {
 		role := scope.Tagged(map[string]string{"role": string(r)})
 		c.meters[r] = &Meter{
@@ -73,7 +73,7 @@
 }
 
 // Meter returns the meter of a role.
-func (c *Costs) Meter(r Role) *Meter {
+func (c *Meters) Meter(r Role) *Meter {
 	if c == nil {
 		return nil
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -73,7 +73,7 @@
 }
 
 func TestNilCostsRunWithoutCounting(t *testing.T) {
-	var costs *control.Costs
+	var costs *control.Meters
 	ran := 0
 	costs.Meter(control.RoleClaims).Run(func() { ran++ })
 	costs.Meter(control.RoleClaims).Bytes(1, 1)
--- a/internal/control/cpu.go
+++ b/internal/control/cpu.go
@@ -28,10 +28,10 @@
 	counted time.Duration
 }
 
-// RunLoop runs the background loop f of a role on its own thread, whose CPU time [Costs.Measure] counts.
+// RunLoop runs the background loop f of a role on its own thread, whose CPU time [Meters.Measure] counts.
 // It is for loops that wake up a few times a second: each wake-up costs a thread switch of some ten
 // microseconds.
-func (c *Costs) RunLoop(r Role, f func()) {
+func (c *Meters) RunLoop(r Role, f func()) {
 	if c == nil {
 		f()
 		return
@@ -54,7 +54,7 @@
 }
 
 // Measure counts the CPU time that the running loops have used since its last call.
-func (c *Costs) Measure() {
+func (c *Meters) Measure() {
 	if c == nil {
 		return
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -82,7 +82,7 @@
 	Log       zerolog.Logger
 	Metrics   tally.Scope
 	// Costs counts what the owner's work costs; it may be nil.
-	Costs *control.Costs
+	Costs *control.Meters
 }
 
 // Owner is safe for concurrent use.
--- a/internal/peer/metered.go
+++ b/internal/peer/metered.go
@@ -29,7 +29,7 @@
 
 // Metered counts the messages of calls by role, and the processor time of the
 // handlers that wait for nothing. It serves clients and handlers alike.
-func Metered(costs *control.Costs) connect.Option {
+func Metered(costs *control.Meters) connect.Option {
 	return connect.WithInterceptors(connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			meter := costs.Meter(roleOf(req.Spec().Procedure))
--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -38,7 +38,7 @@
 type parts struct {
 	settings   settings.Settings
 	tel        *telemetry.Telemetry
-	costs      *control.Costs
+	costs      *control.Meters
 	objects    *objectapi.Client
 	store      *config.Store
 	claims     *claim.Store
