--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -85,8 +85,8 @@
 	sent, received, cpu tally.Counter
 }
 
-// Bytes counts the bytes of one exchange.
-func (m *Meter) Bytes(sent, received int64) {
+// AddBytes counts the bytes of one exchange.
+func (m *Meter) AddBytes(sent, received int64) {
 	if m == nil {
 		return
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -76,7 +76,7 @@
 	var costs *control.Meters
 	ran := 0
 	costs.Meter(control.RoleClaims).Run(func() { ran++ })
-	costs.Meter(control.RoleClaims).Bytes(1, 1)
+	costs.Meter(control.RoleClaims).AddBytes(1, 1)
 	costs.RunLoop(control.RoleClaims, func() { ran++ })
 	costs.Measure()
 	require.Equal(t, 2, ran)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -238,7 +238,7 @@
 	if resp.StatusCode() != http.StatusOK {
 		return statusError(resp)
 	}
-	meter.Bytes(httpclient.Size(r, resp))
+	meter.AddBytes(httpclient.Size(r, resp))
 	meter.Run(func() { err = json.Unmarshal(resp.Bytes(), v) })
 	if err != nil {
 		return merry.Wrap(ErrBadAnswer, merry.WithCause(err))
--- a/internal/instancelist/instancelist.go
+++ b/internal/instancelist/instancelist.go
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var exchange control.Exchange
-	defer func() { c.meter.Bytes(exchange.Bytes()) }()
+	defer func() { c.meter.AddBytes(exchange.Bytes()) }()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) { exchange.Begin(info.Conn, info.Reused) },
 	})
--- a/internal/peer/metered.go
+++ b/internal/peer/metered.go
@@ -39,9 +39,9 @@
 				answered = size(res.Any())
 			}
 			if req.Spec().IsClient {
-				meter.Bytes(asked, answered)
+				meter.AddBytes(asked, answered)
 			} else {
-				meter.Bytes(answered, asked)
+				meter.AddBytes(answered, asked)
 			}
 			return res, err
 		}
--- a/internal/serve/gauges.go
+++ b/internal/serve/gauges.go
@@ -26,7 +26,7 @@
 	}
 	scope := p.tel.Metrics.Tagged(map[string]string{"op": c.Op, "kind": kind, "result": result})
 	scope.Counter("platform_calls").Inc(1)
-	p.costs.Meter(roleOfKind(kind)).Bytes(c.Sent, c.Received)
+	p.costs.Meter(roleOfKind(kind)).AddBytes(c.Sent, c.Received)
 }
 
 // roleOfKind says what the objects of a kind are for.
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -142,7 +142,7 @@
 	}
 	defer resp.Close()
 	if meter != nil {
-		meter.Bytes(httpclient.Size(r, resp))
+		meter.AddBytes(httpclient.Size(r, resp))
 	}
 	if refusal := refusalOf(resp); refusal != nil {
 		return Response{}, refusal
