--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -32,22 +32,22 @@
 
 // The roles.
 const (
-	RoleHeartbeats   Role = "heartbeats"
-	RolePermits      Role = "permits"
-	RoleLoadPolls    Role = "loadPolls"
-	RoleOwner        Role = "owner"
-	RoleConfig       Role = "config"
-	RoleRoster       Role = "roster"
-	RoleInstanceList Role = "instanceList"
-	RoleClaims       Role = "claims"
-	RoleOrders       Role = "orders"
-	RoleOperators    Role = "operators"
-	RoleGauges       Role = "gauges"
+	RoleHeartbeats     Role = "heartbeats"
+	RolePermits        Role = "permits"
+	RoleLoadPolls      Role = "loadPolls"
+	RoleOwner          Role = "owner"
+	RoleConfig         Role = "config"
+	RoleRoster         Role = "roster"
+	RoleInstanceList   Role = "instanceList"
+	RoleClaims         Role = "claims"
+	RoleEngineCommands Role = "orders"
+	RoleOperators      Role = "operators"
+	RoleGauges         Role = "gauges"
 )
 
 var roles = []Role{
 	RoleHeartbeats, RolePermits, RoleLoadPolls, RoleOwner, RoleConfig, RoleRoster,
-	RoleInstanceList, RoleClaims, RoleOrders, RoleOperators, RoleGauges,
+	RoleInstanceList, RoleClaims, RoleEngineCommands, RoleOperators, RoleGauges,
 }
 
 // Meters holds the meters of all roles. A nil Meters counts nothing. It is safe for concurrent use.
--- a/internal/peer/metered.go
+++ b/internal/peer/metered.go
@@ -22,7 +22,7 @@
 	case peerv1connect.PeerServiceHeartbeatProcedure, peerv1connect.PeerServiceHandOverProcedure:
 		return control.RoleHeartbeats
 	case peerv1connect.OrderServiceLoadModelProcedure:
-		return control.RoleOrders
+		return control.RoleEngineCommands
 	}
 	return control.RoleOperators
 }
--- a/internal/serve/gauges.go
+++ b/internal/serve/gauges.go
@@ -37,7 +37,7 @@
 	case "claim":
 		return control.RoleClaims
 	case "fencing":
-		return control.RoleOrders
+		return control.RoleEngineCommands
 	}
 	return control.RoleConfig
 }
