--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -69,7 +69,7 @@
 type checker struct{ doc *strictjson.Document }
 
 func (c checker) add(path, format string, args ...any) {
-	if !c.doc.Faulty(path) {
+	if !c.doc.HasFault(path) {
 		c.doc.Add(path, fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -109,8 +109,8 @@
 	d.addAt(d.nearest(path), path, message)
 }
 
-// Faulty reports whether a fault of the field at path is recorded.
-func (d *Document) Faulty(path string) bool { return d.faulty[path] }
+// HasFault reports whether a fault of the field at path is recorded.
+func (d *Document) HasFault(path string) bool { return d.faulty[path] }
 
 // Faults returns the recorded faults, ordered by position. If there were more than [MaxFaults], a
 // last fault reports how many were dropped.
--- a/pkg/pollenspindle/print.go
+++ b/pkg/pollenspindle/print.go
@@ -59,7 +59,7 @@
 		for _, f := range c.faults() {
 			// The value of a field of the wrong type is empty and would look
 			// missing as well.
-			if !doc.Faulty(f.Path) {
+			if !doc.HasFault(f.Path) {
 				doc.Add(f.Path, f.Message)
 			}
 		}
