--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -70,7 +70,7 @@
 
 func (c checker) add(path, format string, args ...any) {
 	if !c.doc.HasFault(path) {
-		c.doc.Add(path, fmt.Sprintf(format, args...))
+		c.doc.AddFault(path, fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -82,7 +82,7 @@
 func Decode(data []byte, v any) *Document {
 	d := &Document{lines: newLineIndex(data), positions: map[string]Position{}, faulty: map[string]bool{}}
 	if len(data) > MaxBytes {
-		d.Add("", fmt.Sprintf("is larger than %d bytes", MaxBytes))
+		d.AddFault("", fmt.Sprintf("is larger than %d bytes", MaxBytes))
 		return d
 	}
 	if offset, message := checkLimits(data); message != "" {
@@ -103,9 +103,9 @@
 // only report that they are missing.
 func (d *Document) WellFormed() bool { return d.parsed }
 
-// Add records a fault of the field at path. Its position is that of the field or, if the input lacks
+// AddFault records a fault of the field at path. Its position is that of the field or, if the input lacks
 // the field, of the nearest enclosing one.
-func (d *Document) Add(path, message string) {
+func (d *Document) AddFault(path, message string) {
 	d.addAt(d.nearest(path), path, message)
 }
 
--- a/pkg/pollenspindle/print.go
+++ b/pkg/pollenspindle/print.go
@@ -60,7 +60,7 @@
 			// The value of a field of the wrong type is empty and would look
 			// missing as well.
 			if !doc.HasFault(f.Path) {
-				doc.Add(f.Path, f.Message)
+				doc.AddFault(f.Path, f.Message)
 			}
 		}
 	}
