--- a/internal/fieldschema/fieldschema.go
+++ b/internal/fieldschema/fieldschema.go
@@ -32,8 +32,8 @@
 	// element of a list of strings.
 	Enum    []string
 	Pattern string
-	// Filled means that a list must not be empty.
-	Filled bool
+	// NonEmpty means that a list must not be empty.
+	NonEmpty bool
 	// Default is the value of an absent field.
 	Default any
 }
@@ -86,7 +86,7 @@
 	for _, value := range field.Enum {
 		property.Enum = append(property.Enum, value)
 	}
-	if field.Filled {
+	if field.NonEmpty {
 		minItems := uint64(1)
 		property.MinItems = &minItems
 	}
--- a/pkg/pollenspindle/schema.go
+++ b/pkg/pollenspindle/schema.go
@@ -24,11 +24,11 @@
 	return map[string]fieldschema.Field{
 		"Config.deployment": {Required: true, Pattern: name, Description: "Name of the deployment. No unit."},
 		"Config.limits":     {Description: "Bounds of what one caller may send."},
-		"Config.zones":      {Required: true, Filled: true, Description: "Availability zones."},
-		"Config.services":   {Required: true, Filled: true, Description: "Services."},
+		"Config.zones":      {Required: true, NonEmpty: true, Description: "Availability zones."},
+		"Config.services":   {Required: true, NonEmpty: true, Description: "Services."},
 		"Config.models":     {Description: "Models that generation services can run."},
-		"Config.servers":    {Required: true, Filled: true, Description: "Backend servers."},
-		"Config.workspaces": {Required: true, Filled: true, Description: "Workspaces."},
+		"Config.servers":    {Required: true, NonEmpty: true, Description: "Backend servers."},
+		"Config.workspaces": {Required: true, NonEmpty: true, Description: "Workspaces."},
 
 		"Limits.maxBodyBytes":          {Range: fieldschema.Between(0, maxBodyBytesLimit), Default: DefaultLimits.MaxBodyBytes, Description: "Largest request body, in bytes; 0 takes the default."},
 		"Limits.maxOutputTokens":       {Range: fieldschema.Between(0, maxOutputTokensLimit), Default: DefaultLimits.MaxOutputTokens, Description: "Largest max_tokens a caller may ask for, in tokens; 0 takes the default."},
@@ -82,7 +82,7 @@
 	name := namePattern.String()
 	return map[string]fieldschema.Field{
 		"Workspace.name":        {Required: true, Pattern: name, Description: "Name of the workspace. No unit."},
-		"Workspace.tokenSha256": {Required: true, Filled: true, Pattern: sumPattern.String(), Description: "SHA-256 of each bearer token, 64 lower-case hex digits."},
+		"Workspace.tokenSha256": {Required: true, NonEmpty: true, Pattern: sumPattern.String(), Description: "SHA-256 of each bearer token, 64 lower-case hex digits."},
 		"Workspace.weight":      {Required: true, Range: fieldschema.Between(1, MaxWeight), Description: "Share of tokens under contention, in shares."},
 		"Workspace.class":       {Required: true, Enum: []string{string(ClassInteractive), string(ClassPatient)}, Description: "Default class of work. No unit."},
 		"Workspace.maxRunning":  {Range: fieldschema.Between(0, maxConcurrentRequests), Description: "Requests of the workspace running on one backend server, in requests; 0 means no bound."},
