--- a/internal/fieldschema/fieldschema.go
+++ b/internal/fieldschema/fieldschema.go
@@ -39,7 +39,7 @@
 }
 
 // Range is a range of numbers, both ends included.
-type Range struct{ Min, Most int }
+type Range struct{ Min, Max int }
 
 // Between returns the range from low to high.
 func Between(low, high int) *Range { return &Range{low, high} }
@@ -80,8 +80,8 @@
 	property.Default = field.Default
 	if field.Range != nil {
 		property.Minimum = json.Number(strconv.Itoa(field.Range.Min))
-		property.Maximum = json.Number(strconv.Itoa(field.Range.Most))
-		property.Description += fmt.Sprintf(" From %d to %d.", field.Range.Min, field.Range.Most)
+		property.Maximum = json.Number(strconv.Itoa(field.Range.Max))
+		property.Description += fmt.Sprintf(" From %d to %d.", field.Range.Min, field.Range.Max)
 	}
 	for _, value := range field.Enum {
 		property.Enum = append(property.Enum, value)
