--- a/internal/caller/instances.go
+++ b/internal/caller/instances.go
@@ -15,51 +15,52 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// maxAnswered bounds the instances in one answer: a caller that finds so many
-// down has lost its own network.
-const maxAnswered = 16
+// maxListedInstances limits the instances in one response. A caller that finds so many down has
+// lost its own network connection.
+const maxListedInstances = 16
 
-// InstancesAnswer is the answer of GET /v1/instances.
-type InstancesAnswer struct {
-	Instances  []InstanceAnswer `json:"instances"`
+// InstancesResponse is the response of GET /v1/instances.
+type InstancesResponse struct {
+	// Instances are in the order in which the caller should try them.
+	Instances  []ListedInstance `json:"instances"`
 	TTLSeconds int              `json:"ttlSeconds"`
 	Epoch      int64            `json:"epoch"`
 }
 
-// InstanceAnswer is one entry instance, the one to try first at the front.
-type InstanceAnswer struct {
+// ListedInstance is one entry instance.
+type ListedInstance struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 }
 
-// instances needs no token: a caller asks it before anything else, and the
-// answer holds addresses only.
+// instances lists the entry instances. It requires no token: callers request it first, and the
+// response holds only addresses.
 func (s *Server) instances(_ context.Context, c *app.RequestContext) error {
 	live, epoch := s.opts.Instances.Live()
-	return writeJSON(c, InstancesAnswer{
-		Instances:  order(live, callerKey(c)),
+	return writeJSON(c, InstancesResponse{
+		Instances:  rankInstances(live, callerKey(c)),
 		TTLSeconds: s.opts.Timing.AddressSeconds, Epoch: epoch,
 	})
 }
 
-// order sorts instances by rendezvous hash of the caller. Callers spread
-// without a balancer, each keeps its order while others join and leave, and when
-// an instance is lost its callers spread over all the others.
-func order(live []Instance, key string) []InstanceAnswer {
+// rankInstances sorts instances by the rendezvous hash of the caller's key. This spreads callers
+// without a load balancer, keeps each caller's order while instances join and leave, and spreads
+// the callers of a lost instance over all others.
+func rankInstances(live []Instance, key string) []ListedInstance {
 	byAddress := make(map[string]Instance, len(live))
 	addresses := make([]string, 0, len(live))
 	for _, in := range live {
 		byAddress[in.Address] = in
 		addresses = append(addresses, in.Address)
 	}
-	ordered := make([]InstanceAnswer, 0, min(len(live), maxAnswered))
-	for len(addresses) > 0 && len(ordered) < maxAnswered {
-		// The library's Remove reads behind its slice, so each place is looked
-		// up in what is left.
+	ordered := make([]ListedInstance, 0, min(len(live), maxListedInstances))
+	for len(addresses) > 0 && len(ordered) < maxListedInstances {
+		// The library's Remove reads beyond the end of its slice, so each position is looked up
+		// in a new hash of the remaining addresses.
 		first := rendezvous.New(addresses, xxhash.Sum64String).Lookup(key)
 		addresses = slices.DeleteFunc(addresses, func(a string) bool { return a == first })
-		ordered = append(ordered, InstanceAnswer(byAddress[first]))
+		ordered = append(ordered, ListedInstance(byAddress[first]))
 	}
 	return ordered
 }
@@ -80,27 +81,27 @@
 	return nil
 }
 
-// readyz fails while the instance leaves, or can't take new work.
+// readyz fails while the instance shuts down or can't accept new requests.
 func (s *Server) readyz(_ context.Context, c *app.RequestContext) error {
 	snapshot := s.opts.Config.Snapshot()
 	switch {
 	case s.gate.Draining():
 		return &permit.Refusal{Reason: permit.ReasonShuttingDown}
-	case snapshot == nil || snapshot.Version == 0 || !s.confirmed(now()):
+	case snapshot == nil || snapshot.Version == 0 || !s.isConfirmed(now()):
 		return &permit.Refusal{Reason: permit.ReasonNotConfirmed}
 	}
 	c.String(http.StatusOK, "ready\n")
 	return nil
 }
 
-// ModelsAnswer is the answer of GET /v1/models.
-type ModelsAnswer struct {
+// ModelsResponse is the response of GET /v1/models.
+type ModelsResponse struct {
 	Object string        `json:"object"`
-	Data   []ModelAnswer `json:"data"`
+	Data   []ListedModel `json:"data"`
 }
 
-// ModelAnswer is one model in OpenAI's form.
-type ModelAnswer struct {
+// ListedModel is one model in OpenAI's format.
+type ListedModel struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	Created int64  `json:"created"`
@@ -108,13 +109,13 @@
 }
 
 func (s *Server) models(_ context.Context, c *app.RequestContext) error {
-	who, err := s.authenticate(c)
+	ident, err := s.authenticate(c)
 	if err != nil {
 		return err
 	}
-	list := ModelsAnswer{Object: "list", Data: []ModelAnswer{}}
-	for _, m := range who.snapshot.Config.Models {
-		list.Data = append(list.Data, ModelAnswer{ID: m.Name, Object: "model", OwnedBy: m.Service})
+	list := ModelsResponse{Object: "list", Data: []ListedModel{}}
+	for _, m := range ident.snapshot.Config.Models {
+		list.Data = append(list.Data, ListedModel{ID: m.Name, Object: "model", OwnedBy: m.Service})
 	}
 	return writeJSON(c, list)
 }
--- a/internal/caller/server_test.go
+++ b/internal/caller/server_test.go
@@ -17,22 +17,22 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-func TestInstancesSpreadAndStay(t *testing.T) {
+func TestInstanceOrderSpreadsCallersAndIsStable(t *testing.T) {
 	f := startServer(t, testConfig("127.0.0.1:1"))
-	var got InstancesAnswer
+	var got InstancesResponse
 	r := f.do(t, request{method: "GET", path: "/v1/instances", token: "-"})
 	require.NoError(t, json.Unmarshal(r.body, &got), "%s", r.body)
 	require.Len(t, got.Instances, 3, "%s", r.body)
 	require.Equal(t, 1, got.TTLSeconds)
 	require.Equal(t, int64(7), got.Epoch)
 
-	// Of many callers each instance is the first of a fair share; when one is
-	// lost, only its own callers move.
+	// Each instance is the first choice of an equal share of callers; when an instance is lost,
+	// only its own callers change theirs.
 	live := []Instance{{ID: "1", Address: "a"}, {ID: "2", Address: "b"}, {ID: "3", Address: "c"}}
 	first := map[string]int{}
 	for i := range 3000 {
 		key := strconv.Itoa(i)
-		before, after := order(live, key), order(live[:2], key)
+		before, after := rankInstances(live, key), rankInstances(live[:2], key)
 		first[before[0].Address]++
 		if before[0].Address != "c" {
 			require.Equal(t, before[0], after[0])
@@ -43,8 +43,8 @@
 	}
 }
 
-// An instance that lost platform and peers might serve a zone that was taken
-// out: it fails readiness and takes no new work, and says "not run".
+// An instance that reaches neither the platform nor its peers might send to a drained zone. It
+// must fail readiness and refuse new requests with the outcome "not run".
 func TestUnconfirmedConfiguration(t *testing.T) {
 	cfg := testConfig("127.0.0.1:1")
 	f := startServer(t, cfg)
@@ -58,32 +58,31 @@
 		require.Equal(t, answer.OutcomeNotRun, d.Outcome)
 		require.Equal(t, "1", r.header.Get("Retry-After"))
 	}
-	require.Zero(t, f.permits.given)
+	require.Zero(t, f.permits.issued)
 }
 
-func TestPanicIsAnswered(t *testing.T) {
+func TestPanicGivesFailureResponse(t *testing.T) {
 	f := startServer(t, testConfig("127.0.0.1:1"))
 	c := app.NewContext(0)
 	f.server.wrap("x", func(context.Context, *app.RequestContext) error { panic("boom") })(t.Context(), c)
 	require.Equal(t, http.StatusInternalServerError, c.Response.StatusCode())
 	require.Contains(t, string(c.Response.Body()), `"outcome":"unknown"`)
-	require.Equal(t, admitted, f.server.gate.Enter(), "the panic gave its place back")
+	require.Equal(t, admitted, f.server.gate.Enter(), "the panic released its slot")
 	f.server.gate.Leave()
 }
 
-// A shutdown begins while an answer streams. The stream goes on to its end;
-// callers with an older list of instances are served until that has expired;
-// then new requests are refused as not run, and the process can stop.
-func TestShutdownCutsNothing(t *testing.T) {
+// A shutdown starts during a stream. The stream must complete, and callers with an older list of
+// instances must be served until the list has expired.
+func TestShutdownCompletesStreams(t *testing.T) {
 	f := startServer(t, testConfig(startEngine(t, 1)))
-	resp := f.open(t.Context(), t, request{path: "/v1/chat/completions", body: streamed(chatBody)})
+	resp := f.open(t.Context(), t, request{path: "/v1/chat/completions", body: withStream(chatBody)})
 	defer resp.Body.Close()
 	r := bufio.NewReader(resp.Body)
 	require.Len(t, readEvents(r, 1), 1)
 
 	f.server.Drain()
 	require.Equal(t, http.StatusServiceUnavailable, f.do(t, request{method: "GET", path: "/readyz"}).status)
-	late := f.open(t.Context(), t, request{path: "/v1/chat/completions", body: streamed(chatBody)})
+	late := f.open(t.Context(), t, request{path: "/v1/chat/completions", body: withStream(chatBody)})
 	defer late.Body.Close()
 	require.Equal(t, http.StatusOK, late.StatusCode)
 
@@ -100,12 +99,12 @@
 	require.True(t, f.permits.balanced())
 }
 
-// The stop limit of a shutdown is reached while an answer streams. Its caller
-// gets an event that names its position and goes on through another instance.
-func TestStopLimitSendsCallersElsewhere(t *testing.T) {
+// A stream runs longer than the time limit of a shutdown. Its caller gets an event with its
+// position and resumes through another instance.
+func TestStreamResumesElsewhereAfterStopLimit(t *testing.T) {
 	cfg := testConfig(startEngine(t, 1))
 	first, second := startServer(t, cfg), startServer(t, cfg)
-	resp := first.open(t.Context(), t, request{path: "/v1/chat/completions", body: streamed(chatBody)})
+	resp := first.open(t.Context(), t, request{path: "/v1/chat/completions", body: withStream(chatBody)})
 	defer resp.Body.Close()
 	r := bufio.NewReader(resp.Body)
 	events := readEvents(r, 2)
--- a/internal/caller/services.go
+++ b/internal/caller/services.go
@@ -21,25 +21,25 @@
 	maxKeyCharacters = 255
 )
 
-// notForwarded are the fields that are for entry instances: a service never
-// sees a caller's token, and the trace goes on with the span of this hop.
+// notForwarded holds the request headers that are meant for entry instances only: a service must
+// not see a caller's token, and the trace continues with the span of this hop.
 var notForwarded = map[string]bool{
 	"authorization": true, "traceparent": true, "tracestate": true,
 }
 
-// service passes a call on to a plain service.
+// service forwards a call to a plain service.
 func (s *Server) service(ctx context.Context, c *app.RequestContext) error {
-	who, err := s.authenticate(c)
+	ident, err := s.authenticate(c)
 	if err != nil {
 		return err
 	}
 	entry := journal.From(ctx)
-	entry.Describe(journal.Subject{Workspace: who.workspace.Name})
-	call, err := s.call(c, who)
+	entry.Describe(journal.Subject{Workspace: ident.workspace.Name})
+	call, err := s.parseCall(c, ident)
 	if err != nil {
 		return err
 	}
-	entry.Describe(journal.Subject{Workspace: who.workspace.Name, Service: call.Service.Name})
+	entry.Describe(journal.Subject{Workspace: ident.workspace.Name, Service: call.Service.Name})
 	a, err := s.forward.Do(ctx, call)
 	if err != nil {
 		return err
@@ -49,13 +49,13 @@
 	return nil
 }
 
-// call reads a call from the request.
-func (s *Server) call(c *app.RequestContext, who identity) (forward.Call, error) {
-	name, path, query, err := target(string(c.Request.Header.RequestURI()))
+// parseCall builds the call to forward from the request.
+func (s *Server) parseCall(c *app.RequestContext, ident identity) (forward.Call, error) {
+	name, path, query, err := splitTarget(string(c.Request.Header.RequestURI()))
 	if err != nil {
 		return forward.Call{}, err
 	}
-	declared, ok := who.snapshot.Services[name]
+	declared, ok := ident.snapshot.Services[name]
 	if !ok || declared.Kind != pollenspindle.ServicePlain {
 		return forward.Call{}, answer.NotRun(http.StatusNotFound, answer.CodeUnknownService, "service: unknown")
 	}
@@ -68,22 +68,22 @@
 	if err != nil {
 		return forward.Call{}, err
 	}
-	body, err := readBody(c, who.snapshot.Config.Limits.MaxBodyBytes)
+	body, err := readBody(c, ident.snapshot.Config.Limits.MaxBodyBytes)
 	if err != nil {
 		return forward.Call{}, err
 	}
-	class := classOf(who.workspace)
+	class := classOf(ident.workspace)
 	return forward.Call{
-		Service: declared, Route: route, Workspace: who.workspace.Name, Class: class,
-		Fingerprint: fingerprint(who.workspace.Name, append([]byte(method+" "+path+"?"+query+"\n"), body...)),
+		Service: declared, Route: route, Workspace: ident.workspace.Name, Class: class,
+		Fingerprint: fingerprint(ident.workspace.Name, append([]byte(method+" "+path+"?"+query+"\n"), body...)),
 		Deadline:    now().Add(queueWait(declared, class)),
 		Method:      method, Path: path, Query: query, Header: header, Body: body, Key: key,
 	}, nil
 }
 
-// target splits the request target as it came: the path goes to the service
-// unchanged, so it isn't taken from a parsed URL, which resolves dots.
-func target(uri string) (name, path, query string, err error) {
+// splitTarget splits the raw request target. The path is forwarded unchanged, so it isn't taken
+// from a parsed URL, which resolves dot segments.
+func splitTarget(uri string) (name, path, query string, err error) {
 	rest, ok := strings.CutPrefix(uri, servicesPrefix)
 	if !ok {
 		return "", "", "", answer.Invalid("path", "must begin with "+servicesPrefix)
@@ -96,7 +96,7 @@
 	return name, "/" + path, query, nil
 }
 
-// readHeader returns the fields to pass on and the idempotency key.
+// readHeader returns the headers to forward and the idempotency key.
 func readHeader(c *app.RequestContext) ([]service.Header, string, error) {
 	var header []service.Header
 	var keys []string
@@ -114,12 +114,13 @@
 	case len(keys) == 0:
 		return header, "", nil
 	case len(keys) > 1:
-		return nil, "", answer.Invalid(headerKey, "stands twice")
+		return nil, "", answer.Invalid(headerKey, "is given twice")
 	}
 	return header, keys[0], checkKey(keys[0])
 }
 
-// checkKey refuses an empty key too: its caller believes to be protected.
+// checkKey validates an idempotency key. An empty one is rejected too, since its caller expects
+// protection against duplicates.
 func checkKey(key string) error {
 	printable := strings.IndexFunc(key, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 	if key == "" || len(key) > maxKeyCharacters || !printable {
@@ -136,7 +137,7 @@
 			continue
 		}
 		if strings.EqualFold(h.Name, headerRequest) {
-			// The service names the request itself, and that is its answer.
+			// The service's own request ID replaces that of this instance.
 			c.Response.Header.Del(headerRequest)
 		}
 		c.Response.Header.Add(h.Name, h.Value)
--- a/internal/caller/services_test.go
+++ b/internal/caller/services_test.go
@@ -14,8 +14,8 @@
 	"pollenspindle.example/pollenspindle/internal/service"
 )
 
-// The service sees the call as the caller made it, but for what is between
-// the caller and the entry instance.
+// The service gets the call as the caller made it, without the headers that are meant for entry
+// instances.
 func TestServiceCall(t *testing.T) {
 	f := startServer(t, testConfig("127.0.0.1:1"))
 	r := f.do(t, request{
@@ -37,7 +37,7 @@
 	}
 }
 
-// storedClaims has run every key before.
+// storedClaims has a stored result for every key.
 type storedClaims struct{}
 
 func (storedClaims) Begin(context.Context, time.Time, claim.Key, string) claim.BeginResult {
@@ -54,7 +54,7 @@
 	require.Equal(t, "/bookings/1", r.header.Get("Location"))
 	require.Equal(t, "booked", string(r.body))
 	require.Empty(t, f.services.calls())
-	require.Zero(t, f.permits.given)
+	require.Zero(t, f.permits.issued)
 }
 
 func TestBadServiceCalls(t *testing.T) {
@@ -64,15 +64,15 @@
 		status  int
 		code    answer.Code
 	}{
-		"no token":         {request{path: "/v1/services/desk/bookings", token: "-"}, 401, answer.CodeUnauthorized},
-		"unknown service":  {request{path: "/v1/services/x/bookings"}, 404, answer.CodeUnknownService},
-		"engine service":   {request{path: "/v1/services/briefing/x"}, 404, answer.CodeUnknownService},
-		"unknown route":    {request{path: "/v1/services/desk/fees"}, 404, answer.CodeUnknownRoute},
-		"dots":             {request{path: "/v1/services/desk/bookings/search/%2e%2e"}, 400, answer.CodeInvalidRequest},
-		"key with spaces":  {request{path: "/v1/services/desk/bookings", header: map[string]string{headerKey: "a b"}}, 400, answer.CodeInvalidRequest},
-		"empty key":        {request{path: "/v1/services/desk/bookings", header: map[string]string{headerKey: ""}}, 400, answer.CodeInvalidRequest},
-		"key, no platform": {request{path: "/v1/services/desk/bookings", header: map[string]string{headerKey: "k"}}, 503, answer.CodePlatformDown},
-		"body too large":   {request{path: "/v1/services/desk/bookings", body: strings.Repeat("x", 4097)}, 413, answer.CodeBodyTooLarge},
+		"no token":             {request{path: "/v1/services/desk/bookings", token: "-"}, 401, answer.CodeUnauthorized},
+		"unknown service":      {request{path: "/v1/services/x/bookings"}, 404, answer.CodeUnknownService},
+		"engine service":       {request{path: "/v1/services/briefing/x"}, 404, answer.CodeUnknownService},
+		"unknown route":        {request{path: "/v1/services/desk/fees"}, 404, answer.CodeUnknownRoute},
+		"dots":                 {request{path: "/v1/services/desk/bookings/search/%2e%2e"}, 400, answer.CodeInvalidRequest},
+		"key with spaces":      {request{path: "/v1/services/desk/bookings", header: map[string]string{headerKey: "a b"}}, 400, answer.CodeInvalidRequest},
+		"empty key":            {request{path: "/v1/services/desk/bookings", header: map[string]string{headerKey: ""}}, 400, answer.CodeInvalidRequest},
+		"key without platform": {request{path: "/v1/services/desk/bookings", header: map[string]string{headerKey: "k"}}, 503, answer.CodePlatformDown},
+		"body too large":       {request{path: "/v1/services/desk/bookings", body: strings.Repeat("x", 4097)}, 413, answer.CodeBodyTooLarge},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -75,7 +75,7 @@
 		opts.MaxAttempts = defaultMaxAttempts
 	}
 	if opts.Pause == nil {
-		opts.Pause = objectapi.Pause
+		opts.Pause = objectapi.Sleep
 	}
 	return &Store{opts: opts, deferred: make(chan write, maxDeferredWrites), sweeper: newSweeper()}
 }
--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -143,7 +143,7 @@
 	Paths  Paths
 	Kinds  Kinds
 	// Objects is the format of the platform's object API.
-	Objects objectapi.Form
+	Objects objectapi.Codec
 	// DecodeConfiguration, DecodeServer and DecodeReport decode messages.
 	DecodeConfiguration func(value []byte) (routes.Configuration, error)
 	DecodeServer        func(id string, value []byte) (Server, error)
--- a/internal/ingress/migrator.go
+++ b/internal/ingress/migrator.go
@@ -65,7 +65,7 @@
 		m.s.log.Info().Str("request", r.id).Str("server", m.source.ID).Err(err).Msg("migration without a transfer slot")
 		return false
 	}
-	if objectapi.Pause(ctx, slot.Wait()) != nil {
+	if objectapi.Sleep(ctx, slot.Wait()) != nil {
 		return false
 	}
 	server, ok := m.s.opts.State.Server(slot.Target)
--- a/internal/ingress/startup.go
+++ b/internal/ingress/startup.go
@@ -24,7 +24,7 @@
 		return
 	}
 	for deadline := now.Add(startupWait); !s.opts.State.Known() && !s.opts.State.Outage() && s.opts.Now().Before(deadline); {
-		if objectapi.Pause(ctx, startupPollInterval) != nil {
+		if objectapi.Sleep(ctx, startupPollInterval) != nil {
 			return
 		}
 	}
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -282,7 +282,7 @@
 		if status != http.StatusConflict {
 			return true
 		}
-		if objectapi.Pause(ctx, stopRetryInterval) != nil {
+		if objectapi.Sleep(ctx, stopRetryInterval) != nil {
 			return false
 		}
 	}
--- a/internal/ingressserve/serve.go
+++ b/internal/ingressserve/serve.go
@@ -172,7 +172,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), now.Add(grace))
 	defer cancel()
 	in.gossip.BroadcastLeaving()
-	for objectapi.Pause(ctx, leavePollInterval) == nil {
+	for objectapi.Sleep(ctx, leavePollInterval) == nil {
 		if in.server.Running() == 0 && time.Since(now) > minLeaveTime {
 			break
 		}
--- a/internal/observed/follow.go
+++ b/internal/observed/follow.go
@@ -163,7 +163,7 @@
 }
 
 func (f *Follower) sweep(ctx context.Context) {
-	for objectapi.Pause(ctx, sweepInterval) == nil {
+	for objectapi.Sleep(ctx, sweepInterval) == nil {
 		f.opts.State.Sweep(f.opts.Now())
 	}
 }
@@ -171,7 +171,7 @@
 // follow watches a resource while this instance is one of its watchers, from the last list
 // or update on.
 func (f *Follower) follow(ctx context.Context, w *watchedResource) {
-	patience := objectapi.Patience{Min: callTimeout, Max: maxCallTimeout}
+	patience := objectapi.AdaptiveTimeout{Min: callTimeout, Max: maxCallTimeout}
 	if f.start(ctx, w, &patience) != nil {
 		return
 	}
@@ -182,13 +182,13 @@
 			f.opts.Log.Info().Str("kind", w.kind).Bool("watching", nowWatching).Msg("turn to watch the platform")
 		}
 		if !watching {
-			if objectapi.Pause(ctx, rankCheckInterval) != nil {
+			if objectapi.Sleep(ctx, rankCheckInterval) != nil {
 				return
 			}
 			continue
 		}
 		if !f.mayCall(f.opts.Now()) {
-			if objectapi.Pause(ctx, retryCheckInterval) != nil {
+			if objectapi.Sleep(ctx, retryCheckInterval) != nil {
 				return
 			}
 			continue
@@ -206,7 +206,7 @@
 }
 
 // list lists a resource and applies the list.
-func (f *Follower) list(ctx context.Context, w *watchedResource, patience *objectapi.Patience) (int64, error) {
+func (f *Follower) list(ctx context.Context, w *watchedResource, patience *objectapi.AdaptiveTimeout) (int64, error) {
 	start := f.opts.Now()
 	version, objects, err := f.opts.Objects.List(objectapi.WithTimeout(ctx, patience.Timeout()), w.kind)
 	if err != nil {
@@ -214,7 +214,7 @@
 		f.callFailed(start, w, err)
 		return 0, err
 	}
-	patience.Answered(f.opts.Now().Sub(start))
+	patience.Succeed(f.opts.Now().Sub(start))
 	f.callSucceeded()
 	w.list(start, version, objects)
 	if known, _ := f.opts.State.Version(w.resource); w.resource == Configuration || version >= known {
@@ -225,7 +225,7 @@
 
 // watch applies changes while this instance is a watcher, and reports whether the resource
 // has to be listed before the next watch.
-func (f *Follower) watch(ctx context.Context, w *watchedResource, version int64, patience *objectapi.Patience) bool {
+func (f *Follower) watch(ctx context.Context, w *watchedResource, version int64, patience *objectapi.AdaptiveTimeout) bool {
 	for ctx.Err() == nil && f.isWatcher(w) {
 		start := f.opts.Now()
 		call, done := w.cancelable(ctx)
@@ -259,7 +259,7 @@
 			return true
 		}
 		if rank > 0 && len(changes.Events) > 0 {
-			if objectapi.Pause(ctx, standbyDelay) != nil {
+			if objectapi.Sleep(ctx, standbyDelay) != nil {
 				return true
 			}
 			if known, _ := f.opts.State.Version(w.resource); w.resource != Configuration && changes.Version <= known {
@@ -279,7 +279,7 @@
 		if rank == 0 || len(changes.Events) > 0 {
 			f.opts.Broadcast()
 		}
-		if len(changes.Events) > 0 && w.resource == Servers && objectapi.Pause(ctx, watchPause) != nil {
+		if len(changes.Events) > 0 && w.resource == Servers && objectapi.Sleep(ctx, watchPause) != nil {
 			return true
 		}
 	}
@@ -288,7 +288,7 @@
 
 // watchContext returns the context of one watch. A stale watch is cheaper for the
 // platform, but isn't allowed for a while after a missed change.
-func (f *Follower) watchContext(ctx context.Context, now time.Time, patience *objectapi.Patience) context.Context {
+func (f *Follower) watchContext(ctx context.Context, now time.Time, patience *objectapi.AdaptiveTimeout) context.Context {
 	ctx = objectapi.WithTimeout(ctx, patience.Timeout())
 	if f.allowsStaleWatch(now) {
 		ctx = objectapi.AllowStale(ctx)
--- a/internal/observed/refresh.go
+++ b/internal/observed/refresh.go
@@ -48,7 +48,7 @@
 func (f *Follower) refresh(ctx context.Context, all []*watchedResource) {
 	var lists sync.WaitGroup
 	defer lists.Wait()
-	for objectapi.Pause(ctx, relistCheckInterval) == nil {
+	for objectapi.Sleep(ctx, relistCheckInterval) == nil {
 		now := f.opts.Now()
 		for _, w := range all {
 			if w.mayList(now) && f.relistDue(now, w) && w.startListing() {
@@ -60,7 +60,7 @@
 
 // relist lists a resource and broadcasts the result.
 func (f *Follower) relist(ctx context.Context, w *watchedResource) error {
-	patience := objectapi.Patience{Min: callTimeout, Max: maxCallTimeout}
+	patience := objectapi.AdaptiveTimeout{Min: callTimeout, Max: maxCallTimeout}
 	before := f.opts.State.ContentHash(w.resource)
 	if _, err := f.list(ctx, w, &patience); err != nil {
 		return err
--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -36,7 +36,7 @@
 	received := time.Now()
 	snap := o.opts.Config()
 	server, ok := snap.Servers[req.GetServer()]
-	if !ok || !snap.TakesNewWork(server) {
+	if !ok || !snap.AcceptsRequests(server) {
 		return refusedResponse(permit.ReasonNoServer, defaultRetryAfter, fullLoadPermille)
 	}
 	if o.opts.Suspects.check(received, req.GetFingerprint()) == suspect.Refused {
@@ -198,7 +198,7 @@
 
 // Release handles the release of permits by the instances that hold them.
 func (o *Owner) Release(released []*peerv1.Released) {
-	o.opts.Costs.Of(control.RolePermits).Run(func() { o.release(released) })
+	o.opts.Costs.Meter(control.RolePermits).Run(func() { o.release(released) })
 }
 
 func (o *Owner) release(released []*peerv1.Released) {
--- a/internal/owner/decide.go
+++ b/internal/owner/decide.go
@@ -33,7 +33,7 @@
 	for {
 		now := time.Now()
 		var d acquireResult
-		o.opts.Costs.Of(control.RolePermits).Run(func() { d = o.decide(now, snap, server, e, req) })
+		o.opts.Costs.Meter(control.RolePermits).Run(func() { d = o.decide(now, snap, server, e, req) })
 		if d.reportReady != nil {
 			// The poll continues if the requesting instance goes away.
 			o.poll(context.WithoutCancel(ctx), now, snap, *server, e)
@@ -56,7 +56,7 @@
 	o.withLock(e, func() {
 		// The right is read again under the lock, so that no decision is made
 		// under a right that a newer roster has revoked.
-		e.applyRight(now, o.right(now, snap, server), snap.TakesNewWork(server))
+		e.applyRight(now, o.right(now, snap, server), snap.AcceptsRequests(server))
 		out.grantingSince = e.grantingSince
 		sufficient := e.lastReportSuffices(now, o.opts.PollInterval)
 		out.reportReady = e.reportReady
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -81,7 +81,7 @@
 	Log            zerolog.Logger
 	Metrics        tally.Scope
 	// Costs accounts for the owner's resource use; it may be nil.
-	Costs *control.Costs
+	Costs *control.Meters
 }
 
 // Owner grants permits for backend servers. It is safe for concurrent use.
@@ -127,7 +127,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			o.opts.Costs.Of(control.RoleOwner).Run(func() { o.tick(ctx, time.Now()) })
+			o.opts.Costs.Meter(control.RoleOwner).Run(func() { o.tick(ctx, time.Now()) })
 		}
 	}
 }
@@ -151,7 +151,7 @@
 				e.releaseOrphanedPermits(now, r)
 			}
 			e.setConfig(o.admissionConfig(snap, server))
-			e.applyRight(now, right, snap.TakesNewWork(server))
+			e.applyRight(now, right, snap.AcceptsRequests(server))
 			e.deliver(e.state.Tick(now))
 		})
 		if right.Role != permit.RoleNone {
--- a/internal/peer/metered.go
+++ b/internal/peer/metered.go
@@ -22,26 +22,26 @@
 	case peerv1connect.PeerServiceHeartbeatProcedure, peerv1connect.PeerServiceHandOverProcedure:
 		return control.RoleHeartbeats
 	case peerv1connect.OrderServiceLoadModelProcedure:
-		return control.RoleOrders
+		return control.RoleEngineCommands
 	}
 	return control.RoleOperators
 }
 
 // Metered counts the messages of calls by role, and the processor time of the
 // handlers that wait for nothing. It serves clients and handlers alike.
-func Metered(costs *control.Costs) connect.Option {
+func Metered(costs *control.Meters) connect.Option {
 	return connect.WithInterceptors(connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
-			meter := costs.Of(roleOf(req.Spec().Procedure))
+			meter := costs.Meter(roleOf(req.Spec().Procedure))
 			res, err := handle(ctx, meter, next, req)
 			asked, answered := size(req.Any()), int64(0)
 			if err == nil {
 				answered = size(res.Any())
 			}
 			if req.Spec().IsClient {
-				meter.Bytes(asked, answered)
+				meter.AddBytes(asked, answered)
 			} else {
-				meter.Bytes(answered, asked)
+				meter.AddBytes(answered, asked)
 			}
 			return res, err
 		}
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -79,7 +79,7 @@
 	}
 	now := p.opts.Now()
 	decideAt := p.schedule.Add(now, Copy{GenerationID: l.GenerationID, Instance: l.Instance, Source: l.Engine, Tokens: l.Tokens})
-	if objectapi.Pause(ctx, decideAt.Sub(now)) != nil {
+	if objectapi.Sleep(ctx, decideAt.Sub(now)) != nil {
 		return TransferResponse{}, ErrUnavailable
 	}
 	now = p.opts.Now()
--- a/internal/planner/reports.go
+++ b/internal/planner/reports.go
@@ -64,7 +64,7 @@
 				delete(last, address)
 			}
 		}
-		if objectapi.Pause(ctx, minReportInterval) != nil {
+		if objectapi.Sleep(ctx, minReportInterval) != nil {
 			return
 		}
 	}
--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -38,7 +38,7 @@
 type parts struct {
 	settings   settings.Settings
 	tel        *telemetry.Telemetry
-	costs      *control.Costs
+	costs      *control.Meters
 	objects    *objectapi.Client
 	store      *config.Store
 	claims     *claim.Store
@@ -69,8 +69,8 @@
 	p.objects = objectapi.NewClient(s.PlatformURL, objectapi.Options{OnCall: p.countCall})
 	p.store = config.NewStore(config.StoreOptions{Objects: p.objects, Log: telemetry.Part(tel.Log, "config")})
 	p.claims = claim.NewStore(p.claimOptions())
-	p.engines = engine.NewClient(engine.Options{LoadMeter: p.costs.Of(control.RoleLoadPolls)})
-	p.services = service.NewClient(service.Options{LoadMeter: p.costs.Of(control.RoleLoadPolls)})
+	p.engines = engine.NewClient(engine.Options{LoadMeter: p.costs.Meter(control.RoleLoadPolls)})
+	p.services = service.NewClient(service.Options{LoadMeter: p.costs.Meter(control.RoleLoadPolls)})
 	p.retries = retry.NewBudgets(rand.New(rand.NewPCG(seed(s, 3), 0)))
 	return p, p.newPeers()
 }
@@ -88,7 +88,7 @@
 		Self:      p.self,
 		Timing:    p.rosterTiming(),
 		Objects:   p.objects,
-		List:      instancelist.NewClient(s.PlatformURL, p.costs.Of(control.RoleInstanceList)),
+		List:      instancelist.NewClient(s.PlatformURL, p.costs.Meter(control.RoleInstanceList)),
 		Config:    p.store,
 		Suspects:  suspects,
 		Peers:     pool,
@@ -198,7 +198,7 @@
 		Logger:                 telemetry.Part(p.tel.Log, "caller"),
 		Scope:                  p.tel.Metrics.SubScope("caller"),
 		Tracer:                 p.tel.Tracer,
-		CallerTraces:           p.settings.Trace.CallerTracesPerSecond,
+		CallerTracesPerSecond:  p.settings.Trace.CallerTracesPerSecond,
 	}
 }
 
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -4,11 +4,11 @@
 	"pollenspindle.example/pollenspindle/internal/fieldschema"
 )
 
-// redacted is shown in place of keys.
+// redacted replaces keys in output.
 const redacted = "(set)"
 
-// WithoutKeys returns s with its keys replaced, to be shown to others.
-func (s Settings) WithoutKeys() Settings {
+// Redacted returns s with its keys redacted.
+func (s Settings) Redacted() Settings {
 	s.PeerKey, s.GenerationKey = redacted, redacted
 	s.Accepted.PeerKeys = withoutKeys(s.Accepted.PeerKeys)
 	s.Accepted.GenerationKeys = withoutKeys(s.Accepted.GenerationKeys)
@@ -23,8 +23,8 @@
 	return out
 }
 
-// Schema returns the JSON Schema of a settings file, indented. The file itself
-// may hold comments, which a validator must strip.
+// Schema returns the indented JSON Schema of a settings file. A settings file may contain comments,
+// which have to be removed before validation.
 func Schema() ([]byte, error) {
 	return fieldschema.Print(&Settings{}, "Settings of an entry instance", schemaFields())
 }
@@ -59,18 +59,18 @@
 		"Trace.exporter":                {Enum: exporters, Default: ExporterNone, Description: "Exporter of spans. No unit."},
 		"Trace.endpoint":                {Description: "For otlp the OTLP/HTTP URL, for file a path."},
 		"Trace.sampleRatio":             {Range: fieldschema.Between(0, 1), Description: "Share of requests that are traced, a ratio."},
-		"Trace.callerTracesPerSecond":   {Range: fieldschema.Between(0, maxCallerTraces), Default: DefaultCallerTraces, Description: "Most requests a second that are traced because their callers ask for it; 0 takes the default."},
+		"Trace.callerTracesPerSecond":   {Range: fieldschema.Between(0, maxCallerTraces), Default: DefaultCallerTracesPerSecond, Description: "Most requests a second that are traced because their callers ask for it; 0 takes the default."},
 	}
 	for _, f := range timingFields(&Timing{}) {
 		fields["Timing."+f.name] = fieldschema.Field{
 			Description: timingPurpose[f.name] + " In " + f.unit + "; 0 takes the default.",
-			Range:       fieldschema.Between(0, f.most), Default: f.fallback,
+			Range:       fieldschema.Between(0, f.max), Default: f.defaultValue,
 		}
 	}
 	return fields
 }
 
-// timingPurpose says what each field of Timing is for.
+// timingPurpose describes each field of [Timing].
 var timingPurpose = map[string]string{
 	"heartbeatMillis": "Period of heartbeats between entry instances.",
 	"loadPollMillis":  "Period of load reports from owned backend servers.",
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -26,7 +26,7 @@
 }`
 )
 
-func TestLoadFillsInDefaults(t *testing.T) {
+func TestLoadSetsDefaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.jsonc")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	s, err := settings.Load(path)
@@ -37,19 +37,19 @@
 	require.Equal(t, settings.PolicyPredicted, s.Policy)
 	require.Equal(t, settings.DefaultLogLevel, s.Log.Level)
 	require.Equal(t, settings.ExporterNone, s.Trace.Exporter)
-	require.Equal(t, settings.DefaultCallerTraces, s.Trace.CallerTracesPerSecond)
+	require.Equal(t, settings.DefaultCallerTracesPerSecond, s.Trace.CallerTracesPerSecond)
 	require.Equal(t, "kigali-a", s.Zone)
 
 	_, err = settings.Load(path + ".missing")
 	require.ErrorIs(t, err, settings.ErrRead)
 }
 
-func TestParseReportsEveryFault(t *testing.T) {
+func TestParseReportsAllFaults(t *testing.T) {
 	tests := map[string]struct {
 		replace []string
 		want    []string
 	}{
-		"missing, unknown and doubled": {
+		"missing, unknown and duplicate": {
 			[]string{`"zone": "kigali-a"`, `"zonne": "kigali-a", "region": "x"`},
 			[]string{
 				"f:1:1: zone: is missing",
--- a/pkg/pollenspindle/print.go
+++ b/pkg/pollenspindle/print.go
@@ -59,8 +59,8 @@
 		for _, f := range c.faults() {
 			// A field of the wrong type decodes to its zero value and would
 			// also be reported as missing.
-			if !doc.Faulty(f.Path) {
-				doc.Add(f.Path, f.Message)
+			if !doc.HasFault(f.Path) {
+				doc.AddFault(f.Path, f.Message)
 			}
 		}
 	}
--- a/test/system/caller.go
+++ b/test/system/caller.go
@@ -24,14 +24,14 @@
 
 // Addresses returns the answer of GET /v1/instances of an instance, nil if it
 // gives none.
-func (s *System) Addresses(t testing.TB, in *Instance) []caller.InstanceAnswer {
+func (s *System) Addresses(t testing.TB, in *Instance) []caller.ListedInstance {
 	t.Helper()
 	res, err := http.DefaultClient.Do(request(t.Context(), t, http.MethodGet, "http://"+in.Caller+"/v1/instances", "", nil))
 	if err != nil {
 		return nil
 	}
 	defer func() { _ = res.Body.Close() }()
-	var a caller.InstancesAnswer
+	var a caller.InstancesResponse
 	if json.NewDecoder(res.Body).Decode(&a) != nil {
 		return nil
 	}
