--- a/internal/serve/views.go
+++ b/internal/serve/adapters.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// answerWithin is the longest a call to a plain service may take, whatever
-	// its configuration says; claims count on it.
-	answerWithin = 10 * time.Minute
-	// claimAttempts bounds the tries of one write while a caller waits.
-	claimAttempts = 3
+	// maxRequestTimeout is the maximum duration of a call to a plain service, whatever timeout it
+	// is configured with; claims rely on it.
+	maxRequestTimeout = 10 * time.Minute
+	// maxClaimAttempts is the maximum number of attempts at a write while a caller waits.
+	maxClaimAttempts = 3
 )
 
-// callers gives the instances that callers may use.
+// callers lists the instances that callers may use.
 type callers struct{ members *member.Member }
 
 // Live implements caller.Instances.
@@ -39,31 +39,30 @@
 	return out, epoch
 }
 
-// gate is the configuration as callers' requests see it. New work is sent only
-// while the configuration is confirmed and the process was not paused: a
-// thawed instance would otherwise send to an availability zone that was taken
-// out meanwhile.
-type gate struct {
+// guardedConfig is the configuration for callers' requests. New requests are sent only while the
+// configuration is confirmed and the process was not paused: a resumed instance could otherwise send
+// to an availability zone that was drained in the meantime.
+type guardedConfig struct {
 	*config.Store
 	members *member.Member
 }
 
 // Confirmed implements caller.ConfigSource.
-func (g gate) Confirmed(now time.Time, within time.Duration) bool {
+func (g guardedConfig) Confirmed(now time.Time, within time.Duration) bool {
 	return g.members.Allowed(now) && g.Store.Confirmed(now, within)
 }
 
-// versions tells which versions of the configuration the instances have.
-type versions struct{ members *member.Member }
+// configVersions queries the configuration versions of the instances.
+type configVersions struct{ members *member.Member }
 
 // ConfigVersions implements accepted.Fleet.
-func (f versions) ConfigVersions(ctx context.Context, atLeast int64) ([]int64, error) {
+func (f configVersions) ConfigVersions(ctx context.Context, atLeast int64) ([]int64, error) {
 	f.members.AskVersions(ctx, atLeast)
 	return slices.Collect(maps.Values(f.members.ConfigVersions())), nil
 }
 
 // instances lists the entry instances for operators.
-type instances struct{ *parts }
+type instances struct{ *components }
 
 // List implements operator.Instances.
 func (p instances) List(ctx context.Context) ([]operatorapi.Instance, error) {
@@ -90,8 +89,8 @@
 	return nil
 }
 
-// servers tells operators what the owners of backend servers know of them.
-type servers struct{ *parts }
+// servers lists the status of backend servers, as their owners know it, for operators.
+type servers struct{ *components }
 
 // Statuses implements operator.Servers.
 func (p servers) Statuses(ctx context.Context) map[string]operatorapi.ServerStatus {
@@ -112,8 +111,8 @@
 	return out
 }
 
-// ready returns why the instance takes no new work.
-func (p *parts) ready() error {
+// ready returns why the instance accepts no new requests, or nil.
+func (p *components) ready() error {
 	now := time.Now()
 	switch {
 	case p.store.Version() == 0:
@@ -126,28 +125,29 @@
 	return nil
 }
 
-func (p *parts) rosterTiming() roster.Timing {
+func (p *components) rosterTiming() roster.Timing {
 	return roster.Timing{
 		LeaseDuration:  millis(p.settings.Timing.ConfirmMillis),
 		PermitValidity: millis(p.settings.Timing.PermitMillis),
 	}
 }
 
-func (p *parts) claimOptions() claim.StoreOptions {
+func (p *components) claimOptions() claim.StoreOptions {
 	return claim.StoreOptions{
 		Objects:        p.objects,
 		Log:            telemetry.Part(p.tel.Log, "claim"),
 		Holder:         p.settings.Instance,
-		RequestTimeout: answerWithin,
-		MaxAttempts:    claimAttempts,
+		RequestTimeout: maxRequestTimeout,
+		MaxAttempts:    maxClaimAttempts,
 		Retention: func() time.Duration {
 			return time.Duration(p.store.Snapshot().Config.Limits.ClaimRetentionSeconds) * time.Second
 		},
 	}
 }
 
-// ownsShard spreads the sweeping of claims over the instances.
-func (p *parts) ownsShard(shard string) bool {
+// ownsShard reports whether this instance sweeps a shard of the claims; the roster distributes the
+// shards over the instances.
+func (p *components) ownsShard(shard string) bool {
 	owner, ok := p.members.Roster().Owner("claims/"+shard, "")
 	return ok && owner.ID == p.settings.Instance
 }
--- a/internal/serve/parts.go
+++ b/internal/serve/components.go
@@ -34,8 +34,8 @@
 	"pollenspindle.example/pollenspindle/internal/telemetry"
 )
 
-// parts are the parts of an entry instance, made but not started.
-type parts struct {
+// components are the parts of an entry instance, created but not started.
+type components struct {
 	settings   settings.Settings
 	tel        *telemetry.Telemetry
 	costs      *control.Costs
@@ -49,19 +49,19 @@
 	owner      *owner.Owner
 	router     *router.Router
 	fleet      *fleet.Fleet
-	orders     *engineorder.Giver
+	commands   *engineorder.Giver
 	models     models
 	journal    *journal.Journal
 	peerServer *peer.Server
 	self       roster.Instance
 
 	leaveOnce sync.Once
-	// leaving is closed when operators ask the instance to leave.
+	// leaving is closed when an operator requests the shutdown of the instance.
 	leaving chan struct{}
 }
 
-func newParts(s settings.Settings, tel *telemetry.Telemetry) (*parts, error) {
-	p := &parts{settings: s, tel: tel, costs: control.New(tel.Metrics.SubScope("control")), leaving: make(chan struct{}), journal: journal.New(journal.DefaultLimits)}
+func newComponents(s settings.Settings, tel *telemetry.Telemetry) (*components, error) {
+	p := &components{settings: s, tel: tel, costs: control.New(tel.Metrics.SubScope("control")), leaving: make(chan struct{}), journal: journal.New(journal.DefaultLimits)}
 	p.self = roster.Instance{
 		ID: s.Instance, Incarnation: uuid.NewString(), Region: s.Region, Zone: s.Zone,
 		CallerAddress: s.CallerAddress, PeerAddress: s.PeerAddress,
@@ -75,8 +75,8 @@
 	return p, p.newPeers()
 }
 
-// newPeers makes what speaks with the other instances.
-func (p *parts) newPeers() error {
+// newPeers creates the components that communicate with the other instances.
+func (p *components) newPeers() error {
 	s := p.settings
 	key, err := peer.NewKey(s.PeerKey, s.Accepted.PeerKeys...)
 	if err != nil {
@@ -100,14 +100,14 @@
 	if err != nil {
 		return err
 	}
-	placing, admitting := router.Policies(s.Policy)
+	placement, admission := router.Policies(s.Policy)
 	p.owner, err = owner.New(owner.Options{
 		Self:           s.Instance,
 		Incarnation:    p.self.Incarnation,
 		Rights:         p.members,
 		Config:         p.store.Snapshot,
 		Loads:          owner.Clients{Engine: p.engines, Service: p.services},
-		Policy:         admitting,
+		Policy:         admission,
 		Suspects:       suspects,
 		PermitValidity: millis(s.Timing.PermitMillis),
 		PollInterval:   millis(s.Timing.LoadPollMillis),
@@ -124,7 +124,7 @@
 		Local:          p.owner,
 		Peers:          pool,
 		Config:         p.store.Snapshot,
-		Policy:         placing,
+		Policy:         placement,
 		PermitLifetime: millis(s.Timing.PermitMillis),
 		Log:            telemetry.Part(p.tel.Log, "router"),
 		Metrics:        p.tel.Metrics.SubScope("router"),
@@ -134,9 +134,9 @@
 	return p.newFleet(pool)
 }
 
-// newFleet makes what asks other instances on behalf of operators.
-func (p *parts) newFleet(pool *peer.Pool) error {
-	codec, err := generation.NewCodec(decoded(p.settings.GenerationKey), p.acceptedGenerationKeys()...)
+// newFleet creates the components that query other instances and run engine commands for operators.
+func (p *components) newFleet(pool *peer.Pool) error {
+	codec, err := generation.NewCodec(decodeKey(p.settings.GenerationKey), p.acceptedGenerationKeys()...)
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 		Codec:   codec,
 	})
 	p.peerServer.HandleQueries(p.fleet.Handler())
-	p.orders, err = engineorder.New(engineorder.Options{
+	p.commands, err = engineorder.New(engineorder.Options{
 		Self:    p.settings.Instance,
 		Objects: p.objects,
 		Engines: p.engines,
@@ -161,37 +161,37 @@
 	if err != nil {
 		return err
 	}
-	p.peerServer.HandleOrders(p.orders.Handler())
-	p.models = models{p.settings.Instance, p.fleet, p.orders, pool}
+	p.peerServer.HandleOrders(p.commands.Handler())
+	p.models = models{p.settings.Instance, p.fleet, p.commands, pool}
 	return nil
 }
 
-func (p *parts) acceptedGenerationKeys() [][]byte {
+func (p *components) acceptedGenerationKeys() [][]byte {
 	var keys [][]byte
 	for _, text := range p.settings.Accepted.GenerationKeys {
-		keys = append(keys, decoded(text))
+		keys = append(keys, decodeKey(text))
 	}
 	return keys
 }
 
-// decoded returns a key of the settings, which were checked when they were read.
-func decoded(text string) []byte {
+// decodeKey decodes a key of the settings, which were validated when they were read.
+func decodeKey(text string) []byte {
 	key, _ := base64.StdEncoding.DecodeString(text)
 	return key
 }
 
-func (p *parts) callerOptions(listener net.Listener) caller.Options {
+func (p *components) callerOptions(listener net.Listener) caller.Options {
 	return caller.Options{
 		Address:                p.settings.CallerAddress,
 		Listener:               listener,
-		Config:                 gate{p.store, p.members},
+		Config:                 guardedConfig{p.store, p.members},
 		Instances:              callers{p.members},
 		Permits:                p.router,
 		Engine:                 relay.NewEngine(p.engines),
 		Services:               p.services,
 		Claims:                 p.claims,
 		Retries:                p.retries,
-		GenerationKey:          decoded(p.settings.GenerationKey),
+		GenerationKey:          decodeKey(p.settings.GenerationKey),
 		AcceptedGenerationKeys: p.acceptedGenerationKeys(),
 		Timing:                 p.settings.Timing,
 		Journal:                p.journal,
@@ -202,13 +202,13 @@
 	}
 }
 
-func (p *parts) operatorDeps(listener net.Listener, callers *caller.Server) operator.Deps {
+func (p *components) operatorDeps(listener net.Listener, callers *caller.Server) operator.Deps {
 	return operator.Deps{
 		Instance:       p.settings.Instance,
 		Listener:       listener,
 		TokenSHA256:    p.settings.OperatorTokenSHA256,
 		AcceptedSHA256: p.settings.Accepted.OperatorTokensSHA256,
-		Config:         &accepted.Config{Objects: p.objects, Store: p.store, Fleet: versions{p.members}},
+		Config:         &accepted.Config{Objects: p.objects, Store: p.store, Fleet: configVersions{p.members}},
 		Servers:        servers{p},
 		Instances:      instances{p},
 		Generations:    generations{p.fleet, callers},
@@ -220,8 +220,8 @@
 	}
 }
 
-// leave begins the graceful shutdown at the wish of an operator.
-func (p *parts) leave() {
+// leave starts the graceful shutdown at an operator's request.
+func (p *components) leave() {
 	p.leaveOnce.Do(func() { close(p.leaving) })
 }
 
--- a/internal/serve/gauges.go
+++ b/internal/serve/gauges.go
@@ -9,14 +9,12 @@
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 )
 
-// gaugesEvery is how often states are measured, as often as metrics are moved
-// to the endpoint.
-const gaugesEvery = time.Second
+// gaugeInterval is the time between two updates of the gauges, equal to telemetry's report interval.
+const gaugeInterval = time.Second
 
-// countCall counts the calls to the platform, whose rates are shared by all.
-// The kinds of claims, one for each first digit, count as one: they would
-// multiply the series by sixteen and tell nothing.
-func (p *parts) countCall(c objectapi.Call) {
+// countCall counts a call to the platform, whose rate limits all instances share. The sixteen kinds
+// of claims, one per first digit, are counted as one kind: separate series would add no information.
+func (p *components) countCall(c objectapi.Call) {
 	result, kind := "ok", c.Kind
 	if c.Err != nil {
 		result = "failed"
@@ -29,7 +27,7 @@
 	p.costs.Of(roleOfKind(kind)).Bytes(c.Sent, c.Received)
 }
 
-// roleOfKind says what the objects of a kind are for.
+// roleOfKind returns the role that the bytes of calls for a kind of object are counted under.
 func roleOfKind(kind string) control.Role {
 	switch kind {
 	case "roster":
@@ -42,25 +40,24 @@
 	return control.RoleConfig
 }
 
-// runGauges measures states until ctx ends.
-func (p *parts) runGauges(ctx context.Context) {
-	tick := time.NewTicker(gaugesEvery)
+// runGauges updates the gauges at each interval until ctx ends.
+func (p *components) runGauges(ctx context.Context) {
+	tick := time.NewTicker(gaugeInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			p.measure(time.Now())
+			p.updateGauges(time.Now())
 		}
 	}
 }
 
-// measure sets the gauges. Labels are availability zones and services, a few
-// of each; workspaces and servers are none, since 290 workspaces or 2,000
-// servers would each multiply the series of 350 instances. The operators'
-// commands show those.
-func (p *parts) measure(now time.Time) {
+// updateGauges sets the gauges. Only availability zones and services are labels, since there are few
+// of each; 290 workspaces or 2,000 servers would each multiply the series of 350 instances. The
+// operators' commands show those.
+func (p *components) updateGauges(now time.Time) {
 	scope, snap := p.tel.Metrics, p.store.Snapshot()
 	scope.Gauge("config_version").Update(float64(snap.Version))
 	ready := 0.0
--- a/internal/serve/generations.go
+++ b/internal/serve/generations.go
@@ -16,7 +16,7 @@
 	"pollenspindle.example/pollenspindle/internal/operatorapi"
 )
 
-// generations explains and cancels generations for operators.
+// generations implements operator.Generations with the instances' journals.
 type generations struct {
 	fleet   *fleet.Fleet
 	callers *caller.Server
@@ -24,14 +24,14 @@
 
 // Show implements operator.Generations.
 func (g generations) Show(ctx context.Context, id string) (operatorapi.Generation, error) {
-	found, err := g.fleet.FindRequest(ctx, id)
+	records, err := g.fleet.FindRequest(ctx, id)
 	switch {
 	case errors.Is(err, fleet.ErrUnreachable):
 		return operatorapi.Generation{}, merry.Wrap(operator.ErrUnavailable, merry.WithCause(err), merry.AppendMessage(err.Error()))
 	case err != nil:
 		return operatorapi.Generation{}, merry.Wrap(operator.ErrNotFound, merry.WithCause(err), merry.AppendMessage(err.Error()))
 	}
-	return generationOf(id, found), nil
+	return mergeRecords(id, records), nil
 }
 
 // Cancel implements operator.Generations.
@@ -49,27 +49,27 @@
 	return err
 }
 
-// generationOf puts what several instances remember in order of time. The
-// clocks of instances may differ, so each step names its instance.
-func generationOf(id string, found []fleet.Found) operatorapi.Generation {
-	first := found[0]
+// mergeRecords merges the records of several instances and sorts their steps by time. The clocks of
+// instances may differ, so each step names its instance.
+func mergeRecords(id string, records []fleet.Found) operatorapi.Generation {
+	first := records[0]
 	g := operatorapi.Generation{
 		ID: id, Workspace: first.Workspace, Model: first.Model, Service: first.Service,
 		Server: first.Server, State: string(first.State),
 	}
-	for _, f := range found {
+	for _, f := range records {
 		g.OutputTokens = max(g.OutputTokens, int(f.OutputTokens))
 		if f.State == journal.Finished {
-			// The caller came back elsewhere and has the whole answer.
+			// The caller reconnected through another instance and got the complete answer.
 			g.State = string(f.State)
 		}
 		for _, s := range f.Steps {
-			g.Steps = append(g.Steps, operatorapi.Step{At: s.At, Instance: f.Instance, What: string(s.What), Detail: detailOf(s)})
+			g.Steps = append(g.Steps, operatorapi.Step{At: s.At, Instance: f.Instance, What: string(s.What), Detail: stepDetail(s)})
 		}
 		if f.Dropped > 0 {
 			g.Steps = append(g.Steps, operatorapi.Step{
 				At: f.Steps[len(f.Steps)-1].At, Instance: f.Instance, What: "note",
-				Detail: fmt.Sprintf("%d steps in the middle were not kept", f.Dropped),
+				Detail: fmt.Sprintf("%d steps in the middle were dropped", f.Dropped),
 			})
 		}
 	}
@@ -77,33 +77,33 @@
 	return g
 }
 
-// detailOf tells a step in words.
-func detailOf(s journal.Step) string {
+// stepDetail describes a step to operators.
+func stepDetail(s journal.Step) string {
 	switch s.What {
 	case journal.Asked:
-		text := fmt.Sprintf("%s asked for a permit for %s: %s", s.Peer, s.Server, s.Reason)
+		text := fmt.Sprintf("%s was asked for a permit for %s: %s", s.Peer, s.Server, s.Reason)
 		if s.Count > 0 {
 			text += fmt.Sprintf(", load %.1f%%", float64(s.Count)/10)
 		}
 		return text
 	case journal.Waiting:
-		return "waits in the queue of " + s.Server
+		return "waiting in the queue of " + s.Server
 	case journal.Permit:
-		return fmt.Sprintf("%s gave a permit for %s in epoch %d", s.Peer, s.Server, s.Count)
+		return fmt.Sprintf("%s granted a permit for %s in epoch %d", s.Peer, s.Server, s.Count)
 	case journal.Sent:
 		return "to " + s.Server
 	case journal.FirstToken:
 		return fmt.Sprintf("after %d ms", s.Count)
 	case journal.Stalled:
-		return fmt.Sprintf("%s gave no token for %d ms", s.Server, s.Count)
+		return fmt.Sprintf("%s sent no token for %d ms", s.Server, s.Count)
 	case journal.Probed:
 		return fmt.Sprintf("new connection to the silent %s after position %d", s.Server, s.Count)
 	case journal.Reconnected:
 		return fmt.Sprintf("broken connection to %s replaced after position %d", s.Server, s.Count)
 	case journal.Resumed:
-		return fmt.Sprintf("caller came back for what follows position %d", s.Count)
+		return fmt.Sprintf("caller reconnected after position %d", s.Count)
 	case journal.Restarted:
-		return fmt.Sprintf("attempt %d, since the one before had %s", s.Count, s.Reason)
+		return fmt.Sprintf("attempt %d, previous attempt failed: %s", s.Count, s.Reason)
 	case journal.CallerGone:
 		return fmt.Sprintf("after position %d", s.Count)
 	case journal.Ended:
--- a/internal/serve/models.go
+++ b/internal/serve/models.go
@@ -15,11 +15,11 @@
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 )
 
-// orderTimeout bounds an order that is passed on: an owner answers within
-// eight seconds, also when the order goes on.
-const orderTimeout = 10 * time.Second
+// forwardTimeout limits an engine command that is forwarded: the owner responds within eight seconds,
+// even if the command is still running.
+const forwardTimeout = 10 * time.Second
 
-// models passes operators' orders on to the owners of the engines.
+// models forwards operators' engine commands to the owners of the engines.
 type models struct {
 	self  string
 	fleet *fleet.Fleet
@@ -29,40 +29,40 @@
 
 // Load implements operator.Models.
 func (m models) Load(ctx context.Context, _ time.Time, model string, o operatorapi.Order) (operatorapi.OrderOutcome, error) {
-	outcome, err := m.give(ctx, engineorder.Order{Server: o.Server, Model: model, Version: o.Version})
+	outcome, err := m.load(ctx, engineorder.Order{Server: o.Server, Model: model, Version: o.Version})
 	if err != nil {
-		return operatorapi.OrderOutcome{}, orderError(err)
+		return operatorapi.OrderOutcome{}, translateError(err)
 	}
 	return operatorapi.OrderOutcome{
 		Server: o.Server, Model: model, FencingNumber: outcome.Number, State: string(outcome.State),
 	}, nil
 }
 
-func (m models) give(ctx context.Context, o engineorder.Order) (engineorder.Outcome, error) {
-	to, ok := m.fleet.Owner(o.Server)
-	if !ok || to.ID == m.self {
-		return m.local.Load(ctx, o)
+func (m models) load(ctx context.Context, command engineorder.Order) (engineorder.Outcome, error) {
+	owner, ok := m.fleet.Owner(command.Server)
+	if !ok || owner.ID == m.self {
+		return m.local.Load(ctx, command)
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	res, err := m.peers.Client(to.PeerAddress).LoadModel(ctx, &peerv1.LoadModelRequest{
-		Server: o.Server, Model: o.Model, Version: o.Version,
+	res, err := m.peers.Client(owner.PeerAddress).LoadModel(ctx, &peerv1.LoadModelRequest{
+		Server: command.Server, Model: command.Model, Version: command.Version,
 	})
 	if err != nil {
 		return engineorder.Outcome{}, merry.Wrap(engineorder.ErrUnknown, merry.WithCause(err),
-			merry.AppendMessagef("owner %s gave no answer; repeat the order, it reads the state first", to.ID))
+			merry.AppendMessagef("owner %s did not respond; repeat the command, it reads the state first", owner.ID))
 	}
 	return engineorder.FromPeer(res)
 }
 
-// orderError turns an error of orders into one of the operators' listener.
-func orderError(err error) error {
+// translateError translates an error of an engine command to one of package operator.
+func translateError(err error) error {
 	var busy *engineorder.BusyError
 	switch {
 	case errors.As(err, &busy), errors.Is(err, engineorder.ErrInvalid), errors.Is(err, engineorder.ErrOvertaken):
 		return merry.Append(operator.ErrRefused, err.Error())
 	case errors.Is(err, engineorder.ErrNotOwner):
-		return merry.Append(operator.ErrUnavailable, "the backend server is changing its owner; repeat the order")
+		return merry.Append(operator.ErrUnavailable, "the owner of the backend server is changing; repeat the command")
 	case errors.Is(err, engineorder.ErrUnavailable):
 		return merry.Append(operator.ErrUnavailable, err.Error())
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve runs one entry instance: it makes the parts from the settings,
-// starts their duties, and ends them in order when the instance leaves.
+// Package serve runs an entry instance: it creates the components from the settings, starts their
+// background tasks, and shuts them down in order when the instance leaves.
 //
 // # Usage
 //
@@ -28,70 +28,71 @@
 // ErrStart means that the instance could not start.
 var ErrStart = merry.Sentinel("instance could not start")
 
-// ErrServe means that the instance served, and one of its listeners failed.
-var ErrServe = merry.Sentinel("instance failed while it served")
+// ErrServe means that a listener failed after the instance had started.
+var ErrServe = merry.Sentinel("instance failed while serving")
 
-// closeTimeout bounds what is sent off at the very end: spans, releases.
+// closeTimeout limits sending the remaining spans and releases at the end of a shutdown.
 const closeTimeout = 5 * time.Second
 
 const (
-	// leaveKnownWithin bounds the wait for the others to learn that the
-	// instance leaves. A roster spreads within a second or two; with the
-	// platform down it does not change, and waiting longer would not help.
-	leaveKnownWithin = 10 * time.Second
-	leaveCheck       = 50 * time.Millisecond
+	// leaveTimeout limits the wait until the other instances know that this one leaves. A roster
+	// reaches them within 1 s to 2 s; in a platform outage it does not change, and waiting longer
+	// would not help.
+	leaveTimeout      = 10 * time.Second
+	leavePollInterval = 50 * time.Millisecond
 )
 
-// Run runs an entry instance until ctx ends and its streams are over. Canceling
-// ctx begins a graceful shutdown; it is not an error.
+// Run runs an entry instance until ctx ends and its streams have finished. Canceling ctx starts a
+// graceful shutdown and is not an error.
 func Run(ctx context.Context, s settings.Settings, streams *iostreams.IOStreams) error {
 	tel, err := telemetry.New(telemetry.Options{Settings: s, Out: streams.Out, ErrOut: streams.Err})
 	if err != nil {
 		return merry.Wrap(ErrStart, merry.WithCause(err))
 	}
 	telemetry.CaptureLibraries(tel.Log)
-	setCollector()
-	p, err := newParts(s, tel)
+	setGCPercent()
+	p, err := newComponents(s, tel)
 	if err != nil {
 		return merry.Wrap(ErrStart, merry.WithCause(err))
 	}
-	in := &instance{settings: s, parts: p, log: telemetry.Part(tel.Log, "serve")}
+	in := &instance{settings: s, components: p, log: telemetry.Part(tel.Log, "serve")}
 	err = in.run(ctx)
-	// The context of the caller has ended; what is left gets its own time.
+	// ctx has ended; closing telemetry gets a timeout of its own.
 	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
 	defer cancel()
 	if cerr := tel.Close(closing); cerr != nil {
-		in.log.Warn().Err(cerr).Msg("telemetry was not sent off")
+		in.log.Warn().Err(cerr).Msg("telemetry could not be closed")
 	}
 	return err
 }
 
 // instance is a running entry instance.
 type instance struct {
-	settings settings.Settings
-	parts    *parts
-	log      zerolog.Logger
-	duties   sync.WaitGroup
+	settings   settings.Settings
+	components *components
+	log        zerolog.Logger
+	tasks      sync.WaitGroup
 }
 
-// run starts every duty, waits for the end of ctx, and leaves.
+// run starts all background tasks, waits until ctx ends, an operator requests the shutdown or a
+// listener fails, and shuts down.
 func (in *instance) run(ctx context.Context) error {
 	listeners, err := in.listen(ctx)
 	if err != nil {
 		return err
 	}
-	duties, stop := context.WithCancel(context.WithoutCancel(ctx))
+	tasks, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	p := in.parts
+	p := in.components
 	failed := make(chan error, 3)
-	in.start(func() { p.costs.Duty(control.RoleConfig, func() { p.store.Run(duties) }) })
-	in.start(func() { p.members.Run(duties) })
-	in.start(func() { p.owner.Run(duties) })
-	in.start(func() { p.router.Run(duties) })
-	in.start(func() { p.costs.Duty(control.RoleGauges, func() { p.runGauges(duties) }) })
-	in.start(func() { p.claims.Run(duties) })
-	in.start(func() { p.costs.Duty(control.RoleClaims, func() { p.claims.RunSweep(duties, time.Now, p.ownsShard) }) })
-	in.start(func() { failed <- p.peerServer.Serve(duties, listeners.peer) })
+	in.start(func() { p.costs.Duty(control.RoleConfig, func() { p.store.Run(tasks) }) })
+	in.start(func() { p.members.Run(tasks) })
+	in.start(func() { p.owner.Run(tasks) })
+	in.start(func() { p.router.Run(tasks) })
+	in.start(func() { p.costs.Duty(control.RoleGauges, func() { p.runGauges(tasks) }) })
+	in.start(func() { p.claims.Run(tasks) })
+	in.start(func() { p.costs.Duty(control.RoleClaims, func() { p.claims.RunSweep(tasks, time.Now, p.ownsShard) }) })
+	in.start(func() { failed <- p.peerServer.Serve(tasks, listeners.peer) })
 
 	callers, err := caller.NewServer(p.callerOptions(listeners.caller))
 	if err != nil {
@@ -101,7 +102,7 @@
 	if err != nil {
 		return merry.Wrap(ErrStart, merry.WithCause(err))
 	}
-	in.start(func() { failed <- callers.Run(duties) })
+	in.start(func() { failed <- callers.Run(tasks) })
 	in.start(func() { failed <- operators.Run() })
 	in.log.Info().Str("callers", in.settings.CallerAddress).Str("peers", in.settings.PeerAddress).
 		Str("operators", in.settings.OperatorAddress).Msg("instance serves")
@@ -113,8 +114,8 @@
 	}
 	in.leave(callers, operators)
 	stop()
-	in.duties.Wait()
-	p.orders.Close()
+	in.tasks.Wait()
+	p.commands.Close()
 	if err != nil {
 		return merry.Wrap(ErrServe, merry.WithCause(err))
 	}
@@ -122,52 +123,50 @@
 	return nil
 }
 
-func (in *instance) start(duty func()) {
-	in.duties.Go(duty)
+func (in *instance) start(task func()) {
+	in.tasks.Go(task)
 }
 
-// leave ends the instance in the order that cuts off nobody: first it is named
-// to no caller and owns nothing, then those who still hold an older answer of
-// /v1/instances are served, then every stream ends, and last the duties that
-// streams need.
+// leave shuts the instance down without interrupting callers: it is removed from /v1/instances and
+// gives up its ownership, keeps serving callers that hold an older response of /v1/instances, and
+// waits for all streams. The background tasks that streams need run until it returns.
 func (in *instance) leave(callers *caller.Server, operators *operator.Server) {
 	in.log.Info().Msg("instance leaves")
 	callers.Drain()
-	in.parts.members.Leave()
-	in.awaitLeft()
-	ctx, cancel := context.WithTimeout(context.Background(), in.stopLimit())
+	in.components.members.Leave()
+	in.awaitLeavePropagated()
+	ctx, cancel := context.WithTimeout(context.Background(), in.shutdownTimeout())
 	defer cancel()
 	callers.Shutdown(ctx)
 	if err := operators.Shutdown(ctx); err != nil {
-		in.log.Warn().Err(err).Msg("operators were cut off")
+		in.log.Warn().Err(err).Msg("operators' listener was not shut down cleanly")
 	}
 }
 
-// awaitLeft waits until the others name this instance to callers no more. An
-// answer of /v1/instances that one of them gives until then is used for its
-// whole time; were that counted from the signal, its last callers could meet a
-// closed listener.
-func (in *instance) awaitLeft() {
-	deadline := time.Now().Add(leaveKnownWithin)
-	ticker := time.NewTicker(leaveCheck)
+// awaitLeavePropagated waits until no other instance lists this one in /v1/instances. Callers use a
+// response of /v1/instances until it expires; if its lifetime were counted from the shutdown signal,
+// the last of them could find the listener closed.
+func (in *instance) awaitLeavePropagated() {
+	deadline := time.Now().Add(leaveTimeout)
+	ticker := time.NewTicker(leavePollInterval)
 	defer ticker.Stop()
 	for now := time.Now(); now.Before(deadline); now = <-ticker.C {
-		if in.parts.members.LeftEverywhere(now) {
+		if in.components.members.LeftEverywhere(now) {
 			return
 		}
 	}
-	in.log.Warn().Msg("others may still name this instance to callers")
+	in.log.Warn().Msg("other instances may still list this instance to callers")
 }
 
-// stopLimit bounds the whole of leaving: answers of /v1/instances expire, then
-// streams end.
-func (in *instance) stopLimit() time.Duration {
+// shutdownTimeout limits the shutdown, in which responses of /v1/instances expire and then streams
+// end.
+func (in *instance) shutdownTimeout() time.Duration {
 	t := in.settings.Timing
 	return time.Duration(t.StopSeconds+2*t.AddressSeconds)*time.Second + closeTimeout
 }
 
-// listeners are open before any duty starts, so that a taken address is told
-// at once and nobody is pointed to an address that does not answer.
+// listeners are opened before any background task starts, so that an address in use is reported
+// immediately and no peer announces an address that does not accept connections.
 type listeners struct {
 	caller, peer, operator net.Listener
 }
@@ -195,11 +194,11 @@
 	return l, nil
 }
 
-// seed returns the seed of the random choices of a part; each part gets its
-// own, so that they do not draw the same numbers.
-func seed(s settings.Settings, part uint64) uint64 {
+// seed returns the random seed of a component. Each component has its own, so that they do not draw
+// the same numbers.
+func seed(s settings.Settings, component uint64) uint64 {
 	if s.Seed == 0 {
 		return rand.Uint64()
 	}
-	return uint64(s.Seed)*1_000_003 + part
+	return uint64(s.Seed)*1_000_003 + component
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -13,18 +13,17 @@
 	"pollenspindle.example/pollenspindle/pkg/iostreams"
 )
 
-// An operator starts an instance on an address that another process has. The
-// start fails, and what is printed names the address; "instance could not
-// start" alone left nothing to go on.
-func TestRunNamesTakenAddress(t *testing.T) {
-	taken, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+// An instance is started on an address that another process uses. Guards against an error text that
+// doesn't name the address.
+func TestRunNamesAddressInUse(t *testing.T) {
+	inUse, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer taken.Close()
+	defer inUse.Close()
 	free := "127.0.0.1:0"
 	tests := map[string]settings.Settings{
-		"callers":   {CallerAddress: taken.Addr().String(), PeerAddress: free, OperatorAddress: free},
-		"peers":     {CallerAddress: free, PeerAddress: taken.Addr().String(), OperatorAddress: free},
-		"operators": {CallerAddress: free, PeerAddress: free, OperatorAddress: taken.Addr().String()},
+		"callers":   {CallerAddress: inUse.Addr().String(), PeerAddress: free, OperatorAddress: free},
+		"peers":     {CallerAddress: free, PeerAddress: inUse.Addr().String(), OperatorAddress: free},
+		"operators": {CallerAddress: free, PeerAddress: free, OperatorAddress: inUse.Addr().String()},
 	}
 	for name, s := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -33,11 +32,11 @@
 			var out, errOut bytes.Buffer
 			err := serve.Run(t.Context(), s, &iostreams.IOStreams{Out: &out, Err: &errOut})
 			require.ErrorIs(t, err, serve.ErrStart)
-			require.Contains(t, errortext.Of(err), taken.Addr().String())
+			require.Contains(t, errortext.Of(err), inUse.Addr().String())
 			require.Contains(t, errortext.Of(err), "address already in use")
 		})
 	}
 }
 
-// key is 32 bytes in base64.
+// key is a base64-encoded key of 32 bytes.
 const key = "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8="
