--- a/internal/operator/accepted/accepted.go
+++ b/internal/operator/accepted/accepted.go
@@ -1,6 +1,5 @@
-// Package accepted connects the operators' listener to the accepted
-// configuration: the platform for what is changed, the instance's own store
-// while the platform is down.
+// Package accepted implements [operator.Config]: it reads and changes the accepted configuration in the
+// platform, and reads the instance's own copy while the platform is down.
 //
 // # Usage
 //
@@ -22,20 +21,19 @@
 	"pollenspindle.example/pollenspindle/internal/operatorapi"
 )
 
-// readTimeout bounds reading the configuration from the platform before the
-// instance's own copy is answered instead. It is well under the listener's
-// time for a call, so that operators see something while the platform is down.
+// readTimeout limits reading the configuration from the platform; after it the instance's own copy is
+// returned instead. It is well below the operator API's timeout for a call, so that operators get a
+// response while the platform is down.
 const readTimeout = 3 * time.Second
 
-// Fleet knows what the entry instances have in force.
+// Fleet queries the configuration versions of the entry instances.
 type Fleet interface {
-	// ConfigVersions returns the version of each live instance, this one
-	// included, as last heard. Those that aren't known to have atLeast are
-	// asked.
+	// ConfigVersions returns the last known version of each live instance, including this one. It
+	// first queries the instances that aren't known to have version atLeast.
 	ConfigVersions(ctx context.Context, atLeast int64) ([]int64, error)
 }
 
-// Config is an [operator.Config].
+// Config implements [operator.Config].
 type Config struct {
 	Store   *config.Store
 	Objects *objectapi.Client
@@ -44,46 +42,46 @@
 
 var _ operator.Config = (*Config)(nil)
 
-// Current returns the newest accepted configuration. It asks the platform: a
-// change based on this instance's copy, which follows a moment later, would be
-// refused as a conflict with the operator's own last change.
+// Current returns the newest accepted configuration. It reads it from the platform: a change based on
+// this instance's copy, which is updated a moment later, would be rejected as a conflict with the
+// operator's own last change.
 func (c *Config) Current(ctx context.Context) (operatorapi.Configuration, error) {
 	limited, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	own := c.Store.Snapshot()
+	local := c.Store.Snapshot()
 	newest, err := config.Load(limited, c.Objects)
 	if err != nil {
-		if own.Version == 0 {
-			return operatorapi.Configuration{}, translate(err)
+		if local.Version == 0 {
+			return operatorapi.Configuration{}, translateError(err)
 		}
-		newest = own
+		newest = local
 	}
-	// An answer older than what is in force here is not the newest one.
-	if newest.Version < own.Version {
-		newest = own
+	// The platform's response may be older than this instance's copy.
+	if newest.Version < local.Version {
+		newest = local
 	}
 	return operatorapi.Configuration{Version: newest.Version, Config: newest.Config}, nil
 }
 
-// Apply accepts change on the version it is based on.
+// Apply implements [operator.Config].
 func (c *Config) Apply(ctx context.Context, now time.Time, change operator.Change) (int64, error) {
 	version, err := config.Apply(ctx, c.Objects, config.Change{
 		Config: change.Config, BaseVersion: change.BaseVersion,
 		Author: change.Author, Summary: change.Summary, At: now,
 	})
-	return version, translate(err)
+	return version, translateError(err)
 }
 
-// History returns the newest changes that the platform still records.
+// History returns the newest changes that the platform still stores.
 func (c *Config) History(ctx context.Context, limit int) ([]operatorapi.Change, error) {
 	entries, err := config.History(ctx, c.Objects, limit)
 	if err != nil {
-		return nil, translate(err)
+		return nil, translateError(err)
 	}
 	return changes(entries), nil
 }
 
-// InForce counts the live instances that have at least version.
+// InForce counts the live instances with at least version.
 func (c *Config) InForce(ctx context.Context, version int64) (inForce, total int, err error) {
 	versions, err := c.Fleet.ConfigVersions(ctx, version)
 	if err != nil {
@@ -101,14 +99,14 @@
 	list := make([]operatorapi.Change, 0, len(entries))
 	for _, e := range entries {
 		list = append(list, operatorapi.Change{
-			Version: e.Version, Author: e.Author, Summary: e.Summary, At: e.At, Changed: paths(e.Changed),
+			Version: e.Version, Author: e.Author, Summary: e.Summary, At: e.At, Changed: changedPaths(e.Changed),
 		})
 	}
 	return list
 }
 
-// translate turns errors of package config into those of the listener.
-func translate(err error) error {
+// translateError translates errors of package config to those of package operator.
+func translateError(err error) error {
 	var conflict *config.ConflictError
 	switch {
 	case err == nil:
@@ -118,17 +116,17 @@
 			Base: conflict.BaseVersion, Current: conflict.CurrentVersion, Changes: changes(conflict.Since),
 		}
 	case errors.Is(err, config.ErrAcceptanceUnknown):
-		return merry.Append(operator.ErrUnknownOutcome, "the platform's answer was lost")
+		return merry.Append(operator.ErrUnknownOutcome, "the platform's response was lost")
 	case errors.Is(err, config.ErrNotAccepted), errors.Is(err, config.ErrUnreadable):
-		return merry.Append(operator.ErrUnavailable, "the platform does not answer")
+		return merry.Append(operator.ErrUnavailable, "the platform does not respond")
 	default:
 		return merry.Prepend(err, "accepted configuration")
 	}
 }
 
-// paths turns the names of parts into the paths that operators know from lists
-// of differences: zone.kigali-a is zones/kigali-a.
-func paths(parts []string) []string {
+// changedPaths converts the names of parts to the paths used in lists of changes: zone.kigali-a
+// becomes zones/kigali-a.
+func changedPaths(parts []string) []string {
 	out := make([]string, 0, len(parts))
 	for _, part := range parts {
 		if kind, name, ok := strings.Cut(part, "."); ok {
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -11,19 +11,19 @@
 	"pollenspindle.example/pollenspindle/internal/operatorapi"
 )
 
-// leaveInstance takes the name as a guard: an address that was reused since
-// must not shut another instance down.
+// leaveInstance compares the name in the path with that of this instance: if the address was reused
+// in the meantime, another instance must not be shut down.
 func (s *Server) leaveInstance(ctx context.Context, c *app.RequestContext) {
 	if s.deps.Instances == nil {
-		s.unsupported(c)
+		s.respondUnsupported(c)
 		return
 	}
 	if name := c.Param("name"); name != s.deps.Instance {
-		s.failWith(c, merry.Appendf(ErrRefused, "this is instance %q, not %q", s.deps.Instance, name))
+		s.respondError(c, merry.Appendf(ErrRefused, "this is instance %q, not %q", s.deps.Instance, name))
 		return
 	}
 	if err := s.deps.Instances.Leave(ctx); err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.Status(consts.StatusNoContent)
@@ -31,11 +31,11 @@
 
 func (s *Server) cancelGeneration(ctx context.Context, c *app.RequestContext) {
 	if s.deps.Generations == nil {
-		s.unsupported(c)
+		s.respondUnsupported(c)
 		return
 	}
 	if err := s.deps.Generations.Cancel(ctx, c.Param("name")); err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.Status(consts.StatusNoContent)
@@ -43,20 +43,20 @@
 
 func (s *Server) loadModel(ctx context.Context, c *app.RequestContext) {
 	if s.deps.Models == nil {
-		s.unsupported(c)
+		s.respondUnsupported(c)
 		return
 	}
-	var order operatorapi.Order
-	if !s.decode(c, &order) {
+	var command operatorapi.Order
+	if !s.decode(c, &command) {
 		return
 	}
-	if order.Server == "" {
-		s.badField(c, "server", "is missing")
+	if command.Server == "" {
+		s.respondInvalidField(c, "server", "is missing")
 		return
 	}
-	outcome, err := s.deps.Models.Load(ctx, s.deps.Now(), c.Param("name"), order)
+	outcome, err := s.deps.Models.Load(ctx, s.deps.Now(), c.Param("name"), command)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, outcome)
@@ -69,7 +69,7 @@
 	}
 	level, err := zerolog.ParseLevel(req.Level)
 	if err != nil || level < zerolog.DebugLevel || level > zerolog.ErrorLevel {
-		s.badField(c, "level", "must be one of debug, info, warn, error")
+		s.respondInvalidField(c, "level", "must be one of debug, info, warn, error")
 		return
 	}
 	zerolog.SetGlobalLevel(level)
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// maxTextBytes bounds author and summary, which every instance keeps.
+	// maxTextBytes is the maximum length of author and summary, which every instance stores.
 	maxTextBytes = 200
-	// maxHistory bounds one answer of the history.
+	// maxHistory is the maximum number of changes in a response, defaultHistory the default.
 	maxHistory     = 500
 	defaultHistory = 20
-	// stateTries is how often a change of one state is put on top of a newer
-	// version. At 12,000 changes a day a second conflict in a row is rare.
-	stateTries = 5
+	// maxStateAttempts is the maximum number of attempts at a state change that conflicts with
+	// others. At 12,000 changes a day a second conflict in a row is rare.
+	maxStateAttempts = 5
 )
 
 func (s *Server) applyConfig(ctx context.Context, c *app.RequestContext) {
@@ -32,21 +32,20 @@
 		return
 	}
 	if req.BaseVersion < 0 {
-		s.badField(c, "baseVersion", "must not be negative")
+		s.respondInvalidField(c, "baseVersion", "must not be negative")
 		return
 	}
 	accepted, err := s.apply(ctx, req)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, accepted)
 }
 
-// apply accepts a whole configuration. States that it leaves open are taken
-// from the version it is based on. The versions are compared here first, since
-// states kept from another version would be wrong; the conditional update
-// decides.
+// apply replaces the configuration. States that the request leaves empty are copied from the base
+// version. The versions are compared before that, since states copied from another version would be
+// wrong; the conditional update makes the final check.
 func (s *Server) apply(ctx context.Context, req operatorapi.ApplyRequest) (operatorapi.Accepted, error) {
 	if err := req.Config.Validate(); err != nil {
 		return operatorapi.Accepted{}, err
@@ -56,7 +55,7 @@
 		return operatorapi.Accepted{}, err
 	}
 	if current.Version != req.BaseVersion {
-		return operatorapi.Accepted{}, s.conflict(ctx, req.BaseVersion, current.Version)
+		return operatorapi.Accepted{}, s.conflictError(ctx, req.BaseVersion, current.Version)
 	}
 	next := req.Config.KeepStates(current.Config).WithDefaults()
 	return s.accept(ctx, current, Change{
@@ -64,8 +63,8 @@
 	})
 }
 
-// accept applies change unless it changes nothing: handing the same
-// configuration over again must not cost a version on every instance.
+// accept applies change unless it changes nothing: applying an unchanged configuration again must
+// not create a version that every instance has to load.
 func (s *Server) accept(ctx context.Context, current operatorapi.Configuration, change Change) (operatorapi.Accepted, error) {
 	changes := operatorapi.Changes(current.Config, change.Config)
 	if len(changes) == 0 && current.Version > 0 {
@@ -80,13 +79,13 @@
 	return operatorapi.Accepted{Version: version, Changes: changes}, nil
 }
 
-// conflict tells what was accepted since base. Without a history the answer
-// still names both versions.
-func (s *Server) conflict(ctx context.Context, base, current int64) error {
+// conflictError returns an error with the changes accepted since base. If the history can't be read,
+// the error still has both versions.
+func (s *Server) conflictError(ctx context.Context, base, current int64) error {
 	since := []operatorapi.Change{}
 	history, err := s.deps.Config.History(ctx, defaultHistory)
 	if err != nil {
-		s.deps.Log.Warn().Err(err).Msg("History not read for a conflict.")
+		s.deps.Log.Warn().Err(err).Msg("Reading the history for a conflict failed.")
 	}
 	for _, change := range history {
 		if change.Version > base {
@@ -96,31 +95,31 @@
 	return &ConflictError{Base: base, Current: current, Changes: since}
 }
 
-// checkTexts checks what is kept with each change and shown to operators.
+// checkTexts validates author and summary, which are stored with each change and shown to operators.
 func (s *Server) checkTexts(c *app.RequestContext, author, summary string) bool {
 	if author == "" {
-		s.badField(c, "author", "is missing")
+		s.respondInvalidField(c, "author", "is missing")
 		return false
 	}
 	for _, text := range []struct{ path, value string }{{"author", author}, {"summary", summary}} {
 		if len(text.value) > maxTextBytes || !isPrintable(text.value) {
-			s.badField(c, text.path, "must be at most "+strconv.Itoa(maxTextBytes)+" bytes of printable UTF-8")
+			s.respondInvalidField(c, text.path, "must be at most "+strconv.Itoa(maxTextBytes)+" bytes of printable UTF-8")
 			return false
 		}
 	}
 	return true
 }
 
-// changeState reads the configuration, edits it and applies it on the version
-// that was read. After a conflict it starts again: the operator asked for a
-// state, not for a version, and the edit leaves all else as it then is.
+// changeState reads the configuration, edits it and applies it on top of the version that was read.
+// It retries after a conflict: the operator requested a state, not a version, and the edit doesn't
+// change anything else.
 func (s *Server) changeState(ctx context.Context, req operatorapi.ChangeRequest, edit stateEdit) (operatorapi.Accepted, error) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		current, err := s.deps.Config.Current(ctx)
 		if err != nil {
 			return operatorapi.Accepted{}, err
 		}
-		next, err := edited(current.Config, edit)
+		next, err := applyEdit(current.Config, edit)
 		if err != nil {
 			return operatorapi.Accepted{}, err
 		}
@@ -128,7 +127,7 @@
 			BaseVersion: current.Version, Author: req.Author, Summary: req.Summary, Config: next,
 		})
 		var conflict *ConflictError
-		if err == nil || !errors.As(err, &conflict) || try == stateTries {
+		if err == nil || !errors.As(err, &conflict) || attempt == maxStateAttempts {
 			return accepted, err
 		}
 	}
@@ -136,34 +135,34 @@
 
 func (s *Server) zoneChange(state pollenspindle.ZoneState) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
-		s.answerState(ctx, c, zoneEdit{name: c.Param("name"), state: state})
+		s.handleStateChange(ctx, c, zoneEdit{name: c.Param("name"), state: state})
 	}
 }
 
 func (s *Server) serverChange(state pollenspindle.ServerState) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
-		s.answerState(ctx, c, serverEdit{name: c.Param("name"), state: state})
+		s.handleStateChange(ctx, c, serverEdit{name: c.Param("name"), state: state})
 	}
 }
 
-func (s *Server) answerState(ctx context.Context, c *app.RequestContext, edit stateEdit) {
+func (s *Server) handleStateChange(ctx context.Context, c *app.RequestContext, edit stateEdit) {
 	var req operatorapi.ChangeRequest
 	if !s.decode(c, &req) || !s.checkTexts(c, req.Author, req.Summary) {
 		return
 	}
 	if req.Summary == "" {
-		req.Summary = summaryOf(edit)
+		req.Summary = defaultSummary(edit)
 	}
 	accepted, err := s.changeState(ctx, req, edit)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, accepted)
 }
 
-// isPrintable refuses what would break a line of output or steer the terminal
-// of the operator who reads it.
+// isPrintable reports whether text has no characters that break the line of the output or control the
+// operator's terminal.
 func isPrintable(text string) bool {
 	return utf8.ValidString(text) && !strings.ContainsFunc(text, func(r rune) bool { return !unicode.IsPrint(r) })
 }
--- a/internal/operator/guard.go
+++ b/internal/operator/middleware.go
@@ -14,10 +14,10 @@
 	"pollenspindle.example/pollenspindle/internal/operatorapi"
 )
 
-func decodeSums(sums []string) ([][sha256.Size]byte, error) {
+func decodeHashes(hashes []string) ([][sha256.Size]byte, error) {
 	var tokens [][sha256.Size]byte
-	for _, sum := range sums {
-		token, err := decodeSum(sum)
+	for _, hash := range hashes {
+		token, err := decodeHash(hash)
 		if err != nil {
 			return nil, err
 		}
@@ -26,24 +26,24 @@
 	return tokens, nil
 }
 
-func decodeSum(sum string) ([sha256.Size]byte, error) {
+func decodeHash(hash string) ([sha256.Size]byte, error) {
 	var token [sha256.Size]byte
-	raw, err := hex.DecodeString(sum)
+	raw, err := hex.DecodeString(hash)
 	if err != nil || len(raw) != len(token) {
-		return token, merry.New("operators' token must be given as a SHA-256 in hex")
+		return token, merry.New("operators' token must be a hex-encoded SHA-256 hash")
 	}
 	copy(token[:], raw)
 	return token, nil
 }
 
-// authenticate compares hashes, and those in constant time: the time that a
-// comparison takes would otherwise tell how much of a guess is right.
+// authenticate checks the bearer token. It compares hashes in constant time: otherwise the duration
+// of the comparison would reveal how much of a guessed token is right.
 func (s *Server) authenticate(ctx context.Context, c *app.RequestContext) {
 	token, ok := strings.CutPrefix(string(c.GetHeader(consts.HeaderAuthorization)), "Bearer ")
 	sum := sha256.Sum256([]byte(token))
-	if !ok || !s.known(sum) {
+	if !ok || !s.isKnownToken(sum) {
 		c.Header("WWW-Authenticate", "Bearer")
-		s.fail(c, consts.StatusUnauthorized, operatorapi.FailureDetail{
+		s.respondFailure(c, consts.StatusUnauthorized, operatorapi.FailureDetail{
 			Code: operatorapi.CodeUnauthorized, Message: "the operators' token is missing or wrong",
 		})
 		c.Abort()
@@ -52,7 +52,7 @@
 	c.Next(ctx)
 }
 
-func (s *Server) known(sum [sha256.Size]byte) bool {
+func (s *Server) isKnownToken(sum [sha256.Size]byte) bool {
 	found := 0
 	for _, token := range s.tokens {
 		found |= subtle.ConstantTimeCompare(sum[:], token[:])
@@ -60,13 +60,13 @@
 	return found == 1
 }
 
-// recoverPanic keeps a fault in one call from ending the process, which
-// carries the streams of callers.
+// recoverPanic responds with 500 if a call panics, so that the panic doesn't end the process, which
+// serves the streams of callers.
 func (s *Server) recoverPanic(ctx context.Context, c *app.RequestContext) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			s.deps.Log.Error().Interface("panic", fault).Str("path", string(c.Path())).Msg("Call panicked.")
-			s.fail(c, consts.StatusInternalServerError, operatorapi.FailureDetail{
+			s.respondFailure(c, consts.StatusInternalServerError, operatorapi.FailureDetail{
 				Code: operatorapi.CodeInternal, Message: "internal error",
 			})
 			c.Abort()
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,10 +1,9 @@
-// Package operator answers operators on an entry instance's own listener: it
-// shows and changes the configuration, lists servers and instances, explains
-// generations and serves metrics and readiness. Every call under
-// [operatorapi.Prefix] needs the operators' token.
+// Package operator serves the operator API on a separate listener of an entry instance: it shows and
+// changes the configuration, lists servers and instances, shows the history of generations and serves
+// metrics and readiness. Every call under [operatorapi.Prefix] needs the operators' token.
 //
-// It decides nothing about requests of callers. What it shows and changes is
-// reached through the small interfaces in [Deps].
+// It takes no part in handling callers' requests. It accesses the rest of the instance through the
+// interfaces in [Deps].
 //
 // # Usage
 //
@@ -33,8 +32,8 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Limits of the listener. Operators are few and their calls short; what takes
-// longer is a connection that went silent.
+// Limits of the listener. Operators are few and their calls short; a longer silence means a dead
+// connection.
 const (
 	readTimeout    = 10 * time.Second
 	writeTimeout   = 10 * time.Second
@@ -42,36 +41,36 @@
 	exitWait       = 5 * time.Second
 	maxHeaderBytes = 16 << 10
 	maxBodyBytes   = strictjson.MaxBytes
-	// callTimeout bounds what a call waits for the platform or peers.
+	// callTimeout limits a call, including its calls to the platform and peers.
 	callTimeout = 15 * time.Second
 )
 
-// Errors that the interfaces of [Deps] answer with.
+// Errors that the interfaces of [Deps] return.
 var (
-	// ErrNotFound says that there is no such thing.
+	// ErrNotFound means that the named object doesn't exist.
 	ErrNotFound = merry.Sentinel("not found")
-	// ErrUnavailable says that nothing was changed, since the platform or a
-	// peer that is needed cannot be reached.
+	// ErrUnavailable means that nothing was changed, since the platform or a required peer cannot be
+	// reached.
 	ErrUnavailable = merry.Sentinel("unavailable")
-	// ErrUnknownOutcome says that a change may or may not have taken effect.
+	// ErrUnknownOutcome means that a change may or may not have taken effect.
 	ErrUnknownOutcome = merry.Sentinel("outcome unknown")
-	// ErrRefused says that a thing cannot be done in its present state.
+	// ErrRefused means that the call is not allowed in the current state.
 	ErrRefused = merry.Sentinel("refused")
 )
 
-// ConflictError says that the configuration changed since the base version of
-// a change; nothing was changed by it.
+// ConflictError means that a change was rejected because the configuration has changed since its base
+// version.
 type ConflictError struct {
 	Base    int64
 	Current int64
-	// Changes lists those since Base, the newest first.
+	// Changes lists the changes since Base, newest first.
 	Changes []operatorapi.Change
 }
 
-// Error names both versions.
-func (e *ConflictError) Error() string { return "configuration has changed since" }
+// Error implements error.
+func (e *ConflictError) Error() string { return "configuration has changed since the base version" }
 
-// Change is a new configuration to accept on top of BaseVersion.
+// Change is a new configuration based on BaseVersion.
 type Change struct {
 	BaseVersion int64
 	Author      string
@@ -79,52 +78,52 @@
 	Config      pollenspindle.Config
 }
 
-// Config is the accepted configuration.
+// Config reads and changes the accepted configuration.
 type Config interface {
 	// Current returns the version in force on this instance.
 	Current(ctx context.Context) (operatorapi.Configuration, error)
-	// Apply accepts a change and returns its version. It fails with a
-	// [ConflictError], [ErrUnavailable] or [ErrUnknownOutcome].
+	// Apply applies a change and returns its version. It fails with a [ConflictError],
+	// [ErrUnavailable] or [ErrUnknownOutcome].
 	Apply(ctx context.Context, now time.Time, change Change) (int64, error)
-	// History returns the newest changes, at most limit.
+	// History returns at most limit changes, newest first.
 	History(ctx context.Context, limit int) ([]operatorapi.Change, error)
 	// InForce counts live instances that have at least version in force.
 	InForce(ctx context.Context, version int64) (inForce, total int, err error)
 }
 
-// Servers tells what is known of backend servers.
+// Servers provides the status of backend servers.
 type Servers interface {
-	// Statuses returns them by name. Those that nothing is known of are missing.
+	// Statuses returns the statuses by server name; servers without a known status are missing.
 	Statuses(ctx context.Context) map[string]operatorapi.ServerStatus
 }
 
-// Instances knows the entry instances.
+// Instances lists the entry instances and shuts this one down.
 type Instances interface {
 	List(ctx context.Context) ([]operatorapi.Instance, error)
-	// Leave begins the graceful shutdown of this instance.
+	// Leave starts the graceful shutdown of this instance.
 	Leave(ctx context.Context) error
 }
 
-// Generations explains and cancels generations.
+// Generations shows the history of generations and cancels them.
 type Generations interface {
 	Show(ctx context.Context, id string) (operatorapi.Generation, error)
 	Cancel(ctx context.Context, id string) error
 }
 
-// Models gives orders to model engines.
+// Models sends commands to model engines.
 type Models interface {
-	Load(ctx context.Context, now time.Time, model string, order operatorapi.Order) (operatorapi.OrderOutcome, error)
+	Load(ctx context.Context, now time.Time, model string, command operatorapi.Order) (operatorapi.OrderOutcome, error)
 }
 
-// Deps is what the listener needs. Servers, Instances, Generations and Models
-// may be nil: their calls then answer that they are not supported.
+// Deps are the dependencies of a [Server]. Servers, Instances, Generations and Models may be nil;
+// calls that need them then fail as not supported.
 type Deps struct {
 	// Instance is the name of this entry instance.
 	Instance string
-	// Listener is where operators connect. The server closes it.
+	// Listener accepts operators' connections. The server closes it.
 	Listener net.Listener
-	// TokenSHA256 is the lower-case hex SHA-256 of the operators' token,
-	// AcceptedSHA256 those of further ones, while it is exchanged.
+	// TokenSHA256 is the lower-case hex SHA-256 of the operators' token, AcceptedSHA256 those of
+	// further valid tokens during a token rotation.
 	TokenSHA256    string
 	AcceptedSHA256 []string
 	Config         Config
@@ -132,24 +131,24 @@
 	Instances      Instances
 	Generations    Generations
 	Models         Models
-	// Ready returns why the instance takes no new work, or nil.
+	// Ready returns why the instance accepts no new requests, or nil.
 	Ready func() error
-	// Metrics answers GET /metrics; nil leaves it out.
+	// Metrics serves GET /metrics; if nil, the path doesn't exist.
 	Metrics http.Handler
 	Log     zerolog.Logger
 	Now     func() time.Time
 }
 
-// Server is the operators' listener.
+// Server serves the operator API.
 type Server struct {
 	deps   Deps
 	tokens [][sha256.Size]byte
 	http   *server.Hertz
 }
 
-// New makes the listener. Nothing is answered before [Server.Run].
+// New returns a server. It accepts no connections before [Server.Run].
 func New(deps Deps) (*Server, error) {
-	tokens, err := decodeSums(append([]string{deps.TokenSHA256}, deps.AcceptedSHA256...))
+	tokens, err := decodeHashes(append([]string{deps.TokenSHA256}, deps.AcceptedSHA256...))
 	if err != nil {
 		return nil, err
 	}
@@ -172,7 +171,7 @@
 	return s, nil
 }
 
-// Run answers operators until [Server.Shutdown].
+// Run serves operators until [Server.Shutdown].
 func (s *Server) Run() error {
 	if err := s.http.Run(); err != nil {
 		return merry.Prepend(err, "operators' listener")
@@ -180,10 +179,10 @@
 	return nil
 }
 
-// Shutdown stops accepting and waits for the calls that run.
+// Shutdown stops accepting connections and waits for running calls.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if err := s.http.Shutdown(ctx); err != nil {
-		return merry.Prepend(err, "shut operators' listener down")
+		return merry.Prepend(err, "shut down operators' listener")
 	}
 	return nil
 }
@@ -195,7 +194,7 @@
 	if s.deps.Metrics != nil {
 		s.http.GET("/metrics", adaptor.HertzHandler(s.deps.Metrics))
 	}
-	g := s.http.Group(operatorapi.Prefix, s.authenticate, limitTime)
+	g := s.http.Group(operatorapi.Prefix, s.authenticate, limitDuration)
 	g.GET("/config", s.showConfig)
 	g.PUT("/config", s.applyConfig)
 	g.GET("/config/history", s.showHistory)
@@ -214,8 +213,8 @@
 	g.PUT("/logLevel", s.setLogLevel)
 }
 
-// limitTime ends what a call waits for.
-func limitTime(ctx context.Context, c *app.RequestContext) {
+// limitDuration cancels the context of a call after callTimeout.
+func limitDuration(ctx context.Context, c *app.RequestContext) {
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	c.Next(limited)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -20,15 +20,15 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// leaver is the only instance; it counts how often it was told to leave.
-type leaver struct{ left int }
+// fakeInstances counts calls of Leave and panics in List.
+type fakeInstances struct{ leaveCalls int }
 
-func (l *leaver) List(context.Context) ([]operatorapi.Instance, error) {
+func (f *fakeInstances) List(context.Context) ([]operatorapi.Instance, error) {
 	panic("list of instances is broken")
 }
 
-func (l *leaver) Leave(context.Context) error {
-	l.left++
+func (f *fakeInstances) Leave(context.Context) error {
+	f.leaveCalls++
 	return nil
 }
 
@@ -48,34 +48,34 @@
 	return resp.StatusCode, string(text)
 }
 
-func TestListenerRefusesWhatIsWrong(t *testing.T) {
-	instances := &leaver{}
-	next := "token-of-tomorrow"
-	h := operatortest.Start(t, operator.Deps{Instances: instances, AcceptedSHA256: []string{pollenspindle.Token(next)}})
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	instances := &fakeInstances{}
+	nextToken := "token-of-tomorrow"
+	h := operatortest.Start(t, operator.Deps{Instances: instances, AcceptedSHA256: []string{pollenspindle.Token(nextToken)}})
 	base := "http://" + h.Address + operatorapi.Prefix
-	right := "Bearer " + operatortest.Token
+	authorization := "Bearer " + operatortest.Token
 	tests := map[string]struct {
 		method, path, token, body string
 		status                    int
 		want                      string
 	}{
-		"accepted token":      {"GET", "/config", "Bearer " + next, "", 200, `"version"`},
-		"no token":            {"GET", "/config", "", "", 401, `"code":"unauthorized"`},
-		"wrong token":         {"GET", "/config", right + "x", "", 401, `"code":"unauthorized"`},
-		"token without word":  {"GET", "/config", operatortest.Token, "", 401, `"code":"unauthorized"`},
-		"unknown name":        {"PUT", "/config", right, `{"baseVersion":0,"writer":"a"}`, 400, "writer: is not a known name"},
-		"no author":           {"POST", "/zones/a/drain", right, `{}`, 400, "author: is missing"},
-		"long summary":        {"POST", "/zones/a/drain", right, `{"author":"a","summary":"` + strings.Repeat("x", 201) + `"}`, 400, "summary: must be at most 200 bytes"},
-		"terminal control":    {"POST", "/zones/a/drain", right, `{"author":"a","summary":"\u001b[2J"}`, 400, "summary: must be at most 200 bytes of printable"},
-		"no such zone":        {"POST", "/zones/a/drain", right, `{"author":"a"}`, 404, `"code":"notFound"`},
-		"invalid":             {"PUT", "/config", right, `{"baseVersion":0,"author":"a","config":{}}`, 422, `"path":"zones"`},
-		"limit out of range":  {"GET", "/config/history?limit=0", right, "", 400, "limit: must be from 1 to 500"},
-		"version no number":   {"GET", "/config/inForce?version=x", right, "", 400, "version: must be a version"},
-		"another instance":    {"POST", "/instances/entry-2/leave", right, `{}`, 409, "this is instance"},
-		"not wired":           {"GET", "/generations/g1", right, "", 501, `"code":"unsupported"`},
-		"panic":               {"GET", "/instances", right, "", 500, `"code":"internal"`},
-		"log level":           {"PUT", "/logLevel", right, `{"level":"trace"}`, 400, "level: must be one of"},
-		"method not declared": {"DELETE", "/config", right, "", 405, ""},
+		"accepted token":       {"GET", "/config", "Bearer " + nextToken, "", 200, `"version"`},
+		"no token":             {"GET", "/config", "", "", 401, `"code":"unauthorized"`},
+		"wrong token":          {"GET", "/config", authorization + "x", "", 401, `"code":"unauthorized"`},
+		"token without scheme": {"GET", "/config", operatortest.Token, "", 401, `"code":"unauthorized"`},
+		"unknown name":         {"PUT", "/config", authorization, `{"baseVersion":0,"writer":"a"}`, 400, "writer: is not a known name"},
+		"no author":            {"POST", "/zones/a/drain", authorization, `{}`, 400, "author: is missing"},
+		"summary too long":     {"POST", "/zones/a/drain", authorization, `{"author":"a","summary":"` + strings.Repeat("x", 201) + `"}`, 400, "summary: must be at most 200 bytes"},
+		"terminal control":     {"POST", "/zones/a/drain", authorization, `{"author":"a","summary":"\u001b[2J"}`, 400, "summary: must be at most 200 bytes of printable"},
+		"no such zone":         {"POST", "/zones/a/drain", authorization, `{"author":"a"}`, 404, `"code":"notFound"`},
+		"invalid":              {"PUT", "/config", authorization, `{"baseVersion":0,"author":"a","config":{}}`, 422, `"path":"zones"`},
+		"limit out of range":   {"GET", "/config/history?limit=0", authorization, "", 400, "limit: must be from 1 to 500"},
+		"version not a number": {"GET", "/config/inForce?version=x", authorization, "", 400, "version: must be a version"},
+		"another instance":     {"POST", "/instances/entry-2/leave", authorization, `{}`, 409, "this is instance"},
+		"dependency not set":   {"GET", "/generations/g1", authorization, "", 501, `"code":"unsupported"`},
+		"panic":                {"GET", "/instances", authorization, "", 500, `"code":"internal"`},
+		"log level":            {"PUT", "/logLevel", authorization, `{"level":"trace"}`, 400, "level: must be one of"},
+		"method not declared":  {"DELETE", "/config", authorization, "", 405, ""},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -84,14 +84,15 @@
 			require.Contains(t, body, tt.want)
 		})
 	}
-	require.Zero(t, instances.left)
-	status, _ := call(t, "POST", base+"/instances/entry-1/leave", right, `{}`)
+	require.Zero(t, instances.leaveCalls)
+	status, _ := call(t, "POST", base+"/instances/entry-1/leave", authorization, `{}`)
 	require.Equal(t, 204, status)
-	require.Equal(t, 1, instances.left)
+	require.Equal(t, 1, instances.leaveCalls)
 }
 
-// Only the heading is sent: the refusal must not wait for the body.
-func TestBodyOverTheLimitIsRefused(t *testing.T) {
+// Only the header of a request with a too large body is sent. Guards against a server that waits for
+// the body before it rejects the request.
+func TestTooLargeBodyIsRejected(t *testing.T) {
 	h := operatortest.Start(t, operator.Deps{})
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", h.Address)
 	require.NoError(t, err)
@@ -105,7 +106,7 @@
 	require.Equal(t, 413, resp.StatusCode)
 }
 
-func TestReadinessSaysWhy(t *testing.T) {
+func TestReadinessReportsReason(t *testing.T) {
 	var notReady error
 	h := operatortest.Start(t, operator.Deps{Ready: func() error { return notReady }})
 	status, _ := call(t, "GET", "http://"+h.Address+"/readiness", "", "")
--- a/internal/operator/operatortest/operatortest.go
+++ b/internal/operator/operatortest/operatortest.go
@@ -1,5 +1,5 @@
-// Package operatortest runs the operators' listener on a loopback address with
-// a configuration held in memory, for tests of the listener and of commands.
+// Package operatortest runs the operator API on a loopback address with a configuration in memory,
+// for tests of the API and of commands.
 //
 // # Usage
 //
@@ -23,24 +23,24 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Token is the operators' token of the listener.
+// Token is the operators' token of the server.
 const Token = "operators-token"
 
-// Now is the present time of the listener.
+// Now is the server's current time.
 var Now = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-// Config is a configuration in memory that accepts changes as the platform
-// does: on the version that they are based on.
+// Config is a configuration in memory that, like the platform, accepts a change only if its base
+// version is the current one.
 type Config struct {
 	mu      sync.Mutex
 	current operatorapi.Configuration
 	history []operatorapi.Change
-	// Race, if set, runs once before the next Apply is decided.
+	// Race, if set, is called once at the start of the next Apply, outside the lock.
 	Race func()
-	// Err, if set, is what Apply answers with.
+	// Err, if set, is the error that Apply returns.
 	Err error
-	// Behind is the number of further InForce answers that count one
-	// instance short.
+	// Behind is the remaining number of calls of InForce that count one instance less than there
+	// are.
 	Behind int
 }
 
@@ -51,7 +51,7 @@
 	return c.current, nil
 }
 
-// Apply accepts change on its base version.
+// Apply accepts change if its base version is the current one.
 func (c *Config) Apply(_ context.Context, now time.Time, change operator.Change) (int64, error) {
 	c.mu.Lock()
 	race := c.Race
@@ -67,7 +67,7 @@
 	}
 	if change.BaseVersion != c.current.Version {
 		return 0, &operator.ConflictError{
-			Base: change.BaseVersion, Current: c.current.Version, Changes: c.newest(),
+			Base: change.BaseVersion, Current: c.current.Version, Changes: c.reversedHistory(),
 		}
 	}
 	c.current = operatorapi.Configuration{Version: c.current.Version + 1, Config: change.Config}
@@ -77,14 +77,14 @@
 	return c.current.Version, nil
 }
 
-// History returns all changes.
+// History returns all changes, newest first.
 func (c *Config) History(context.Context, int) ([]operatorapi.Change, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.newest(), nil
+	return c.reversedHistory(), nil
 }
 
-// InForce counts three instances.
+// InForce returns the counts for three instances.
 func (c *Config) InForce(context.Context, int64) (inForce, total int, err error) {
 	const instances = 3
 	c.mu.Lock()
@@ -96,7 +96,7 @@
 	return instances, instances, nil
 }
 
-// Put makes cfg the next version, as somebody else's change.
+// Put applies cfg as another operator's change.
 func (c *Config) Put(t *testing.T, author, summary string, cfg pollenspindle.Config) {
 	t.Helper()
 	current, err := c.Current(t.Context())
@@ -107,20 +107,20 @@
 	require.NoError(t, err)
 }
 
-func (c *Config) newest() []operatorapi.Change {
+func (c *Config) reversedHistory() []operatorapi.Change {
 	changes := slices.Clone(c.history)
 	slices.Reverse(changes)
 	return changes
 }
 
-// Harness is a running listener.
+// Harness is a running server.
 type Harness struct {
 	Address string
 	Config  *Config
 }
 
-// Start runs a listener until the test ends. Fields of deps that are zero get
-// values for the test.
+// Start runs a server until the test ends. It overwrites the fields of deps that every test needs:
+// Instance, Listener, Config, TokenSHA256 and Now.
 func Start(t *testing.T, deps operator.Deps) Harness {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -131,18 +131,17 @@
 	deps.Now = func() time.Time { return Now }
 	s, err := operator.New(deps)
 	require.NoError(t, err)
-	ended := make(chan error, 1)
-	go func() { ended <- s.Run() }()
+	done := make(chan error, 1)
+	go func() { done <- s.Run() }()
 	awaitHealth(t, h.Address)
 	t.Cleanup(func() {
 		require.NoError(t, s.Shutdown(context.Background()))
-		require.NoError(t, <-ended)
+		require.NoError(t, <-done)
 	})
 	return h
 }
 
-// awaitHealth returns once the listener answers; one that has not begun cannot
-// be shut down.
+// awaitHealth waits until the server responds; it cannot be shut down before it has started.
 func awaitHealth(t *testing.T, address string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/health", http.NoBody)
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -11,12 +11,12 @@
 	"pollenspindle.example/pollenspindle/internal/operatorapi"
 )
 
-// health says that the process answers.
+// health responds with 200 while the process runs.
 func (s *Server) health(_ context.Context, c *app.RequestContext) {
 	c.String(consts.StatusOK, "ok\n")
 }
 
-// readiness says whether the instance takes new work.
+// readiness responds with 200 if the instance accepts new requests, otherwise with 503 and the reason.
 func (s *Server) readiness(_ context.Context, c *app.RequestContext) {
 	if s.deps.Ready == nil {
 		c.String(consts.StatusOK, "ready\n")
@@ -32,7 +32,7 @@
 func (s *Server) showConfig(ctx context.Context, c *app.RequestContext) {
 	current, err := s.deps.Config.Current(ctx)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, current)
@@ -43,14 +43,14 @@
 	if text := c.Query("limit"); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 1 || n > maxHistory {
-			s.badField(c, "limit", "must be from 1 to "+strconv.Itoa(maxHistory))
+			s.respondInvalidField(c, "limit", "must be from 1 to "+strconv.Itoa(maxHistory))
 			return
 		}
 		limit = n
 	}
 	changes, err := s.deps.Config.History(ctx, limit)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, operatorapi.History{Changes: changes})
@@ -59,12 +59,12 @@
 func (s *Server) showInForce(ctx context.Context, c *app.RequestContext) {
 	version, err := strconv.ParseInt(c.Query("version"), 10, 64)
 	if err != nil || version < 0 {
-		s.badField(c, "version", "must be a version")
+		s.respondInvalidField(c, "version", "must be a version")
 		return
 	}
 	inForce, total, err := s.deps.Config.InForce(ctx, version)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, operatorapi.InForce{Version: version, InForce: inForce, Total: total})
@@ -73,7 +73,7 @@
 func (s *Server) listServers(ctx context.Context, c *app.RequestContext) {
 	current, err := s.deps.Config.Current(ctx)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	var statuses map[string]operatorapi.ServerStatus
@@ -89,12 +89,12 @@
 
 func (s *Server) listInstances(ctx context.Context, c *app.RequestContext) {
 	if s.deps.Instances == nil {
-		s.unsupported(c)
+		s.respondUnsupported(c)
 		return
 	}
 	list, err := s.deps.Instances.List(ctx)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, operatorapi.Instances{Instances: list})
@@ -102,12 +102,12 @@
 
 func (s *Server) showGeneration(ctx context.Context, c *app.RequestContext) {
 	if s.deps.Generations == nil {
-		s.unsupported(c)
+		s.respondUnsupported(c)
 		return
 	}
 	generation, err := s.deps.Generations.Show(ctx, c.Param("name"))
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, generation)
--- a/internal/operator/state.go
+++ b/internal/operator/state.go
@@ -26,9 +26,9 @@
 func (zoneEdit) isStateEdit()   {}
 func (serverEdit) isStateEdit() {}
 
-// edited returns cfg with the state set. cfg itself is not changed, since
-// requests are being served from it.
-func edited(cfg pollenspindle.Config, edit stateEdit) (pollenspindle.Config, error) {
+// applyEdit returns a copy of cfg with the state set. cfg itself is not modified, since requests are
+// served with it concurrently.
+func applyEdit(cfg pollenspindle.Config, edit stateEdit) (pollenspindle.Config, error) {
 	switch e := edit.(type) {
 	case zoneEdit:
 		i := slices.IndexFunc(cfg.Zones, func(z pollenspindle.Zone) bool { return z.Name == e.name })
@@ -48,8 +48,8 @@
 	return cfg, nil
 }
 
-// summaryOf describes edit in the history.
-func summaryOf(edit stateEdit) string {
+// defaultSummary returns the summary of edit for the history if the operator gave none.
+func defaultSummary(edit stateEdit) string {
 	switch e := edit.(type) {
 	case zoneEdit:
 		return "set zone " + e.name + " to " + string(e.state)
