--- a/internal/operatorapi/changes.go
+++ b/internal/operatorapi/changes.go
@@ -9,33 +9,33 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// object is one named part of a configuration: its fields as JSON.
+// object is a named object of a configuration: its fields as JSON.
 type object map[string]json.RawMessage
 
-// Changes lists what differs between two configurations, in order of path.
-// Objects are matched by name, so a changed order is no difference.
+// Changes returns the differences between two configurations, sorted by path. Objects are matched by
+// name, so their order makes no difference.
 func Changes(before, after pollenspindle.Config) []FieldChange {
-	old, changed := objects(before), objects(after)
+	oldObjects, newObjects := splitObjects(before), splitObjects(after)
 	changes := []FieldChange{}
-	for _, path := range union(maps.Keys(old), maps.Keys(changed)) {
-		was, had := old[path]
-		is, has := changed[path]
+	for _, path := range sortedUnion(maps.Keys(oldObjects), maps.Keys(newObjects)) {
+		oldObject, inOld := oldObjects[path]
+		newObject, inNew := newObjects[path]
 		switch {
-		case !had:
-			changes = append(changes, FieldChange{Path: path, After: text(is)})
-		case !has:
-			changes = append(changes, FieldChange{Path: path, Before: text(was)})
+		case !inOld:
+			changes = append(changes, FieldChange{Path: path, After: encodeObject(newObject)})
+		case !inNew:
+			changes = append(changes, FieldChange{Path: path, Before: encodeObject(oldObject)})
 		default:
-			changes = append(changes, fieldChanges(path, was, is)...)
+			changes = append(changes, fieldChanges(path, oldObject, newObject)...)
 		}
 	}
 	return changes
 }
 
-func fieldChanges(path string, was, is object) []FieldChange {
+func fieldChanges(path string, oldObject, newObject object) []FieldChange {
 	var changes []FieldChange
-	for _, name := range union(maps.Keys(was), maps.Keys(is)) {
-		before, after := string(was[name]), string(is[name])
+	for _, name := range sortedUnion(maps.Keys(oldObject), maps.Keys(newObject)) {
+		before, after := string(oldObject[name]), string(newObject[name])
 		if before != after {
 			changes = append(changes, FieldChange{Path: path + "/" + name, Before: before, After: after})
 		}
@@ -43,43 +43,43 @@
 	return changes
 }
 
-// objects splits a configuration into its named parts.
-func objects(c pollenspindle.Config) map[string]object {
-	parts := map[string]object{"deployment": {"name": raw(c.Deployment)}, "limits": fields(c.Limits)}
+// splitObjects returns the named objects of a configuration by path.
+func splitObjects(c pollenspindle.Config) map[string]object {
+	objects := map[string]object{"deployment": {"name": encodeJSON(c.Deployment)}, "limits": toObject(c.Limits)}
 	for _, zone := range c.Zones {
-		parts["zones/"+zone.Name] = fields(zone)
+		objects["zones/"+zone.Name] = toObject(zone)
 	}
 	for _, service := range c.Services {
-		parts["services/"+service.Name] = fields(service)
+		objects["services/"+service.Name] = toObject(service)
 	}
 	for _, model := range c.Models {
-		parts["models/"+model.Name] = fields(model)
+		objects["models/"+model.Name] = toObject(model)
 	}
 	for _, server := range c.Servers {
-		parts["servers/"+server.Name] = fields(server)
+		objects["servers/"+server.Name] = toObject(server)
 	}
 	for _, workspace := range c.Workspaces {
-		parts["workspaces/"+workspace.Name] = fields(workspace)
+		objects["workspaces/"+workspace.Name] = toObject(workspace)
 	}
-	return parts
+	return objects
 }
 
-// raw and fields take plain structs and strings, which always marshal.
-func raw(v any) json.RawMessage {
+// encodeJSON marshals a struct or string of the configuration, which can't fail.
+func encodeJSON(v any) json.RawMessage {
 	data, _ := json.Marshal(v)
 	return data
 }
 
-func fields(v any) object {
+func toObject(v any) object {
 	var o object
-	_ = json.Unmarshal(raw(v), &o)
+	_ = json.Unmarshal(encodeJSON(v), &o)
 	return o
 }
 
-func text(o object) string { return string(raw(o)) }
+func encodeObject(o object) string { return string(encodeJSON(o)) }
 
-// union returns the names of both lists, sorted, each once.
-func union(a, b iter.Seq[string]) []string {
+// sortedUnion returns the names of both sequences, sorted and without duplicates.
+func sortedUnion(a, b iter.Seq[string]) []string {
 	names := slices.AppendSeq(slices.Collect(a), b)
 	slices.Sort(names)
 	return slices.Compact(names)
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -18,38 +18,37 @@
 
 const (
 	dialTimeout = 3 * time.Second
-	// answerTimeout is above the time that a change may take while the
-	// platform is slow, so that its outcome is usually still heard.
-	answerTimeout = 20 * time.Second
+	// responseTimeout is longer than a change takes while the platform is slow, so that its outcome
+	// is usually still received.
+	responseTimeout = 20 * time.Second
 )
 
-// Client calls one entry instance. It is safe for use by several goroutines.
+// Client calls the operator API of an entry instance. It is safe for concurrent use.
 type Client struct {
 	http  *client.Client
 	base  string
 	token string
 }
 
-// NewClient returns a client of the instance whose operators' listener is at
-// address, host:port.
+// NewClient returns a client of the instance whose operators' listener has address, host:port.
 func NewClient(address, token string) (*Client, error) {
 	c, err := client.NewClient(
 		client.WithDialer(standard.NewDialer()),
 		client.WithDialTimeout(dialTimeout),
-		client.WithClientReadTimeout(answerTimeout),
-		client.WithWriteTimeout(answerTimeout),
+		client.WithClientReadTimeout(responseTimeout),
+		client.WithWriteTimeout(responseTimeout),
 		client.WithDisablePathNormalizing(true),
 	)
 	if err != nil {
-		return nil, merry.Prepend(err, "make operator client")
+		return nil, merry.Prepend(err, "create operator client")
 	}
 	return &Client{http: c, base: "http://" + address + Prefix, token: token}, nil
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Configuration returns what the instance has in force.
+// Configuration returns the accepted configuration.
 func (c *Client) Configuration(ctx context.Context) (Configuration, error) {
 	var out Configuration
 	err := c.call(ctx, consts.MethodGet, "/config", nil, &out)
@@ -63,26 +62,26 @@
 	return out, err
 }
 
-// InForce counts the instances that have version in force.
+// InForce counts the instances that have at least version in force.
 func (c *Client) InForce(ctx context.Context, version int64) (InForce, error) {
 	var out InForce
 	err := c.call(ctx, consts.MethodGet, "/config/inForce?version="+strconv.FormatInt(version, 10), nil, &out)
 	return out, err
 }
 
-// History returns the newest changes, at most limit.
+// History returns at most limit changes, newest first.
 func (c *Client) History(ctx context.Context, limit int) (History, error) {
 	var out History
 	err := c.call(ctx, consts.MethodGet, "/config/history?limit="+strconv.Itoa(limit), nil, &out)
 	return out, err
 }
 
-// DrainZone takes an availability zone out; RestoreZone brings it back.
+// DrainZone takes an availability zone out of service.
 func (c *Client) DrainZone(ctx context.Context, zone string, change ChangeRequest) (Accepted, error) {
 	return c.change(ctx, "/zones/"+url.PathEscape(zone)+"/drain", change)
 }
 
-// RestoreZone brings an availability zone back into service.
+// RestoreZone puts an availability zone back into service.
 func (c *Client) RestoreZone(ctx context.Context, zone string, change ChangeRequest) (Accepted, error) {
 	return c.change(ctx, "/zones/"+url.PathEscape(zone)+"/restore", change)
 }
@@ -94,12 +93,12 @@
 	return out, err
 }
 
-// DrainServer lets a backend server finish its work and gives it no more.
+// DrainServer stops sending new requests to a backend server, which finishes the running ones.
 func (c *Client) DrainServer(ctx context.Context, server string, change ChangeRequest) (Accepted, error) {
 	return c.change(ctx, "/servers/"+url.PathEscape(server)+"/drain", change)
 }
 
-// RestoreServer gives a backend server new work again.
+// RestoreServer resumes sending new requests to a backend server.
 func (c *Client) RestoreServer(ctx context.Context, server string, change ChangeRequest) (Accepted, error) {
 	return c.change(ctx, "/servers/"+url.PathEscape(server)+"/restore", change)
 }
@@ -111,28 +110,28 @@
 	return out, err
 }
 
-// LeaveInstance asks the instance called to begin its graceful shutdown; name
-// must be its own.
+// LeaveInstance starts the graceful shutdown of the instance that the client is connected to; name
+// must be that instance's.
 func (c *Client) LeaveInstance(ctx context.Context, name string) error {
 	return c.call(ctx, consts.MethodPost, "/instances/"+url.PathEscape(name)+"/leave", ChangeRequest{}, nil)
 }
 
-// Generation tells what became of a generation.
+// Generation returns the state and history of a generation.
 func (c *Client) Generation(ctx context.Context, id string) (Generation, error) {
 	var out Generation
 	err := c.call(ctx, consts.MethodGet, "/generations/"+url.PathEscape(id), nil, &out)
 	return out, err
 }
 
-// CancelGeneration ends a generation and frees its memory.
+// CancelGeneration cancels a generation and frees its KV cache.
 func (c *Client) CancelGeneration(ctx context.Context, id string) error {
 	return c.call(ctx, consts.MethodDelete, "/generations/"+url.PathEscape(id), nil, nil)
 }
 
-// LoadModel orders a backend server to load a model.
-func (c *Client) LoadModel(ctx context.Context, model string, order Order) (OrderOutcome, error) {
+// LoadModel commands a backend server to load a model.
+func (c *Client) LoadModel(ctx context.Context, model string, command Order) (OrderOutcome, error) {
 	var out OrderOutcome
-	err := c.call(ctx, consts.MethodPost, "/models/"+url.PathEscape(model)+"/load", order, &out)
+	err := c.call(ctx, consts.MethodPost, "/models/"+url.PathEscape(model)+"/load", command, &out)
 	return out, err
 }
 
@@ -154,7 +153,7 @@
 	return out, err
 }
 
-// call sends in, if any, and decodes the answer into out, if any.
+// call sends in unless it is nil and decodes the response into out unless that is nil.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
@@ -174,19 +173,19 @@
 		return transportError(method, err)
 	}
 	if status := resp.StatusCode(); status >= consts.StatusMultipleChoices {
-		return answerError(status, resp.Body())
+		return responseError(status, resp.Body())
 	}
 	if out == nil {
 		return nil
 	}
 	if err := json.Unmarshal(resp.Body(), out); err != nil {
-		return merry.Append(ErrAnswer, err.Error())
+		return merry.Append(ErrInvalidResponse, err.Error())
 	}
 	return nil
 }
 
-// transportError tells calls after which nothing can have changed, queries and
-// those whose connection was never made, from a change without an answer.
+// transportError returns ErrUnreachable if nothing can have changed, since the call was a query or the
+// connection was not established, and otherwise ErrNoAnswer.
 func transportError(method string, err error) error {
 	var op *net.OpError
 	if method == consts.MethodGet || errors.As(err, &op) && op.Op == "dial" {
@@ -195,10 +194,10 @@
 	return merry.Append(ErrNoAnswer, err.Error())
 }
 
-func answerError(status int, body []byte) error {
+func responseError(status int, body []byte) error {
 	var failure Failure
 	if err := json.Unmarshal(body, &failure); err != nil || failure.Error.Code == "" {
-		return merry.Appendf(ErrAnswer, "status %d", status)
+		return merry.Appendf(ErrInvalidResponse, "status %d", status)
 	}
 	return &Error{Status: status, FailureDetail: failure.Error}
 }
--- a/internal/operatorapi/errors.go
+++ b/internal/operatorapi/errors.go
@@ -6,10 +6,10 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Code names a kind of failure in an answer.
+// Code is the code of a failure in a response.
 type Code string
 
-// The codes of failures.
+// Failure codes.
 const (
 	CodeBadRequest     Code = "badRequest"
 	CodeUnauthorized   Code = "unauthorized"
@@ -23,12 +23,13 @@
 	CodeInternal       Code = "internal"
 )
 
-// Failure is the body of every answer that is not a success.
+// Failure is the body of every response with an error status.
 type Failure struct {
 	Error FailureDetail `json:"error"`
 }
 
-// FailureDetail says what failed. Faults and Conflict go with their codes.
+// FailureDetail describes a failure. Faults is set for CodeBadRequest and CodeInvalid, Conflict for
+// CodeConflict if the configuration has changed.
 type FailureDetail struct {
 	Code     Code                  `json:"code"`
 	Message  string                `json:"message"`
@@ -36,32 +37,31 @@
 	Conflict *Conflict             `json:"conflict,omitempty"`
 }
 
-// Conflict tells what was accepted since the version a change was based on.
+// Conflict lists the changes that were accepted since the base version of a rejected change.
 type Conflict struct {
 	BaseVersion    int64 `json:"baseVersion"`
 	CurrentVersion int64 `json:"currentVersion"`
-	// Changes lists those after BaseVersion, the newest first. It may be
-	// short of old ones.
+	// Changes lists the changes after BaseVersion, newest first. Old ones may be missing.
 	Changes []Change `json:"changes"`
 }
 
-// Error is a failure that the instance answered with.
+// Error is a failure that the instance responded with.
 type Error struct {
 	Status int
 	FailureDetail
 }
 
-// Error gives the message.
+// Error implements error.
 func (e *Error) Error() string { return e.Message }
 
-// Errors of the client itself.
+// Errors of the client.
 var (
-	// ErrUnreachable says that no answer came and that nothing can have been
-	// changed: the call was a query or its connection was never made.
+	// ErrUnreachable means that there was no response and that nothing was changed: the call was a
+	// query or its connection was not established.
 	ErrUnreachable = merry.Sentinel("instance cannot be reached")
-	// ErrNoAnswer says that the connection ended before the answer: a change
-	// may or may not have been accepted.
-	ErrNoAnswer = merry.Sentinel("no answer from the instance")
-	// ErrAnswer says that the answer is not one of this protocol.
-	ErrAnswer = merry.Sentinel("answer of the instance is not understood")
+	// ErrNoAnswer means that the connection ended before the response: a change may or may not have
+	// been accepted.
+	ErrNoAnswer = merry.Sentinel("no response from the instance")
+	// ErrInvalidResponse means that the response doesn't follow this protocol.
+	ErrInvalidResponse = merry.Sentinel("invalid response from the instance")
 )
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -1,5 +1,5 @@
-// Package operatorapi is the protocol between operators and an entry
-// instance: its messages, its paths and a client. Package operator answers it.
+// Package operatorapi is the protocol between operators and an entry instance: messages, paths and a
+// client. Package operator implements the server.
 //
 // # Usage
 //
@@ -14,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Prefix begins the path of every call that needs the operators' token.
+// Prefix is the path prefix of every call that needs the operators' token.
 const Prefix = "/operator/v1"
 
 // Configuration is the configuration that an instance has in force.
@@ -31,26 +31,25 @@
 	Config      pollenspindle.Config `json:"config"`
 }
 
-// ChangeRequest accompanies a change of a single zone or backend server.
+// ChangeRequest is the request body of a change of a single availability zone or backend server.
 type ChangeRequest struct {
 	Author  string `json:"author"`
 	Summary string `json:"summary,omitempty"`
 }
 
-// Accepted tells of a change that was accepted.
+// Accepted is the result of an accepted change.
 type Accepted struct {
-	// Version is the version that holds the change. It is the one before when
-	// nothing had to change.
+	// Version is the version with the change, or the current version if nothing had to change.
 	Version int64 `json:"version"`
-	// Changes lists what differs from the version before.
+	// Changes lists the differences to the previous version.
 	Changes []FieldChange `json:"changes"`
 }
 
-// FieldChange is one difference between two configurations.
+// FieldChange is a difference between two configurations.
 type FieldChange struct {
-	// Path names the object by its name, as in servers/engine-1/state.
+	// Path contains the kind and name of the object, as in servers/engine-1/state.
 	Path string `json:"path"`
-	// Before and After are JSON; empty when the object is new or gone.
+	// Before and After are JSON. Before is empty for a new object, After for a deleted one.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
@@ -62,32 +61,31 @@
 	Total   int   `json:"total"`
 }
 
-// Change is one entry of the configuration's history.
+// Change is an entry of the configuration's history.
 type Change struct {
 	Version int64     `json:"version"`
 	Author  string    `json:"author"`
 	Summary string    `json:"summary"`
 	At      time.Time `json:"at"`
-	// Changed names the objects that were changed, as in zones/kigali-a. It
-	// may be short of some.
+	// Changed lists the paths of the changed objects, as in zones/kigali-a. Some may be missing.
 	Changed []string `json:"changed,omitempty"`
 }
 
-// History lists changes, the newest first.
+// History lists changes, newest first.
 type History struct {
 	Changes []Change `json:"changes"`
 }
 
-// Server is a backend server with what its owner knows of it.
+// Server is a backend server with its status.
 type Server struct {
 	pollenspindle.Server
 	Status ServerStatus `json:"status"`
 }
 
-// ServerStatus is a backend server's state as its owner last learnt it. The
-// zero value means that the instance asked has no report.
+// ServerStatus is a backend server's status as last known to its owner. The zero value means that the
+// responding instance has no load report.
 type ServerStatus struct {
-	// Owner is the entry instance that hands out its permits.
+	// Owner is the entry instance that grants its permits.
 	Owner string `json:"owner,omitempty"`
 	// Load is cold, warm or leaving.
 	Load         string `json:"load,omitempty"`
@@ -104,7 +102,7 @@
 	Servers []Server `json:"servers"`
 }
 
-// Instance is an entry instance as the instance asked knows it.
+// Instance is an entry instance as known to the responding instance.
 type Instance struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
@@ -120,7 +118,7 @@
 	Instances []Instance `json:"instances"`
 }
 
-// Generation tells what became of one generation.
+// Generation is the state and history of a generation.
 type Generation struct {
 	ID        string `json:"id"`
 	Workspace string `json:"workspace"`
@@ -131,26 +129,26 @@
 	// State is queued, running, finished, refused or failed.
 	State        string `json:"state"`
 	OutputTokens int    `json:"outputTokens"`
-	// Steps tells in order what was decided and when.
+	// Steps lists what happened to the generation, in order of time.
 	Steps []Step `json:"steps"`
 }
 
-// Step is one thing that happened to a generation.
+// Step is an event in the history of a generation.
 type Step struct {
 	At time.Time `json:"at"`
-	// Instance is the entry instance whose clock At is of.
+	// Instance is the entry instance that recorded the step, with At from its clock.
 	Instance string `json:"instance,omitempty"`
 	What     string `json:"what"`
 	Detail   string `json:"detail,omitempty"`
 }
 
-// Order asks for a model, an adapter or a role on a backend server.
+// Order is a command to load a model, an adapter or a role on a backend server.
 type Order struct {
 	Server  string `json:"server"`
 	Version string `json:"version,omitempty"`
 }
 
-// OrderOutcome tells what the backend server said to an [Order].
+// OrderOutcome is the backend server's response to an [Order].
 type OrderOutcome struct {
 	Server        string `json:"server"`
 	Model         string `json:"model"`
@@ -158,8 +156,7 @@
 	State         string `json:"state"`
 }
 
-// LogLevel is the least level that an instance logs: debug, info, warn or
-// error.
+// LogLevel is the minimum level that an instance logs: debug, info, warn or error.
 type LogLevel struct {
 	Level string `json:"level"`
 }
