--- a/internal/telemetry/hertz.go
+++ b/internal/telemetry/hertz.go
@@ -10,19 +10,18 @@
 	"github.com/rs/zerolog"
 )
 
-// CaptureLibraries sends what libraries log through log, each with its own
-// part: hertz, and what uses the standard logger, such as net/http. Their
-// loggers are global, so one process does it once.
+// CaptureLibraries redirects the logs of hertz and of users of the standard logger, such as net/http,
+// to l, each with its own part. Their loggers are global, so a process calls it once.
 //
-// Without it such lines have another form, are not at the level that operators
-// set, and lack the instance.
+// Otherwise their lines would have a different format, ignore the level that operators set, and lack
+// the instance.
 func CaptureLibraries(l zerolog.Logger) {
 	hlog.SetLogger(hertzLog{Part(l, "hertz")})
 	log.SetFlags(0)
 	log.SetOutput(standardLog{Part(l, "library")})
 }
 
-// standardLog takes the lines of the standard logger.
+// standardLog logs the lines written by the standard logger.
 type standardLog struct{ log zerolog.Logger }
 
 // Write implements io.Writer.
@@ -31,10 +30,9 @@
 	return len(line), nil
 }
 
-// hertzLog implements hlog.FullLogger. What hertz tells of its ordinary course
-// (listening, shutting down) is for debugging: the part serve says the same.
-// It never ends the process; hertz only does so for faults at its start, which
-// it also returns.
+// hertzLog implements hlog.FullLogger. It logs hertz's info lines (listening, shutting down) at debug
+// level, since the part serve logs the same. Fatal does not exit the process: hertz calls it only for
+// errors at its start, which it also returns.
 type hertzLog struct{ log zerolog.Logger }
 
 var _ hlog.FullLogger = hertzLog{}
@@ -63,6 +61,6 @@
 func (h hertzLog) CtxErrorf(_ context.Context, format string, v ...any)  { h.Errorf(format, v...) }
 func (h hertzLog) CtxFatalf(_ context.Context, format string, v ...any)  { h.Fatalf(format, v...) }
 
-// SetLevel and SetOutput do nothing: the level is that of the process.
+// SetLevel and SetOutput do nothing: the process-wide level applies.
 func (hertzLog) SetLevel(hlog.Level) {}
 func (hertzLog) SetOutput(io.Writer) {}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,12 +1,11 @@
-// Package telemetry makes the logger, the metrics scope and the tracer of one
-// process.
+// Package telemetry creates the logger, the metrics scope and the tracer of a process.
 //
 // # Usage
 //
 //	t, err := telemetry.New(telemetry.Options{Settings: s, ErrOut: os.Stderr})
 //	defer t.Close(ctx)
 //	log := telemetry.Part(t.Log, "owner")
-//	log.Info().Str("server", name).Msg("took over a backend server")
+//	log.Info().Str("server", name).Msg("server acquired")
 package telemetry
 
 import (
@@ -38,14 +37,14 @@
 	"pollenspindle.example/pollenspindle/internal/settings"
 )
 
-// ErrSetup means that a part of the telemetry could not be made.
+// ErrSetup means that telemetry could not be set up or closed.
 var ErrSetup = merry.Sentinel("telemetry could not be set up")
 
-// reportInterval is how often metrics move from their counters to the
-// endpoint. A second keeps the figures fresh for an operator and costs little.
+// reportInterval is the time between two transfers of metrics from their counters to the endpoint.
+// One second keeps the values up to date for operators at little cost.
 const reportInterval = time.Second
 
-// Options says what to make.
+// Options configures [New].
 type Options struct {
 	Settings settings.Settings
 	// Out receives spans of the stdout exporter, ErrOut the logs.
@@ -53,7 +52,7 @@
 	ErrOut io.Writer
 }
 
-// Telemetry holds what a process logs, measures and traces with.
+// Telemetry holds the logger, the metrics scope and the tracer of a process.
 type Telemetry struct {
 	Log     zerolog.Logger
 	Metrics tally.Scope
@@ -64,16 +63,16 @@
 	closers []func(context.Context) error
 }
 
-// Propagator carries trace identity between processes, as W3C trace context.
+// Propagator propagates trace contexts between processes, in the W3C format.
 var Propagator propagation.TextMapPropagator = propagation.TraceContext{}
 
-// logCauses makes logs show an error with its causes: an operator at night has
-// nothing but the log to learn why a layer below has failed.
+// logCauses makes loggers write errors with their causes: the log is often an operator's only source
+// for the reason why a lower layer has failed.
 var logCauses = sync.OnceFunc(func() {
 	zerolog.ErrorMarshalFunc = func(err error) any { return errortext.Of(err) }
 })
 
-// New makes the telemetry of one process.
+// New creates the telemetry of a process.
 func New(opts Options) (*Telemetry, error) {
 	logCauses()
 	t := &Telemetry{}
@@ -81,20 +80,20 @@
 		return nil, err
 	}
 	t.Log = zerolog.New(opts.ErrOut).With().Timestamp().Str("instance", opts.Settings.Instance).Logger()
-	t.makeMetrics(opts.Settings.Zone)
-	if err := t.makeTracer(opts); err != nil {
+	t.initMetrics(opts.Settings.Zone)
+	if err := t.initTracer(opts); err != nil {
 		return nil, err
 	}
 	return t, nil
 }
 
-// Part returns log with the fixed prefix of one part of the program.
+// Part returns log with the field part, the name of a component.
 func Part(log zerolog.Logger, part string) zerolog.Logger {
 	return log.With().Str("part", part).Logger()
 }
 
-// SetLevel changes the level of all logs of the process, also while it runs.
-// An empty level means info.
+// SetLevel sets the log level of the process; it may be called at any time. An empty level means
+// info.
 func SetLevel(level string) error {
 	if level == "" {
 		level = zerolog.LevelInfoValue
@@ -107,10 +106,10 @@
 	return nil
 }
 
-// Close sends what is still held and stops reporting.
+// Close flushes spans and metrics and stops reporting.
 func (t *Telemetry) Close(ctx context.Context) error {
 	var first error
-	// What was opened first ends last: spans still go into their file.
+	// Close in reverse order: the span file must stay open until the tracer is flushed.
 	for _, c := range slices.Backward(t.closers) {
 		if err := c(ctx); err != nil && first == nil {
 			first = merry.Wrap(ErrSetup, merry.WithCause(err))
@@ -119,9 +118,9 @@
 	return first
 }
 
-// makeMetrics gives all metrics the availability zone of this instance, so
-// that refusals can be told apart by it.
-func (t *Telemetry) makeMetrics(entryZone string) {
+// initMetrics creates the metrics scope. All metrics have the availability zone of this instance as a
+// label, so that rejections can be distinguished by zone.
+func (t *Telemetry) initMetrics(entryZone string) {
 	var tags map[string]string
 	if entryZone != "" {
 		tags = map[string]string{"entry_zone": entryZone}
@@ -130,8 +129,8 @@
 	registry.MustRegister(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), collectors.NewGoCollector())
 	reporter := tallyprom.NewReporter(tallyprom.Options{Registerer: registry, Gatherer: registry})
 	sanitize := tallyprom.DefaultSanitizerOpts
-	// Values may hold any text. With the default, availability zones kigali-a
-	// and kigali_a would be one series under a name that neither has.
+	// Label values may contain any text. The default options would merge availability zones kigali-a
+	// and kigali_a into one series under a name that neither has.
 	sanitize.ValueCharacters.Characters = []rune{'-', '_', '.', ':', '/'}
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix:                 "pollenspindle",
@@ -146,8 +145,8 @@
 	t.closers = append(t.closers, func(context.Context) error { return closer.Close() })
 }
 
-func (t *Telemetry) makeTracer(opts Options) error {
-	exporter, err := t.makeExporter(opts)
+func (t *Telemetry) initTracer(opts Options) error {
+	exporter, err := t.newExporter(opts)
 	if err != nil {
 		return err
 	}
@@ -168,8 +167,8 @@
 	return nil
 }
 
-// makeExporter returns nil when spans are not exported.
-func (t *Telemetry) makeExporter(opts Options) (sdktrace.SpanExporter, error) {
+// newExporter returns nil if spans are not exported.
+func (t *Telemetry) newExporter(opts Options) (sdktrace.SpanExporter, error) {
 	var exporter sdktrace.SpanExporter
 	var err error
 	switch opts.Settings.Trace.Exporter {
@@ -178,7 +177,7 @@
 	case "stdout":
 		exporter, err = stdouttrace.New(stdouttrace.WithWriter(opts.Out))
 	case "file":
-		exporter, err = t.makeFileExporter(opts.Settings.Trace.Endpoint)
+		exporter, err = t.newFileExporter(opts.Settings.Trace.Endpoint)
 	case "otlp":
 		exporter, err = otlptracehttp.New(context.Background(), otlptracehttp.WithEndpointURL(opts.Settings.Trace.Endpoint))
 	default:
@@ -190,7 +189,7 @@
 	return exporter, nil
 }
 
-func (t *Telemetry) makeFileExporter(path string) (sdktrace.SpanExporter, error) {
+func (t *Telemetry) newFileExporter(path string) (sdktrace.SpanExporter, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -16,14 +16,14 @@
 	"pollenspindle.example/pollenspindle/internal/telemetry"
 )
 
-func TestNewReportsEachPart(t *testing.T) {
+func TestLogsMetricsAndSpansAreWritten(t *testing.T) {
 	var out, errOut bytes.Buffer
 	s := settings.Settings{Instance: "i1", Trace: settings.Trace{Exporter: "stdout", SampleRatio: 1}}
 	tel, err := telemetry.New(telemetry.Options{Settings: s, Out: &out, ErrOut: &errOut})
 	require.NoError(t, err)
 
 	log := telemetry.Part(tel.Log, "owner")
-	log.Info().Msg("took over")
+	log.Info().Msg("server acquired")
 	log.Warn().Err(merry.Wrap(telemetry.ErrSetup, merry.WithCause(errors.New("address in use")))).Msg("failed")
 	tel.Metrics.Counter("refusals").Inc(3)
 	_, span := tel.Tracer.Start(context.Background(), "hop")
@@ -39,11 +39,11 @@
 	require.Contains(t, w.Body.String(), "pollenspindle_refusals 3")
 }
 
-func TestNewRefusesWrongSettings(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	tests := map[string]settings.Settings{
-		"unknown level":    {Log: settings.Log{Level: "loud"}},
-		"unknown exporter": {Trace: settings.Trace{Exporter: "pigeon"}},
-		"file not there":   {Trace: settings.Trace{Exporter: "file", Endpoint: "/nonexistent/spans"}},
+		"unknown level":      {Log: settings.Log{Level: "loud"}},
+		"unknown exporter":   {Trace: settings.Trace{Exporter: "pigeon"}},
+		"file not creatable": {Trace: settings.Trace{Exporter: "file", Endpoint: "/nonexistent/spans"}},
 	}
 	t.Cleanup(func() { zerolog.SetGlobalLevel(zerolog.InfoLevel) })
 	for name, s := range tests {
