--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// State says how far a request got.
+// State is the state of a request.
 type State string
 
-// The states of a request.
+// States of a request.
 const (
 	Queued   State = "queued"
 	Running  State = "running"
 	Finished State = "finished"
-	// Refused requests were not run.
+	// Refused means that the request was not executed.
 	Refused State = "refused"
 	Failed  State = "failed"
 )
 
-// What names a kind of step.
+// What is the kind of a step.
 type What string
 
-// The kinds of steps.
+// Kinds of steps.
 const (
 	Received What = "received"
-	// Asked is an ask for a permit: Server and its owner or deputy Peer, the
-	// answer in Reason, and the load the owner told in Count, in permille.
+	// Asked is a permit request: Server and its owner or deputy Peer, the response in Reason, and the
+	// load that the owner reported in Count, in permille.
 	Asked What = "asked"
-	// Waiting begins a wait in the queue of Server.
+	// Waiting means that the request was added to the queue of Server.
 	Waiting What = "queued"
 	Permit  What = "permit"
 	Sent    What = "sent"
-	// FirstToken has the time since sending in Count, in milliseconds.
+	// FirstToken has the time since Sent in Count, in milliseconds.
 	FirstToken What = "firstToken"
-	// Stalled is a token after a silence of Count milliseconds.
+	// Stalled is a token after Count milliseconds without one.
 	Stalled What = "stalled"
-	// Probed is a new connection for a silent stream, Reconnected one for a
-	// broken stream; Count is the position.
+	// Probed is a new connection for a stalled stream, Reconnected one for a broken stream; Count is
+	// the position.
 	Probed      What = "probed"
 	Reconnected What = "reconnected"
-	// Resumed is a caller that came back; Count is the position it asked after.
+	// Resumed means that the caller reconnected; Count is the position after which it continues.
 	Resumed What = "resumed"
-	// Restarted is a further attempt on another backend server.
+	// Restarted is another attempt at a different backend server.
 	Restarted  What = "restarted"
 	CallerGone What = "callerGone"
-	// TakenOver means that the caller came back on another connection, perhaps
-	// through another instance, which has the steps from there.
+	// TakenOver means that the caller reconnected, possibly through another instance, which records
+	// the steps from then on.
 	TakenOver What = "takenOver"
 	Cancelled What = "cancelled"
-	// Ended has the code of the failure in Reason, or nothing.
+	// Ended has the failure code, if any, in Reason.
 	Ended What = "ended"
 )
 
-// Step is one thing that happened. What the fields hold depends on What.
+// Step is an event in the history of a request. The meaning of the fields depends on What.
 type Step struct {
 	At     time.Time
 	What   What
@@ -64,7 +64,7 @@
 	Count  int64
 }
 
-// Subject says what a request is about.
+// Subject identifies the workspace and the model or service of a request.
 type Subject struct {
 	Workspace string
 	// Model or Service is set.
@@ -72,7 +72,7 @@
 	Service string
 }
 
-// Record is what is known of one request.
+// Record is the recorded history of a request.
 type Record struct {
 	ID    string
 	Route string
@@ -81,13 +81,12 @@
 	Server       string
 	OutputTokens int64
 	Steps        []Step
-	// Dropped counts the steps that were left out after the first ones.
+	// Dropped is the number of steps that were dropped after the first ones.
 	Dropped int
 }
 
-// Entry is a request of the journal. All methods may be called on nil, which
-// records nothing, and after the request has ended: a generation runs on for a
-// while without its caller.
+// Entry is a request in the journal. All methods may be called on nil, which records nothing, and
+// after the request has ended, since a generation continues for a while without its caller.
 type Entry struct {
 	journal *Journal
 
@@ -96,10 +95,10 @@
 	names   []string
 	notable bool
 	ended   bool
-	gone    bool
+	evicted bool
 }
 
-// Describe tells whose the request is and makes it found under its id.
+// Describe sets the subject of the request and adds the request to the journal under its ID.
 func (e *Entry) Describe(s Subject) {
 	if e == nil {
 		return
@@ -111,23 +110,23 @@
 	e.Name(id)
 }
 
-// Name makes the request found under a further name: its generation's id.
+// Name adds the request to the journal under another name, the ID of its generation.
 func (e *Entry) Name(name string) {
 	if e == nil {
 		return
 	}
 	e.mu.Lock()
-	known := e.gone || slices.Contains(e.names, name)
-	if !known {
+	skip := e.evicted || slices.Contains(e.names, name)
+	if !skip {
 		e.names = append(e.names, name)
 	}
 	e.mu.Unlock()
-	if !known {
-		e.journal.name(e, name)
+	if !skip {
+		e.journal.index(e, name)
 	}
 }
 
-// Add records a step.
+// Add adds a step.
 func (e *Entry) Add(s Step) {
 	if e == nil {
 		return
@@ -146,13 +145,13 @@
 		e.notable = true
 	}
 	if len(r.Steps) == maxSteps {
-		r.Steps = slices.Delete(r.Steps, keepFirst, keepFirst+1)
+		r.Steps = slices.Delete(r.Steps, keptFirstSteps, keptFirstSteps+1)
 		r.Dropped++
 	}
 	r.Steps = append(r.Steps, s)
 }
 
-// Tokens records how many tokens there are.
+// Tokens sets the number of output tokens; it never decreases.
 func (e *Entry) Tokens(n int64) {
 	if e == nil {
 		return
@@ -162,8 +161,8 @@
 	e.record.OutputTokens = max(e.record.OutputTokens, n)
 }
 
-// End records how the request ended; only the first call counts, since what is
-// nearest to the backend server knows best and says it first.
+// End records how the request ended. Only the first call has an effect: it comes from the layer
+// closest to the backend server, which knows the outcome best.
 func (e *Entry) End(now time.Time, state State, reason string) {
 	if e == nil {
 		return
@@ -176,15 +175,15 @@
 	e.ended = true
 	e.record.State = state
 	e.add(Step{At: now, What: Ended, Reason: reason})
-	described := len(e.names) > 0
+	isDescribed := len(e.names) > 0
 	notable := e.notable || state != Finished
-	// Steps that come later are counted as if they were there already.
+	// Steps may still be added, so a notable entry counts with its maximum size.
 	size := recordBytes + stepBytes*len(e.record.Steps)
 	if notable {
 		size = recordBytes + stepBytes*maxSteps
 	}
 	e.mu.Unlock()
-	if described {
+	if isDescribed {
 		e.journal.finish(e, notable, size)
 	}
 }
@@ -197,11 +196,11 @@
 	return r
 }
 
-// forgotten returns the names of an entry that leaves the journal.
-func (e *Entry) forgotten() []string {
+// markEvicted marks the entry as removed from the journal and returns its names.
+func (e *Entry) markEvicted() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.gone = true
+	e.evicted = true
 	return e.names
 }
 
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,7 +1,6 @@
-// Package journal keeps what happened to the newest requests of this entry
-// instance, so that an operator can be told hours later why one of them was
-// slow or refused. It holds ids, names, times and counts; never a prompt, a
-// token or a body. It lives in memory only and ends with the process.
+// Package journal records the history of the most recent requests of this entry instance, so that
+// operators can find out hours later why one of them was slow or rejected. It stores IDs, names,
+// times and counts, never a prompt, a token or a body. It is kept in memory only.
 //
 // # Usage
 //
@@ -20,33 +19,32 @@
 	"time"
 )
 
-// Limits bounds the memory of a journal, in bytes. Ordinary holds requests
-// that went well, Notable those that were refused, failed, stalled, restarted
-// or resumed. They are apart because the second are asked about the next
-// morning: with one ring, an hour of ordinary requests would push them out.
+// Limits are the memory limits of a journal, in bytes: Ordinary for requests that succeeded, Notable
+// for those that were rejected, failed, stalled, restarted or resumed. They are separate because
+// operators ask about notable requests hours later: in a single ring, an hour of ordinary requests
+// would evict them.
 type Limits struct {
 	Ordinary int
 	Notable  int
 }
 
-// DefaultLimits is for an instance that may spend 32 MB on control. A request
-// takes about 1 kB, so 350 instances at 1,000 requests a second keep ordinary
-// requests for about 20 minutes and a night of notable ones at one in 10.
+// DefaultLimits fits an instance with a budget of 32 MB for control. A request takes about 1 kB, so
+// 350 instances with 1,000 requests/s in total keep ordinary requests for about 20 minutes, and
+// notable ones for a night if one request in 10 is notable.
 var DefaultLimits = Limits{Ordinary: 4 << 20, Notable: 8 << 20}
 
 const (
-	// maxSteps bounds the steps of one request. A request that waits for long
-	// or stalls often has more; then the ones in the middle go, since the
-	// beginning tells why it waited and the end how it ended.
-	maxSteps  = 48
-	keepFirst = 32
-	// recordBytes and stepBytes are what a request and a step take, maps and
-	// strings included.
+	// maxSteps is the maximum number of steps of a request. If a request that waits for long or stalls
+	// often has more, steps after the first keptFirstSteps are dropped, since the first steps show why
+	// it waited and the last ones how it ended.
+	maxSteps       = 48
+	keptFirstSteps = 32
+	// recordBytes and stepBytes are the sizes of a request and a step, including maps and strings.
 	recordBytes = 640
 	stepBytes   = 96
 )
 
-// Journal is safe for concurrent use.
+// Journal holds the records of recent requests. It is safe for concurrent use.
 type Journal struct {
 	mu       sync.Mutex
 	byName   map[string][]*Entry
@@ -63,9 +61,8 @@
 	}
 }
 
-// Begin returns the entry of a request that was received at now. It can be
-// found once [Entry.Describe] has told whose it is: requests that nobody was
-// authenticated for could push out all others.
+// Begin returns the entry of a request that was received at now. [Journal.Find] finds it only after
+// [Entry.Describe]: unauthenticated requests could otherwise evict all others.
 func (j *Journal) Begin(now time.Time, id, route string) *Entry {
 	if j == nil {
 		return nil
@@ -75,8 +72,8 @@
 	}}
 }
 
-// Find returns the requests that are called name, which is the id of a request
-// or of a generation. A generation that was resumed here has several.
+// Find returns the requests with the given name, the ID of a request or a generation. A generation
+// that was resumed on this instance has several.
 func (j *Journal) Find(name string) []Record {
 	if j == nil {
 		return nil
@@ -91,60 +88,60 @@
 	return records
 }
 
-// name makes e found under a further name.
-func (j *Journal) name(e *Entry, name string) {
+// index adds e to the entries with the given name.
+func (j *Journal) index(e *Entry, name string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.byName[name] = append(j.byName[name], e)
 }
 
-// finish hands e over to the rings, which forget older requests for it.
+// finish adds e to its ring and evicts the oldest requests that exceed the limit.
 func (j *Journal) finish(e *Entry, notable bool, size int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	into := &j.ordinary
+	target := &j.ordinary
 	if notable {
-		into = &j.notable
+		target = &j.notable
 	}
-	for _, old := range into.push(kept{e, size}) {
-		j.forget(old)
+	for _, old := range target.push(endedEntry{e, size}) {
+		j.evict(old)
 	}
 }
 
-func (j *Journal) forget(e *Entry) {
-	for _, name := range e.forgotten() {
-		rest := slices.DeleteFunc(slices.Clone(j.byName[name]), func(o *Entry) bool { return o == e })
-		if len(rest) == 0 {
+func (j *Journal) evict(e *Entry) {
+	for _, name := range e.markEvicted() {
+		remaining := slices.DeleteFunc(slices.Clone(j.byName[name]), func(o *Entry) bool { return o == e })
+		if len(remaining) == 0 {
 			delete(j.byName, name)
 			continue
 		}
-		j.byName[name] = rest
+		j.byName[name] = remaining
 	}
 }
 
-// kept is an ended request and its size when it ended.
-type kept struct {
+// endedEntry is an ended request with its size at the end.
+type endedEntry struct {
 	entry *Entry
 	size  int
 }
 
-// ring holds ended requests, the oldest first, up to a number of bytes.
+// ring holds ended requests up to a size limit in bytes, oldest first.
 type ring struct {
-	limit int
-	bytes int
-	list  []kept
+	limit   int
+	bytes   int
+	entries []endedEntry
 }
 
-// push adds k and returns what no longer fits.
-func (r *ring) push(k kept) []*Entry {
-	r.list = append(r.list, k)
-	r.bytes += k.size
-	var out []*Entry
-	for r.bytes > r.limit && len(r.list) > 1 {
-		out = append(out, r.list[0].entry)
-		r.bytes -= r.list[0].size
-		r.list[0] = kept{}
-		r.list = r.list[1:]
+// push adds e and returns the entries that exceed the limit.
+func (r *ring) push(e endedEntry) []*Entry {
+	r.entries = append(r.entries, e)
+	r.bytes += e.size
+	var evicted []*Entry
+	for r.bytes > r.limit && len(r.entries) > 1 {
+		evicted = append(evicted, r.entries[0].entry)
+		r.bytes -= r.entries[0].size
+		r.entries[0] = endedEntry{}
+		r.entries = r.entries[1:]
 	}
-	return out
+	return evicted
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -13,23 +13,22 @@
 
 var start = time.Unix(1000, 0)
 
-// end runs one request to its end.
-func end(j *journal.Journal, id string, state journal.State) {
+// recordRequest records a request from start to end.
+func recordRequest(j *journal.Journal, id string, state journal.State) {
 	e := j.Begin(start, id, "chat")
 	e.Describe(journal.Subject{Workspace: "club"})
 	e.Add(journal.Step{At: start, What: journal.Sent, Server: "engine-1"})
 	e.End(start, state, "")
 }
 
-// A night of ordinary requests follows one that was refused. The operator asks
-// for it in the morning: it must still be there, and memory must not have
-// grown with the night.
-func TestRefusedRequestOutlivesOrdinaryOnes(t *testing.T) {
+// Many ordinary requests follow a rejected one. Guards against evicting the rejected request, and
+// against memory that grows with the number of requests.
+func TestOrdinaryRequestsDontEvictRefusedOne(t *testing.T) {
 	j := journal.New(journal.Limits{Ordinary: 16 << 10, Notable: 16 << 10})
-	end(j, "refused", journal.Refused)
+	recordRequest(j, "refused", journal.Refused)
 	kept := 0
 	for i := range 10_000 {
-		end(j, strconv.Itoa(i), journal.Finished)
+		recordRequest(j, strconv.Itoa(i), journal.Finished)
 	}
 	for i := range 10_000 {
 		kept += len(j.Find(strconv.Itoa(i)))
@@ -40,14 +39,14 @@
 	require.LessOrEqual(t, kept, 20)
 	require.Len(t, j.Find("9999"), 1)
 	for i := range 100 {
-		end(j, "refused-"+strconv.Itoa(i), journal.Refused)
+		recordRequest(j, "refused-"+strconv.Itoa(i), journal.Refused)
 	}
-	require.Empty(t, j.Find("refused"), "notable requests are bounded too")
+	require.Empty(t, j.Find("refused"), "notable requests are limited too")
 }
 
-// A generation that stalls for hours has more steps than are kept. Its first
-// and its last ones stay.
-func TestStepsInTheMiddleGo(t *testing.T) {
+// A generation that stalls repeatedly has more steps than the limit. Guards against losing its first
+// or last steps.
+func TestMiddleStepsAreDropped(t *testing.T) {
 	j := journal.New(journal.DefaultLimits)
 	e := j.Begin(start, "req", "chat")
 	e.Describe(journal.Subject{Workspace: "club"})
@@ -63,7 +62,7 @@
 	require.Equal(t, journal.Step{At: start, What: journal.Ended, Reason: "generationStalled"}, r.Steps[len(r.Steps)-1])
 }
 
-func TestOneGenerationResumedTwice(t *testing.T) {
+func TestFindGenerationWithTwoRequests(t *testing.T) {
 	j := journal.New(journal.DefaultLimits)
 	for _, id := range []string{"req-1", "req-2"} {
 		e := journal.From(journal.With(context.Background(), j.Begin(start, id, "resume")))
@@ -76,7 +75,7 @@
 	require.Empty(t, j.Find("req-3"))
 }
 
-func TestRequestOfNobodyIsNotKept(t *testing.T) {
+func TestUnauthenticatedRequestIsNotRecorded(t *testing.T) {
 	j := journal.New(journal.DefaultLimits)
 	j.Begin(start, "req", "chat").End(start, journal.Refused, "unauthorized")
 	require.Empty(t, j.Find("req"))
