--- a/internal/caller/routes.go
+++ b/internal/caller/routes.go
@@ -123,7 +123,7 @@
 		ctx, span := s.startSpan(ctx, time.Now(), c, name)
 		defer span.End()
 		span.SetAttributes(attribute.String("request.id", string(c.Response.Header.Peek(headerRequest))))
-		if err := h(journal.With(ctx, entry), c); err != nil {
+		if err := h(journal.NewContext(ctx, entry), c); err != nil {
 			entry.End(time.Now(), endState(err), string(answer.Of(err).Code))
 			span.SetAttributes(attribute.String("error.code", string(answer.Of(err).Code)))
 			s.fail(c, name, err)
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -206,8 +206,8 @@
 
 type entryKey struct{}
 
-// With returns a context that carries e.
-func With(ctx context.Context, e *Entry) context.Context {
+// NewContext returns a context that carries e.
+func NewContext(ctx context.Context, e *Entry) context.Context {
 	return context.WithValue(ctx, entryKey{}, e)
 }
 
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -65,7 +65,7 @@
 func TestFindGenerationWithTwoRequests(t *testing.T) {
 	j := journal.New(journal.DefaultLimits)
 	for _, id := range []string{"req-1", "req-2"} {
-		e := journal.From(journal.With(context.Background(), j.Begin(start, id, "resume")))
+		e := journal.From(journal.NewContext(context.Background(), j.Begin(start, id, "resume")))
 		e.Describe(journal.Subject{Workspace: "club"})
 		e.Name("gen-1")
 		e.Name("gen-1")
