--- a/internal/caller/generate.go
+++ b/internal/caller/generate.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	entry := journal.From(ctx)
+	entry := journal.FromContext(ctx)
 	entry.Describe(journal.Subject{Workspace: who.workspace.Name})
 	req, err := readGeneration(c, e, who)
 	if err != nil {
--- a/internal/caller/resume.go
+++ b/internal/caller/resume.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	entry := journal.From(ctx)
+	entry := journal.FromContext(ctx)
 	entry.Describe(journal.Subject{Workspace: at.id.Workspace, Model: at.id.Model})
 	entry.Name(at.text)
 	trace.SpanFromContext(ctx).SetAttributes(attribute.String("generation.id", at.text))
--- a/internal/caller/services.go
+++ b/internal/caller/services.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	entry := journal.From(ctx)
+	entry := journal.FromContext(ctx)
 	entry.Describe(journal.Subject{Workspace: who.workspace.Name})
 	call, err := s.call(c, who)
 	if err != nil {
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -60,7 +60,7 @@
 			earlier = res.failure.Outcome
 		}
 		f.metrics.retries.Inc(1)
-		journal.From(ctx).Add(journal.Step{
+		journal.FromContext(ctx).Add(journal.Step{
 			At: time.Now(), What: journal.Restarted, Reason: string(res.failure.Code), Count: int64(number + 1),
 		})
 		excluded, avoided = append(excluded, p.Server), append(avoided, p.Zone)
@@ -103,7 +103,7 @@
 		res = result{ending: permit.EndingNotSent, failure: lapsedFailure(), lapsed: true}
 		return res
 	}
-	journal.From(ctx).Add(journal.Step{At: start, What: journal.Sent, Server: p.Server, Peer: p.Owner})
+	journal.FromContext(ctx).Add(journal.Step{At: start, What: journal.Sent, Server: p.Server, Peer: p.Owner})
 	res = f.send(ctx, call, p)
 	return res
 }
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -211,8 +211,8 @@
 	return context.WithValue(ctx, entryKey{}, e)
 }
 
-// From returns the entry that ctx carries, or nil.
-func From(ctx context.Context) *Entry {
+// FromContext returns the entry that ctx carries, or nil.
+func FromContext(ctx context.Context) *Entry {
 	e, _ := ctx.Value(entryKey{}).(*Entry)
 	return e
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -65,7 +65,7 @@
 func TestFindGenerationWithTwoRequests(t *testing.T) {
 	j := journal.New(journal.DefaultLimits)
 	for _, id := range []string{"req-1", "req-2"} {
-		e := journal.From(journal.NewContext(context.Background(), j.Begin(start, id, "resume")))
+		e := journal.FromContext(journal.NewContext(context.Background(), j.Begin(start, id, "resume")))
 		e.Describe(journal.Subject{Workspace: "club"})
 		e.Name("gen-1")
 		e.Name("gen-1")
@@ -79,5 +79,5 @@
 	j := journal.New(journal.DefaultLimits)
 	j.Begin(start, "req", "chat").End(start, journal.Refused, "unauthorized")
 	require.Empty(t, j.Find("req"))
-	journal.From(context.Background()).Add(journal.Step{What: journal.Sent})
+	journal.FromContext(context.Background()).Add(journal.Step{What: journal.Sent})
 }
--- a/internal/relay/life.go
+++ b/internal/relay/life.go
@@ -65,7 +65,7 @@
 func newLife(caller context.Context, r *Relay) *life {
 	return &life{
 		relay: r, caller: caller, ctx: context.WithoutCancel(caller),
-		ring: make(chan Message, RingCapacity), steps: journal.From(caller),
+		ring: make(chan Message, RingCapacity), steps: journal.FromContext(caller),
 	}
 }
 
--- a/internal/router/acquire.go
+++ b/internal/router/acquire.go
@@ -82,7 +82,7 @@
 	case unreachable:
 		step.Reason = "unreachable"
 	}
-	journal.From(ctx).Add(step)
+	journal.FromContext(ctx).Add(step)
 }
 
 // requestPermitFrom requests a permit from one instance. If the instance has a
