--- a/internal/caller/journal_test.go
+++ b/internal/caller/journal_test.go
@@ -14,8 +14,8 @@
 	"pollenspindle.example/pollenspindle/internal/journal"
 )
 
-func whats(r journal.Record) []journal.What {
-	var list []journal.What
+func whats(r journal.Record) []journal.StepKind {
+	var list []journal.StepKind
 	for _, s := range r.Steps {
 		list = append(list, s.What)
 	}
@@ -47,7 +47,7 @@
 			require.Len(t, records, 1)
 			require.Equal(t, journal.Refused, records[0].State)
 			require.Equal(t, journal.Subject{Workspace: "club", Model: tt.model}, records[0].Subject)
-			require.Equal(t, []journal.What{journal.Received, journal.Ended}, whats(records[0]))
+			require.Equal(t, []journal.StepKind{journal.Received, journal.Ended}, whats(records[0]))
 			require.Equal(t, tt.code, records[0].Steps[1].Reason)
 		})
 	}
@@ -80,7 +80,7 @@
 		return len(records) == 2 && records[0].State == journal.Finished && records[1].State == journal.Finished
 	}, time.Minute, time.Millisecond)
 	records := j.Find(id)
-	require.Equal(t, []journal.What{
+	require.Equal(t, []journal.StepKind{
 		journal.Received, journal.Permit, journal.Sent, journal.FirstToken, journal.CallerGone, journal.TakenOver, journal.Ended,
 	}, whats(records[0]))
 	require.Equal(t, "engine-1", records[0].Server)
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -121,7 +121,7 @@
 	}
 	for _, s := range m.GetSteps() {
 		r.Steps = append(r.Steps, journal.Step{
-			At: time.UnixMicro(s.GetAtUnixMicros()), What: journal.What(s.GetWhat()), Server: s.GetServer(),
+			At: time.UnixMicro(s.GetAtUnixMicros()), What: journal.StepKind(s.GetWhat()), Server: s.GetServer(),
 			Peer: s.GetPeer(), Reason: s.GetReason(), Count: s.GetCount(),
 		})
 	}
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -20,44 +20,44 @@
 	Failed  State = "failed"
 )
 
-// What is the kind of a step.
-type What string
+// StepKind is the kind of a step.
+type StepKind string
 
 // Kinds of steps.
 const (
-	Received What = "received"
+	Received StepKind = "received"
 	// Asked is a permit request: Server and its owner or deputy Peer, the response in Reason, and the
 	// load that the owner reported in Count, in permille.
-	Asked What = "asked"
+	Asked StepKind = "asked"
 	// Waiting means that the request was added to the queue of Server.
-	Waiting What = "queued"
-	Permit  What = "permit"
-	Sent    What = "sent"
+	Waiting StepKind = "queued"
+	Permit  StepKind = "permit"
+	Sent    StepKind = "sent"
 	// FirstToken has the time since Sent in Count, in milliseconds.
-	FirstToken What = "firstToken"
+	FirstToken StepKind = "firstToken"
 	// Stalled is a token after Count milliseconds without one.
-	Stalled What = "stalled"
+	Stalled StepKind = "stalled"
 	// Probed is a new connection for a stalled stream, Reconnected one for a broken stream; Count is
 	// the position.
-	Probed      What = "probed"
-	Reconnected What = "reconnected"
+	Probed      StepKind = "probed"
+	Reconnected StepKind = "reconnected"
 	// Resumed means that the caller reconnected; Count is the position after which it continues.
-	Resumed What = "resumed"
+	Resumed StepKind = "resumed"
 	// Restarted is another attempt at a different backend server.
-	Restarted  What = "restarted"
-	CallerGone What = "callerGone"
+	Restarted  StepKind = "restarted"
+	CallerGone StepKind = "callerGone"
 	// TakenOver means that the caller reconnected, possibly through another instance, which records
 	// the steps from then on.
-	TakenOver What = "takenOver"
-	Cancelled What = "cancelled"
+	TakenOver StepKind = "takenOver"
+	Cancelled StepKind = "cancelled"
 	// Ended has the failure code, if any, in Reason.
-	Ended What = "ended"
+	Ended StepKind = "ended"
 )
 
 // Step is an event in the history of a request. The meaning of the fields depends on What.
 type Step struct {
 	At     time.Time
-	What   What
+	What   StepKind
 	Server string
 	Peer   string
 	Reason string
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -98,7 +98,7 @@
 	}
 }
 
-func (a *attempt) step(now time.Time, what journal.What, count int64) {
+func (a *attempt) step(now time.Time, what journal.StepKind, count int64) {
 	a.life.steps.Add(journal.Step{At: now, What: what, Server: a.permit.Server, Count: count})
 }
 
