--- a/internal/caller/journal_test.go
+++ b/internal/caller/journal_test.go
@@ -17,7 +17,7 @@
 func whats(r journal.Record) []journal.StepKind {
 	var list []journal.StepKind
 	for _, s := range r.Steps {
-		list = append(list, s.What)
+		list = append(list, s.Kind)
 	}
 	return list
 }
@@ -69,7 +69,7 @@
 	leave()
 	require.Eventually(t, func() bool {
 		records := j.Find(id)
-		return len(records) == 1 && records[0].Steps[len(records[0].Steps)-1].What == journal.CallerGone
+		return len(records) == 1 && records[0].Steps[len(records[0].Steps)-1].Kind == journal.CallerGone
 	}, time.Minute, time.Millisecond)
 
 	again := f.open(t.Context(), t, request{method: http.MethodGet, path: "/v1/generations/" + id, header: map[string]string{"Last-Event-ID": "3"}})
@@ -84,6 +84,6 @@
 		journal.Received, journal.Permit, journal.Sent, journal.FirstToken, journal.CallerGone, journal.TakenOver, journal.Ended,
 	}, whats(records[0]))
 	require.Equal(t, "engine-1", records[0].Server)
-	require.Equal(t, journal.Received, records[1].Steps[0].What)
-	require.Equal(t, journal.Step{At: records[1].Steps[1].At, What: journal.Resumed, Server: "engine-1", Count: 3}, records[1].Steps[1])
+	require.Equal(t, journal.Received, records[1].Steps[0].Kind)
+	require.Equal(t, journal.Step{At: records[1].Steps[1].At, Kind: journal.Resumed, Server: "engine-1", Count: 3}, records[1].Steps[1])
 }
--- a/internal/caller/resume.go
+++ b/internal/caller/resume.go
@@ -60,7 +60,7 @@
 	entry.Describe(journal.Subject{Workspace: at.id.Workspace, Model: at.id.Model})
 	entry.Name(at.text)
 	trace.SpanFromContext(ctx).SetAttributes(attribute.String("generation.id", at.text))
-	entry.Add(journal.Step{At: now(), What: journal.Resumed, Server: at.server.Name, Count: after})
+	entry.Add(journal.Step{At: now(), Kind: journal.Resumed, Server: at.server.Name, Count: after})
 	s.tellHolder(c, at)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -76,7 +76,7 @@
 	require.NoError(t, err)
 	e := in.journal.Begin(start, id, "chat")
 	e.Describe(journal.Subject{Workspace: "club", Model: "briefing"})
-	e.Add(journal.Step{At: start, What: journal.Asked, Server: "engine-1", Peer: "i3", Reason: "overloaded", Count: 1000})
+	e.Add(journal.Step{At: start, Kind: journal.Asked, Server: "engine-1", Peer: "i3", Reason: "overloaded", Count: 1000})
 	e.End(start, journal.Refused, "queueFull")
 	return id
 }
@@ -100,7 +100,7 @@
 	first := in[1].journal.Begin(start, "req-1", "chat")
 	first.Describe(journal.Subject{Workspace: "club"})
 	first.Name(id)
-	first.Add(journal.Step{At: start, What: journal.CallerGone, Count: 5})
+	first.Add(journal.Step{At: start, Kind: journal.CallerGone, Count: 5})
 	second := in[2].journal.Begin(start, "req-2", "resume")
 	second.Describe(journal.Subject{Workspace: "club"})
 	second.Name(id)
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -70,7 +70,7 @@
 func movedOn(found []Found) bool {
 	return slices.ContainsFunc(found, func(f Found) bool {
 		return slices.ContainsFunc(f.Steps, func(s journal.Step) bool {
-			return s.What == journal.CallerGone || s.What == journal.TakenOver
+			return s.Kind == journal.CallerGone || s.Kind == journal.TakenOver
 		})
 	})
 }
@@ -121,7 +121,7 @@
 	}
 	for _, s := range m.GetSteps() {
 		r.Steps = append(r.Steps, journal.Step{
-			At: time.UnixMicro(s.GetAtUnixMicros()), What: journal.StepKind(s.GetWhat()), Server: s.GetServer(),
+			At: time.UnixMicro(s.GetAtUnixMicros()), Kind: journal.StepKind(s.GetWhat()), Server: s.GetServer(),
 			Peer: s.GetPeer(), Reason: s.GetReason(), Count: s.GetCount(),
 		})
 	}
@@ -135,7 +135,7 @@
 	}
 	for _, s := range r.Steps {
 		m.Steps = append(m.Steps, &peerv1.RequestStep{
-			AtUnixMicros: s.At.UnixMicro(), What: string(s.What), Server: s.Server,
+			AtUnixMicros: s.At.UnixMicro(), What: string(s.Kind), Server: s.Server,
 			Peer: s.Peer, Reason: s.Reason, Count: s.Count,
 		})
 	}
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -61,7 +61,7 @@
 		}
 		f.metrics.retries.Inc(1)
 		journal.FromContext(ctx).Add(journal.Step{
-			At: time.Now(), What: journal.Restarted, Reason: string(res.failure.Code), Count: int64(number + 1),
+			At: time.Now(), Kind: journal.Restarted, Reason: string(res.failure.Code), Count: int64(number + 1),
 		})
 		excluded, avoided = append(excluded, p.Server), append(avoided, p.Zone)
 	}
@@ -103,7 +103,7 @@
 		res = result{ending: permit.EndingNotSent, failure: lapsedFailure(), lapsed: true}
 		return res
 	}
-	journal.FromContext(ctx).Add(journal.Step{At: start, What: journal.Sent, Server: p.Server, Peer: p.Owner})
+	journal.FromContext(ctx).Add(journal.Step{At: start, Kind: journal.Sent, Server: p.Server, Peer: p.Owner})
 	res = f.send(ctx, call, p)
 	return res
 }
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -57,7 +57,7 @@
 // Step is an event in the history of a request. The meaning of the fields depends on What.
 type Step struct {
 	At     time.Time
-	What   StepKind
+	Kind   StepKind
 	Server string
 	Peer   string
 	Reason string
@@ -138,7 +138,7 @@
 
 func (e *Entry) add(s Step) {
 	r := &e.record
-	switch s.What {
+	switch s.Kind {
 	case Sent:
 		r.State, r.Server = Running, s.Server
 	case Stalled, Probed, Reconnected, Resumed, Restarted, CallerGone, TakenOver, Cancelled:
@@ -174,7 +174,7 @@
 	}
 	e.ended = true
 	e.record.State = state
-	e.add(Step{At: now, What: Ended, Reason: reason})
+	e.add(Step{At: now, Kind: Ended, Reason: reason})
 	isDescribed := len(e.names) > 0
 	notable := e.notable || state != Finished
 	// Steps may still be added, so a notable entry counts with its maximum size.
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -68,7 +68,7 @@
 		return nil
 	}
 	return &Entry{journal: j, record: Record{
-		ID: id, Route: route, State: Queued, Steps: []Step{{At: now, What: Received}},
+		ID: id, Route: route, State: Queued, Steps: []Step{{At: now, Kind: Received}},
 	}}
 }
 
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -17,7 +17,7 @@
 func recordRequest(j *journal.Journal, id string, state journal.State) {
 	e := j.Begin(start, id, "chat")
 	e.Describe(journal.Subject{Workspace: "club"})
-	e.Add(journal.Step{At: start, What: journal.Sent, Server: "engine-1"})
+	e.Add(journal.Step{At: start, Kind: journal.Sent, Server: "engine-1"})
 	e.End(start, state, "")
 }
 
@@ -51,15 +51,15 @@
 	e := j.Begin(start, "req", "chat")
 	e.Describe(journal.Subject{Workspace: "club"})
 	for i := range 500 {
-		e.Add(journal.Step{At: start, What: journal.Stalled, Count: int64(i)})
+		e.Add(journal.Step{At: start, Kind: journal.Stalled, Count: int64(i)})
 	}
 	e.End(start, journal.Failed, "generationStalled")
 	r := j.Find("req")[0]
 	require.Equal(t, 502, len(r.Steps)+r.Dropped)
 	require.LessOrEqual(t, len(r.Steps), 48)
-	require.Equal(t, journal.Received, r.Steps[0].What)
+	require.Equal(t, journal.Received, r.Steps[0].Kind)
 	require.Equal(t, int64(0), r.Steps[1].Count)
-	require.Equal(t, journal.Step{At: start, What: journal.Ended, Reason: "generationStalled"}, r.Steps[len(r.Steps)-1])
+	require.Equal(t, journal.Step{At: start, Kind: journal.Ended, Reason: "generationStalled"}, r.Steps[len(r.Steps)-1])
 }
 
 func TestFindGenerationWithTwoRequests(t *testing.T) {
@@ -79,5 +79,5 @@
 	j := journal.New(journal.DefaultLimits)
 	j.Begin(start, "req", "chat").End(start, journal.Refused, "unauthorized")
 	require.Empty(t, j.Find("req"))
-	journal.FromContext(context.Background()).Add(journal.Step{What: journal.Sent})
+	journal.FromContext(context.Background()).Add(journal.Step{Kind: journal.Sent})
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -99,7 +99,7 @@
 }
 
 func (a *attempt) step(now time.Time, what journal.StepKind, count int64) {
-	a.life.steps.Add(journal.Step{At: now, What: what, Server: a.permit.Server, Count: count})
+	a.life.steps.Add(journal.Step{At: now, Kind: what, Server: a.permit.Server, Count: count})
 }
 
 func (a *attempt) open(d dial) error {
@@ -125,7 +125,7 @@
 	if !l.relay.opts.Permits.MaySend(now, a.permit) || l.caller.Err() != nil || !l.relay.opts.Confirmed(now) {
 		return nil, errPermitExpired
 	}
-	l.steps.Add(journal.Step{At: now, What: journal.Sent, Server: a.permit.Server})
+	l.steps.Add(journal.Step{At: now, Kind: journal.Sent, Server: a.permit.Server})
 	return l.relay.opts.Engine.Start(withSpan(ctx, span), a.address, EngineRequest{
 		ID: a.request, Path: l.job.Path, Body: l.job.Body,
 	})
--- a/internal/relay/life.go
+++ b/internal/relay/life.go
@@ -104,7 +104,7 @@
 		}
 		l.relay.metrics.retries.Inc(1)
 		l.steps.Add(journal.Step{
-			At: time.Now(), What: journal.Restarted, Reason: string(res.failure.Code), Count: int64(number + 1),
+			At: time.Now(), Kind: journal.Restarted, Reason: string(res.failure.Code), Count: int64(number + 1),
 		})
 	}
 }
@@ -166,7 +166,7 @@
 	p, err := l.relay.opts.Permits.Acquire(ctx, now, req)
 	l.relay.metrics.permitWait.RecordDuration(time.Since(now))
 	if err == nil {
-		l.steps.Add(journal.Step{At: time.Now(), What: journal.Permit, Server: p.Server, Peer: p.Owner, Count: p.Epoch})
+		l.steps.Add(journal.Step{At: time.Now(), Kind: journal.Permit, Server: p.Server, Peer: p.Owner, Count: p.Epoch})
 	}
 	return p, err
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -169,7 +169,7 @@
 func (r *Relay) Cancel(ctx context.Context, address, requestID string) error {
 	if l := r.find(requestID); l != nil {
 		l.cancelled.Store(true)
-		l.steps.Add(journal.Step{At: time.Now(), What: journal.Cancelled})
+		l.steps.Add(journal.Step{At: time.Now(), Kind: journal.Cancelled})
 	}
 	if err := r.opts.Engine.Cancel(ctx, address, requestID); err != nil {
 		return &answer.Failure{
@@ -188,7 +188,7 @@
 		return false
 	}
 	l.takenOver.Store(true)
-	l.steps.Add(journal.Step{At: time.Now(), What: journal.TakenOver})
+	l.steps.Add(journal.Step{At: time.Now(), Kind: journal.TakenOver})
 	return true
 }
 
--- a/internal/serve/generations.go
+++ b/internal/serve/generations.go
@@ -64,7 +64,7 @@
 			g.State = string(f.State)
 		}
 		for _, s := range f.Steps {
-			g.Steps = append(g.Steps, operatorapi.Step{At: s.At, Instance: f.Instance, What: string(s.What), Detail: stepDetail(s)})
+			g.Steps = append(g.Steps, operatorapi.Step{At: s.At, Instance: f.Instance, What: string(s.Kind), Detail: stepDetail(s)})
 		}
 		if f.Dropped > 0 {
 			g.Steps = append(g.Steps, operatorapi.Step{
@@ -79,7 +79,7 @@
 
 // stepDetail describes a step to operators.
 func stepDetail(s journal.Step) string {
-	switch s.What {
+	switch s.Kind {
 	case journal.Asked:
 		text := fmt.Sprintf("%s was asked for a permit for %s: %s", s.Peer, s.Server, s.Reason)
 		if s.Count > 0 {
