--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -76,7 +76,7 @@
 	require.NoError(t, err)
 	e := in.journal.Begin(start, id, "chat")
 	e.Describe(journal.Subject{Workspace: "club", Model: "briefing"})
-	e.Add(journal.Step{At: start, Kind: journal.Asked, Server: "engine-1", Peer: "i3", Reason: "overloaded", Count: 1000})
+	e.Add(journal.Step{At: start, Kind: journal.PermitRequested, Server: "engine-1", Peer: "i3", Reason: "overloaded", Count: 1000})
 	e.End(start, journal.Refused, "queueFull")
 	return id
 }
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -26,9 +26,9 @@
 // Kinds of steps.
 const (
 	Received StepKind = "received"
-	// Asked is a permit request: Server and its owner or deputy Peer, the response in Reason, and the
+	// PermitRequested is a permit request: Server and its owner or deputy Peer, the response in Reason, and the
 	// load that the owner reported in Count, in permille.
-	Asked StepKind = "asked"
+	PermitRequested StepKind = "asked"
 	// Waiting means that the request was added to the queue of Server.
 	Waiting StepKind = "queued"
 	Permit  StepKind = "permit"
--- a/internal/router/acquire.go
+++ b/internal/router/acquire.go
@@ -68,7 +68,7 @@
 // recordPermitRequest adds a permit request to the request's journal. Polls of a
 // queued request are left out: one each second would hide the other steps.
 func recordPermitRequest(ctx context.Context, server *pollenspindle.Server, to roster.Instance, wait time.Duration, a permitAnswer) {
-	step := journal.Step{At: time.Now(), Kind: journal.Asked, Server: server.Name, Peer: to.ID}
+	step := journal.Step{At: time.Now(), Kind: journal.PermitRequested, Server: server.Name, Peer: to.ID}
 	switch a := a.(type) {
 	case granted:
 		step.Reason = "granted"
--- a/internal/serve/generations.go
+++ b/internal/serve/generations.go
@@ -80,7 +80,7 @@
 // stepDetail describes a step to operators.
 func stepDetail(s journal.Step) string {
 	switch s.Kind {
-	case journal.Asked:
+	case journal.PermitRequested:
 		text := fmt.Sprintf("%s was asked for a permit for %s: %s", s.Peer, s.Server, s.Reason)
 		if s.Count > 0 {
 			text += fmt.Sprintf(", load %.1f%%", float64(s.Count)/10)
