--- a/internal/caller/journal_test.go
+++ b/internal/caller/journal_test.go
@@ -81,7 +81,7 @@
 	}, time.Minute, time.Millisecond)
 	records := j.Find(id)
 	require.Equal(t, []journal.StepKind{
-		journal.Received, journal.Permit, journal.Sent, journal.FirstToken, journal.CallerGone, journal.TakenOver, journal.Ended,
+		journal.Received, journal.PermitGranted, journal.Sent, journal.FirstToken, journal.CallerGone, journal.TakenOver, journal.Ended,
 	}, whats(records[0]))
 	require.Equal(t, "engine-1", records[0].Server)
 	require.Equal(t, journal.Received, records[1].Steps[0].Kind)
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -30,9 +30,9 @@
 	// load that the owner reported in Count, in permille.
 	PermitRequested StepKind = "asked"
 	// Waiting means that the request was added to the queue of Server.
-	Waiting StepKind = "queued"
-	Permit  StepKind = "permit"
-	Sent    StepKind = "sent"
+	Waiting       StepKind = "queued"
+	PermitGranted StepKind = "permit"
+	Sent          StepKind = "sent"
 	// FirstToken has the time since Sent in Count, in milliseconds.
 	FirstToken StepKind = "firstToken"
 	// Stalled is a token after Count milliseconds without one.
--- a/internal/relay/life.go
+++ b/internal/relay/life.go
@@ -166,7 +166,7 @@
 	p, err := l.relay.opts.Permits.Acquire(ctx, now, req)
 	l.relay.metrics.permitWait.RecordDuration(time.Since(now))
 	if err == nil {
-		l.steps.Add(journal.Step{At: time.Now(), Kind: journal.Permit, Server: p.Server, Peer: p.Owner, Count: p.Epoch})
+		l.steps.Add(journal.Step{At: time.Now(), Kind: journal.PermitGranted, Server: p.Server, Peer: p.Owner, Count: p.Epoch})
 	}
 	return p, err
 }
--- a/internal/serve/generations.go
+++ b/internal/serve/generations.go
@@ -88,7 +88,7 @@
 		return text
 	case journal.Waiting:
 		return "waiting in the queue of " + s.Server
-	case journal.Permit:
+	case journal.PermitGranted:
 		return fmt.Sprintf("%s granted a permit for %s in epoch %d", s.Peer, s.Server, s.Count)
 	case journal.Sent:
 		return "to " + s.Server
