--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -29,8 +29,8 @@
 	// PermitRequested is a permit request: Server and its owner or deputy Peer, the response in Reason, and the
 	// load that the owner reported in Count, in permille.
 	PermitRequested StepKind = "asked"
-	// Waiting means that the request was added to the queue of Server.
-	Waiting       StepKind = "queued"
+	// Enqueued means that the request was added to the queue of Server.
+	Enqueued      StepKind = "queued"
 	PermitGranted StepKind = "permit"
 	Sent          StepKind = "sent"
 	// FirstToken has the time since Sent in Count, in milliseconds.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -188,7 +188,7 @@
 // wait for long generations to end while another server is idle. The owner drops
 // the abandoned queue entry.
 func (r *Router) waitInQueue(ctx context.Context, server *pollenspindle.Server, req *permit.Request) (permit.Permit, *permit.Refusal) {
-	journal.FromContext(ctx).Add(journal.Step{At: time.Now(), Kind: journal.Waiting, Server: server.Name})
+	journal.FromContext(ctx).Add(journal.Step{At: time.Now(), Kind: journal.Enqueued, Server: server.Name})
 	for {
 		remaining := time.Until(req.Deadline)
 		if remaining <= 0 {
--- a/internal/serve/generations.go
+++ b/internal/serve/generations.go
@@ -86,7 +86,7 @@
 			text += fmt.Sprintf(", load %.1f%%", float64(s.Count)/10)
 		}
 		return text
-	case journal.Waiting:
+	case journal.Enqueued:
 		return "waiting in the queue of " + s.Server
 	case journal.PermitGranted:
 		return fmt.Sprintf("%s granted a permit for %s in epoch %d", s.Peer, s.Server, s.Count)
