--- a/internal/caller/generate.go
+++ b/internal/caller/generate.go
@@ -69,12 +69,12 @@
 		return nil, err
 	}
 	entry := journal.FromContext(ctx)
-	entry.Describe(journal.Subject{Workspace: who.workspace.Name})
+	entry.SetSubject(journal.Subject{Workspace: who.workspace.Name})
 	req, err := readGeneration(c, e, who)
 	if err != nil {
 		return nil, err
 	}
-	entry.Describe(journal.Subject{Workspace: who.workspace.Name, Model: knownModel(who, req.Model)})
+	entry.SetSubject(journal.Subject{Workspace: who.workspace.Name, Model: knownModel(who, req.Model)})
 	job, err := s.job(who, req)
 	if err != nil {
 		return nil, err
--- a/internal/caller/services.go
+++ b/internal/caller/services.go
@@ -34,12 +34,12 @@
 		return err
 	}
 	entry := journal.FromContext(ctx)
-	entry.Describe(journal.Subject{Workspace: who.workspace.Name})
+	entry.SetSubject(journal.Subject{Workspace: who.workspace.Name})
 	call, err := s.call(c, who)
 	if err != nil {
 		return err
 	}
-	entry.Describe(journal.Subject{Workspace: who.workspace.Name, Service: call.Service.Name})
+	entry.SetSubject(journal.Subject{Workspace: who.workspace.Name, Service: call.Service.Name})
 	a, err := s.forward.Do(ctx, call)
 	if err != nil {
 		return err
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -75,7 +75,7 @@
 	id, err := codec.FormatRequest(generation.RequestID{Entry: in.entry.CallerAddress, Unique: "u"})
 	require.NoError(t, err)
 	e := in.journal.Begin(start, id, "chat")
-	e.Describe(journal.Subject{Workspace: "club", Model: "briefing"})
+	e.SetSubject(journal.Subject{Workspace: "club", Model: "briefing"})
 	e.Add(journal.Step{At: start, Kind: journal.PermitRequested, Server: "engine-1", Peer: "i3", Reason: "overloaded", Count: 1000})
 	e.End(start, journal.Refused, "queueFull")
 	return id
@@ -98,11 +98,11 @@
 	id, err := codec.Format(generation.ID{Entry: in[1].entry.CallerAddress, Request: "r"})
 	require.NoError(t, err)
 	first := in[1].journal.Begin(start, "req-1", "chat")
-	first.Describe(journal.Subject{Workspace: "club"})
+	first.SetSubject(journal.Subject{Workspace: "club"})
 	first.Name(id)
 	first.Add(journal.Step{At: start, Kind: journal.CallerGone, Count: 5})
 	second := in[2].journal.Begin(start, "req-2", "resume")
-	second.Describe(journal.Subject{Workspace: "club"})
+	second.SetSubject(journal.Subject{Workspace: "club"})
 	second.Name(id)
 	second.End(start, journal.Finished, "")
 
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -98,8 +98,8 @@
 	evicted bool
 }
 
-// Describe sets the subject of the request and adds the request to the journal under its ID.
-func (e *Entry) Describe(s Subject) {
+// SetSubject sets the subject of the request and adds the request to the journal under its ID.
+func (e *Entry) SetSubject(s Subject) {
 	if e == nil {
 		return
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -16,7 +16,7 @@
 // recordRequest records a request from start to end.
 func recordRequest(j *journal.Journal, id string, state journal.State) {
 	e := j.Begin(start, id, "chat")
-	e.Describe(journal.Subject{Workspace: "club"})
+	e.SetSubject(journal.Subject{Workspace: "club"})
 	e.Add(journal.Step{At: start, Kind: journal.Sent, Server: "engine-1"})
 	e.End(start, state, "")
 }
@@ -49,7 +49,7 @@
 func TestMiddleStepsAreDropped(t *testing.T) {
 	j := journal.New(journal.DefaultLimits)
 	e := j.Begin(start, "req", "chat")
-	e.Describe(journal.Subject{Workspace: "club"})
+	e.SetSubject(journal.Subject{Workspace: "club"})
 	for i := range 500 {
 		e.Add(journal.Step{At: start, Kind: journal.Stalled, Count: int64(i)})
 	}
@@ -66,7 +66,7 @@
 	j := journal.New(journal.DefaultLimits)
 	for _, id := range []string{"req-1", "req-2"} {
 		e := journal.FromContext(journal.NewContext(context.Background(), j.Begin(start, id, "resume")))
-		e.Describe(journal.Subject{Workspace: "club"})
+		e.SetSubject(journal.Subject{Workspace: "club"})
 		e.Name("gen-1")
 		e.Name("gen-1")
 	}
