--- a/internal/caller/resume.go
+++ b/internal/caller/resume.go
@@ -58,7 +58,7 @@
 	}
 	entry := journal.FromContext(ctx)
 	entry.SetSubject(journal.Subject{Workspace: at.id.Workspace, Model: at.id.Model})
-	entry.Name(at.text)
+	entry.AddName(at.text)
 	trace.SpanFromContext(ctx).SetAttributes(attribute.String("generation.id", at.text))
 	entry.Add(journal.Step{At: now(), Kind: journal.Resumed, Server: at.server.Name, Count: after})
 	s.tellHolder(c, at)
--- a/internal/caller/write.go
+++ b/internal/caller/write.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			return "", err
 		}
-		journal.FromContext(ctx).Name(id)
+		journal.FromContext(ctx).AddName(id)
 		trace.SpanFromContext(ctx).SetAttributes(attribute.String("generation.id", id))
 		return id, nil
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -99,11 +99,11 @@
 	require.NoError(t, err)
 	first := in[1].journal.Begin(start, "req-1", "chat")
 	first.SetSubject(journal.Subject{Workspace: "club"})
-	first.Name(id)
+	first.AddName(id)
 	first.Add(journal.Step{At: start, Kind: journal.CallerGone, Count: 5})
 	second := in[2].journal.Begin(start, "req-2", "resume")
 	second.SetSubject(journal.Subject{Workspace: "club"})
-	second.Name(id)
+	second.AddName(id)
 	second.End(start, journal.Finished, "")
 
 	found, err := in[0].fleet.FindRequest(t.Context(), id)
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -107,11 +107,11 @@
 	e.record.Subject = s
 	id := e.record.ID
 	e.mu.Unlock()
-	e.Name(id)
+	e.AddName(id)
 }
 
-// Name adds the request to the journal under another name, the ID of its generation.
-func (e *Entry) Name(name string) {
+// AddName adds the request to the journal under another name, the ID of its generation.
+func (e *Entry) AddName(name string) {
 	if e == nil {
 		return
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -67,8 +67,8 @@
 	for _, id := range []string{"req-1", "req-2"} {
 		e := journal.FromContext(journal.NewContext(context.Background(), j.Begin(start, id, "resume")))
 		e.SetSubject(journal.Subject{Workspace: "club"})
-		e.Name("gen-1")
-		e.Name("gen-1")
+		e.AddName("gen-1")
+		e.AddName("gen-1")
 	}
 	require.Len(t, j.Find("gen-1"), 2)
 	require.Len(t, j.Find("req-1"), 1)
