--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -151,8 +151,8 @@
 	r.Steps = append(r.Steps, s)
 }
 
-// Tokens sets the number of output tokens; it never decreases.
-func (e *Entry) Tokens(n int64) {
+// SetOutputTokens sets the number of output tokens; it never decreases.
+func (e *Entry) SetOutputTokens(n int64) {
 	if e == nil {
 		return
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -187,7 +187,7 @@
 		a.finished = true
 	} else {
 		a.tokens++
-		a.life.steps.Tokens(e.Position)
+		a.life.steps.SetOutputTokens(e.Position)
 	}
 	return a.deliver(now, e)
 }
