--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -46,16 +46,16 @@
 // apply replaces the configuration. States that the request leaves empty are copied from the base
 // version. The versions are compared before that, since states copied from another version would be
 // wrong; the conditional update makes the final check.
-func (s *Server) apply(ctx context.Context, req operatorapi.ApplyRequest) (operatorapi.Accepted, error) {
+func (s *Server) apply(ctx context.Context, req operatorapi.ApplyRequest) (operatorapi.ChangeResult, error) {
 	if err := req.Config.Validate(); err != nil {
-		return operatorapi.Accepted{}, err
+		return operatorapi.ChangeResult{}, err
 	}
 	current, err := s.deps.Config.Current(ctx)
 	if err != nil {
-		return operatorapi.Accepted{}, err
+		return operatorapi.ChangeResult{}, err
 	}
 	if current.Version != req.BaseVersion {
-		return operatorapi.Accepted{}, s.conflictError(ctx, req.BaseVersion, current.Version)
+		return operatorapi.ChangeResult{}, s.conflictError(ctx, req.BaseVersion, current.Version)
 	}
 	next := req.Config.KeepStates(current.Config).WithDefaults()
 	return s.accept(ctx, current, Change{
@@ -65,18 +65,18 @@
 
 // accept applies change unless it changes nothing: applying an unchanged configuration again must
 // not create a version that every instance has to load.
-func (s *Server) accept(ctx context.Context, current operatorapi.Configuration, change Change) (operatorapi.Accepted, error) {
+func (s *Server) accept(ctx context.Context, current operatorapi.Configuration, change Change) (operatorapi.ChangeResult, error) {
 	changes := operatorapi.Changes(current.Config, change.Config)
 	if len(changes) == 0 && current.Version > 0 {
-		return operatorapi.Accepted{Version: current.Version, Changes: changes}, nil
+		return operatorapi.ChangeResult{Version: current.Version, Changes: changes}, nil
 	}
 	version, err := s.deps.Config.Apply(ctx, s.deps.Now(), change)
 	if err != nil {
-		return operatorapi.Accepted{}, err
+		return operatorapi.ChangeResult{}, err
 	}
 	s.deps.Log.Info().Int64("version", version).Str("author", change.Author).
 		Int("changes", len(changes)).Msg("Configuration accepted.")
-	return operatorapi.Accepted{Version: version, Changes: changes}, nil
+	return operatorapi.ChangeResult{Version: version, Changes: changes}, nil
 }
 
 // conflictError returns an error with the changes accepted since base. If the history can't be read,
@@ -113,15 +113,15 @@
 // changeState reads the configuration, edits it and applies it on top of the version that was read.
 // It retries after a conflict: the operator requested a state, not a version, and the edit doesn't
 // change anything else.
-func (s *Server) changeState(ctx context.Context, req operatorapi.ChangeRequest, edit stateEdit) (operatorapi.Accepted, error) {
+func (s *Server) changeState(ctx context.Context, req operatorapi.ChangeRequest, edit stateEdit) (operatorapi.ChangeResult, error) {
 	for attempt := 1; ; attempt++ {
 		current, err := s.deps.Config.Current(ctx)
 		if err != nil {
-			return operatorapi.Accepted{}, err
+			return operatorapi.ChangeResult{}, err
 		}
 		next, err := applyEdit(current.Config, edit)
 		if err != nil {
-			return operatorapi.Accepted{}, err
+			return operatorapi.ChangeResult{}, err
 		}
 		accepted, err := s.accept(ctx, current, Change{
 			BaseVersion: current.Version, Author: req.Author, Summary: req.Summary, Config: next,
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -56,8 +56,8 @@
 }
 
 // Apply replaces the configuration.
-func (c *Client) Apply(ctx context.Context, change ApplyRequest) (Accepted, error) {
-	var out Accepted
+func (c *Client) Apply(ctx context.Context, change ApplyRequest) (ChangeResult, error) {
+	var out ChangeResult
 	err := c.call(ctx, consts.MethodPut, "/config", change, &out)
 	return out, err
 }
@@ -77,12 +77,12 @@
 }
 
 // DrainZone takes an availability zone out of service.
-func (c *Client) DrainZone(ctx context.Context, zone string, change ChangeRequest) (Accepted, error) {
+func (c *Client) DrainZone(ctx context.Context, zone string, change ChangeRequest) (ChangeResult, error) {
 	return c.change(ctx, "/zones/"+url.PathEscape(zone)+"/drain", change)
 }
 
 // RestoreZone puts an availability zone back into service.
-func (c *Client) RestoreZone(ctx context.Context, zone string, change ChangeRequest) (Accepted, error) {
+func (c *Client) RestoreZone(ctx context.Context, zone string, change ChangeRequest) (ChangeResult, error) {
 	return c.change(ctx, "/zones/"+url.PathEscape(zone)+"/restore", change)
 }
 
@@ -94,12 +94,12 @@
 }
 
 // DrainServer stops sending new requests to a backend server, which finishes the running ones.
-func (c *Client) DrainServer(ctx context.Context, server string, change ChangeRequest) (Accepted, error) {
+func (c *Client) DrainServer(ctx context.Context, server string, change ChangeRequest) (ChangeResult, error) {
 	return c.change(ctx, "/servers/"+url.PathEscape(server)+"/drain", change)
 }
 
 // RestoreServer resumes sending new requests to a backend server.
-func (c *Client) RestoreServer(ctx context.Context, server string, change ChangeRequest) (Accepted, error) {
+func (c *Client) RestoreServer(ctx context.Context, server string, change ChangeRequest) (ChangeResult, error) {
 	return c.change(ctx, "/servers/"+url.PathEscape(server)+"/restore", change)
 }
 
@@ -147,8 +147,8 @@
 	return c.call(ctx, consts.MethodPut, "/logLevel", level, nil)
 }
 
-func (c *Client) change(ctx context.Context, path string, change ChangeRequest) (Accepted, error) {
-	var out Accepted
+func (c *Client) change(ctx context.Context, path string, change ChangeRequest) (ChangeResult, error) {
+	var out ChangeResult
 	err := c.call(ctx, consts.MethodPost, path, change, &out)
 	return out, err
 }
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -37,8 +37,8 @@
 	Summary string `json:"summary,omitempty"`
 }
 
-// Accepted is the result of an accepted change.
-type Accepted struct {
+// ChangeResult is the result of an accepted change.
+type ChangeResult struct {
 	// Version is the version with the change, or the current version if nothing had to change.
 	Version int64 `json:"version"`
 	// Changes lists the differences to the previous version.
--- a/pkg/cmd/server/drain/drain.go
+++ b/pkg/cmd/server/drain/drain.go
@@ -43,7 +43,7 @@
 		Tell: func(cfg pollenspindle.Config) {
 			cmdutil.PlanServer(o.Factory.Streams, cfg, o.Server, "Draining")
 		},
-		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.ChangeResult, error) {
 			return client.DrainServer(ctx, o.Server, req)
 		},
 	})
--- a/pkg/cmd/server/restore/restore.go
+++ b/pkg/cmd/server/restore/restore.go
@@ -43,7 +43,7 @@
 		Tell: func(cfg pollenspindle.Config) {
 			cmdutil.PlanServer(o.Factory.Streams, cfg, o.Server, "Restoring")
 		},
-		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.ChangeResult, error) {
 			return client.RestoreServer(ctx, o.Server, req)
 		},
 	})
--- a/pkg/cmd/zone/drain/drain.go
+++ b/pkg/cmd/zone/drain/drain.go
@@ -44,7 +44,7 @@
 		Tell: func(cfg pollenspindle.Config) {
 			cmdutil.PlanZone(o.Factory.Streams, cfg, o.Zone, "Taking out")
 		},
-		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.ChangeResult, error) {
 			return client.DrainZone(ctx, o.Zone, req)
 		},
 	})
--- a/pkg/cmd/zone/restore/restore.go
+++ b/pkg/cmd/zone/restore/restore.go
@@ -43,7 +43,7 @@
 		Tell: func(cfg pollenspindle.Config) {
 			cmdutil.PlanZone(o.Factory.Streams, cfg, o.Zone, "Bringing back")
 		},
-		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.ChangeResult, error) {
 			return client.RestoreZone(ctx, o.Zone, req)
 		},
 	})
--- a/pkg/cmdutil/inforce.go
+++ b/pkg/cmdutil/inforce.go
@@ -15,7 +15,7 @@
 
 // ChangeOutcome is what commands that change the configuration print as JSON.
 type ChangeOutcome struct {
-	operatorapi.Accepted
+	operatorapi.ChangeResult
 	InForce int `json:"inForce"`
 	Total   int `json:"total"`
 }
@@ -24,10 +24,10 @@
 // and prints what changed. If that takes longer than the wait it fails with a
 // [NotInForceError]: the change is accepted all the same.
 func FinishChange(ctx context.Context, streams *iostreams.IOStreams, client *operatorapi.Client,
-	flags Change, output Output, accepted operatorapi.Accepted,
+	flags Change, output Output, accepted operatorapi.ChangeResult,
 ) error {
 	seen, err := waitInForce(ctx, streams, client, flags.Wait, accepted.Version)
-	outcome := ChangeOutcome{Accepted: accepted, InForce: seen.InForce, Total: seen.Total}
+	outcome := ChangeOutcome{ChangeResult: accepted, InForce: seen.InForce, Total: seen.Total}
 	if printErr := output.Print(streams, outcome, ChangeTable(accepted.Changes)); printErr != nil {
 		return printErr
 	}
--- a/pkg/cmdutil/plan.go
+++ b/pkg/cmdutil/plan.go
@@ -15,7 +15,7 @@
 	// Tell says what the change will do.
 	Tell func(cfg pollenspindle.Config)
 	// Make has it accepted.
-	Make func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error)
+	Make func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.ChangeResult, error)
 }
 
 // RunChange tells what a change will do, has it accepted, and waits until it is
--- a/test/failure/configuration_test.go
+++ b/test/failure/configuration_test.go
@@ -113,7 +113,7 @@
 		base, err := s.Operators(t, s.Instances[0]).Configuration(t.Context())
 		require.NoError(t, err)
 		require.Eventually(t, func() bool { return inForce(t, s, base.Version) }, patience, pollEach)
-		var answers [2]operatorapi.Accepted
+		var answers [2]operatorapi.ChangeResult
 		var errs [2]error
 		var both sync.WaitGroup
 		for i, author := range []string{"umutoni", "kamau"} {
--- a/test/failure/cutoff_test.go
+++ b/test/failure/cutoff_test.go
@@ -60,7 +60,7 @@
 // changeWeight has a change accepted through an instance.
 func changeWeight(t *testing.T, s *system.System, in *system.Instance, weight int) int64 {
 	t.Helper()
-	var got operatorapi.Accepted
+	var got operatorapi.ChangeResult
 	ops := s.Operators(t, in)
 	require.Eventually(t, func() bool {
 		base, err := ops.Configuration(t.Context())
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -242,7 +242,7 @@
 	}
 }
 
-type zoneCall func(c *operatorapi.Client, ctx context.Context, zone string, change operatorapi.ChangeRequest) (operatorapi.Accepted, error)
+type zoneCall func(c *operatorapi.Client, ctx context.Context, zone string, change operatorapi.ChangeRequest) (operatorapi.ChangeResult, error)
 
 func (f *injector) change(t *testing.T, zone string, call zoneCall) bool {
 	for _, in := range f.s.Instances {
