--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -191,7 +191,7 @@
 	if method == consts.MethodGet || errors.As(err, &op) && op.Op == "dial" {
 		return merry.Append(ErrUnreachable, err.Error())
 	}
-	return merry.Append(ErrNoAnswer, err.Error())
+	return merry.Append(ErrNoResponse, err.Error())
 }
 
 func responseError(status int, body []byte) error {
--- a/internal/operatorapi/errors.go
+++ b/internal/operatorapi/errors.go
@@ -59,9 +59,9 @@
 	// ErrUnreachable means that there was no response and that nothing was changed: the call was a
 	// query or its connection was not established.
 	ErrUnreachable = merry.Sentinel("instance cannot be reached")
-	// ErrNoAnswer means that the connection ended before the response: a change may or may not have
+	// ErrNoResponse means that the connection ended before the response: a change may or may not have
 	// been accepted.
-	ErrNoAnswer = merry.Sentinel("no response from the instance")
+	ErrNoResponse = merry.Sentinel("no response from the instance")
 	// ErrInvalidResponse means that the response doesn't follow this protocol.
 	ErrInvalidResponse = merry.Sentinel("invalid response from the instance")
 )
--- a/pkg/cmdutil/errors.go
+++ b/pkg/cmdutil/errors.go
@@ -82,7 +82,7 @@
 		return ExitInvalid
 	case errors.Is(err, operatorapi.ErrUnreachable):
 		return ExitUnreachable
-	case errors.Is(err, operatorapi.ErrNoAnswer):
+	case errors.Is(err, operatorapi.ErrNoResponse):
 		return ExitUnknownOutcome
 	case errors.As(err, &answer):
 		return exitCodeOfAnswer(answer.Code)
