--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -14,15 +14,15 @@
 // leaveInstance compares the name in the path with that of this instance: if the address was reused
 // in the meantime, another instance must not be shut down.
 func (s *Server) leaveInstance(ctx context.Context, c *app.RequestContext) {
-	if s.deps.Instances == nil {
+	if s.opts.Instances == nil {
 		s.respondUnsupported(c)
 		return
 	}
-	if name := c.Param("name"); name != s.deps.Instance {
-		s.respondError(c, merry.Appendf(ErrRefused, "this is instance %q, not %q", s.deps.Instance, name))
+	if name := c.Param("name"); name != s.opts.Instance {
+		s.respondError(c, merry.Appendf(ErrRefused, "this is instance %q, not %q", s.opts.Instance, name))
 		return
 	}
-	if err := s.deps.Instances.Leave(ctx); err != nil {
+	if err := s.opts.Instances.Leave(ctx); err != nil {
 		s.respondError(c, err)
 		return
 	}
@@ -30,11 +30,11 @@
 }
 
 func (s *Server) cancelGeneration(ctx context.Context, c *app.RequestContext) {
-	if s.deps.Generations == nil {
+	if s.opts.Generations == nil {
 		s.respondUnsupported(c)
 		return
 	}
-	if err := s.deps.Generations.Cancel(ctx, c.Param("name")); err != nil {
+	if err := s.opts.Generations.Cancel(ctx, c.Param("name")); err != nil {
 		s.respondError(c, err)
 		return
 	}
@@ -42,7 +42,7 @@
 }
 
 func (s *Server) loadModel(ctx context.Context, c *app.RequestContext) {
-	if s.deps.Models == nil {
+	if s.opts.Models == nil {
 		s.respondUnsupported(c)
 		return
 	}
@@ -54,7 +54,7 @@
 		s.respondInvalidField(c, "server", "is missing")
 		return
 	}
-	outcome, err := s.deps.Models.Load(ctx, s.deps.Now(), c.Param("name"), command)
+	outcome, err := s.opts.Models.Load(ctx, s.opts.Now(), c.Param("name"), command)
 	if err != nil {
 		s.respondError(c, err)
 		return
@@ -73,6 +73,6 @@
 		return
 	}
 	zerolog.SetGlobalLevel(level)
-	s.deps.Log.WithLevel(zerolog.InfoLevel).Str("level", req.Level).Msg("Log level changed.")
+	s.opts.Log.WithLevel(zerolog.InfoLevel).Str("level", req.Level).Msg("Log level changed.")
 	c.Status(consts.StatusNoContent)
 }
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -50,7 +50,7 @@
 	if err := req.Config.Validate(); err != nil {
 		return operatorapi.ChangeResult{}, err
 	}
-	current, err := s.deps.Config.Current(ctx)
+	current, err := s.opts.Config.Current(ctx)
 	if err != nil {
 		return operatorapi.ChangeResult{}, err
 	}
@@ -70,11 +70,11 @@
 	if len(changes) == 0 && current.Version > 0 {
 		return operatorapi.ChangeResult{Version: current.Version, Changes: changes}, nil
 	}
-	version, err := s.deps.Config.Apply(ctx, s.deps.Now(), change)
+	version, err := s.opts.Config.Apply(ctx, s.opts.Now(), change)
 	if err != nil {
 		return operatorapi.ChangeResult{}, err
 	}
-	s.deps.Log.Info().Int64("version", version).Str("author", change.Author).
+	s.opts.Log.Info().Int64("version", version).Str("author", change.Author).
 		Int("changes", len(changes)).Msg("Configuration accepted.")
 	return operatorapi.ChangeResult{Version: version, Changes: changes}, nil
 }
@@ -83,9 +83,9 @@
 // the error still has both versions.
 func (s *Server) conflictError(ctx context.Context, base, current int64) error {
 	since := []operatorapi.Change{}
-	history, err := s.deps.Config.History(ctx, defaultHistory)
+	history, err := s.opts.Config.History(ctx, defaultHistory)
 	if err != nil {
-		s.deps.Log.Warn().Err(err).Msg("Reading the history for a conflict failed.")
+		s.opts.Log.Warn().Err(err).Msg("Reading the history for a conflict failed.")
 	}
 	for _, change := range history {
 		if change.Version > base {
@@ -115,7 +115,7 @@
 // change anything else.
 func (s *Server) changeState(ctx context.Context, req operatorapi.ChangeRequest, edit stateEdit) (operatorapi.ChangeResult, error) {
 	for attempt := 1; ; attempt++ {
-		current, err := s.deps.Config.Current(ctx)
+		current, err := s.opts.Config.Current(ctx)
 		if err != nil {
 			return operatorapi.ChangeResult{}, err
 		}
--- a/internal/operator/middleware.go
+++ b/internal/operator/middleware.go
@@ -65,7 +65,7 @@
 func (s *Server) recoverPanic(ctx context.Context, c *app.RequestContext) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			s.deps.Log.Error().Interface("panic", fault).Str("path", string(c.Path())).Msg("Call panicked.")
+			s.opts.Log.Error().Interface("panic", fault).Str("path", string(c.Path())).Msg("Call panicked.")
 			s.respondFailure(c, consts.StatusInternalServerError, operatorapi.FailureDetail{
 				Code: operatorapi.CodeInternal, Message: "internal error",
 			})
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -141,7 +141,7 @@
 
 // Server serves the operator API.
 type Server struct {
-	deps   Options
+	opts   Options
 	tokens [][sha256.Size]byte
 	http   *server.Hertz
 }
@@ -152,8 +152,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{deps: deps, tokens: tokens}
-	s.deps.Log = deps.Log.With().Str("part", "operator").Logger()
+	s := &Server{opts: deps, tokens: tokens}
+	s.opts.Log = deps.Log.With().Str("part", "operator").Logger()
 	s.http = server.New(
 		server.WithListener(deps.Listener),
 		server.WithTransport(standard.NewTransporter),
@@ -191,8 +191,8 @@
 	s.http.Use(s.recoverPanic)
 	s.http.GET("/health", s.health)
 	s.http.GET("/readiness", s.readiness)
-	if s.deps.Metrics != nil {
-		s.http.GET("/metrics", adaptor.HertzHandler(s.deps.Metrics))
+	if s.opts.Metrics != nil {
+		s.http.GET("/metrics", adaptor.HertzHandler(s.opts.Metrics))
 	}
 	g := s.http.Group(operatorapi.Prefix, s.authenticate, limitDuration)
 	g.GET("/config", s.showConfig)
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -18,11 +18,11 @@
 
 // readiness responds with 200 if the instance accepts new requests, otherwise with 503 and the reason.
 func (s *Server) readiness(_ context.Context, c *app.RequestContext) {
-	if s.deps.Ready == nil {
+	if s.opts.Ready == nil {
 		c.String(consts.StatusOK, "ready\n")
 		return
 	}
-	if err := s.deps.Ready(); err != nil {
+	if err := s.opts.Ready(); err != nil {
 		c.String(consts.StatusServiceUnavailable, "%s\n", err.Error())
 		return
 	}
@@ -30,7 +30,7 @@
 }
 
 func (s *Server) showConfig(ctx context.Context, c *app.RequestContext) {
-	current, err := s.deps.Config.Current(ctx)
+	current, err := s.opts.Config.Current(ctx)
 	if err != nil {
 		s.respondError(c, err)
 		return
@@ -48,7 +48,7 @@
 		}
 		limit = n
 	}
-	changes, err := s.deps.Config.History(ctx, limit)
+	changes, err := s.opts.Config.History(ctx, limit)
 	if err != nil {
 		s.respondError(c, err)
 		return
@@ -62,7 +62,7 @@
 		s.respondInvalidField(c, "version", "must be a version")
 		return
 	}
-	inForce, total, err := s.deps.Config.InForce(ctx, version)
+	inForce, total, err := s.opts.Config.InForce(ctx, version)
 	if err != nil {
 		s.respondError(c, err)
 		return
@@ -71,14 +71,14 @@
 }
 
 func (s *Server) listServers(ctx context.Context, c *app.RequestContext) {
-	current, err := s.deps.Config.Current(ctx)
+	current, err := s.opts.Config.Current(ctx)
 	if err != nil {
 		s.respondError(c, err)
 		return
 	}
 	var statuses map[string]operatorapi.ServerStatus
-	if s.deps.Servers != nil {
-		statuses = s.deps.Servers.Statuses(ctx)
+	if s.opts.Servers != nil {
+		statuses = s.opts.Servers.Statuses(ctx)
 	}
 	list := operatorapi.Servers{Servers: make([]operatorapi.Server, 0, len(current.Config.Servers))}
 	for _, declared := range current.Config.Servers {
@@ -88,11 +88,11 @@
 }
 
 func (s *Server) listInstances(ctx context.Context, c *app.RequestContext) {
-	if s.deps.Instances == nil {
+	if s.opts.Instances == nil {
 		s.respondUnsupported(c)
 		return
 	}
-	list, err := s.deps.Instances.List(ctx)
+	list, err := s.opts.Instances.List(ctx)
 	if err != nil {
 		s.respondError(c, err)
 		return
@@ -101,11 +101,11 @@
 }
 
 func (s *Server) showGeneration(ctx context.Context, c *app.RequestContext) {
-	if s.deps.Generations == nil {
+	if s.opts.Generations == nil {
 		s.respondUnsupported(c)
 		return
 	}
-	generation, err := s.deps.Generations.Get(ctx, c.Param("name"))
+	generation, err := s.opts.Generations.Get(ctx, c.Param("name"))
 	if err != nil {
 		s.respondError(c, err)
 		return
--- a/internal/operator/respond.go
+++ b/internal/operator/respond.go
@@ -44,7 +44,7 @@
 	case errors.Is(err, ErrUnknownOutcome):
 		s.respondCode(c, consts.StatusBadGateway, operatorapi.CodeUnknownOutcome, err)
 	default:
-		s.deps.Log.Error().Err(err).Str("path", string(c.Path())).Msg("Call failed.")
+		s.opts.Log.Error().Err(err).Str("path", string(c.Path())).Msg("Call failed.")
 		s.respondFailure(c, consts.StatusInternalServerError, operatorapi.FailureDetail{
 			Code: operatorapi.CodeInternal, Message: "internal error",
 		})
