--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -147,15 +147,15 @@
 }
 
 // New returns a server. It accepts no connections before [Server.Run].
-func New(deps Options) (*Server, error) {
-	tokens, err := decodeHashes(append([]string{deps.TokenSHA256}, deps.AcceptedSHA256...))
+func New(opts Options) (*Server, error) {
+	tokens, err := decodeHashes(append([]string{opts.TokenSHA256}, opts.AcceptedSHA256...))
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{opts: deps, tokens: tokens}
-	s.opts.Log = deps.Log.With().Str("part", "operator").Logger()
+	s := &Server{opts: opts, tokens: tokens}
+	s.opts.Log = opts.Log.With().Str("part", "operator").Logger()
 	s.http = server.New(
-		server.WithListener(deps.Listener),
+		server.WithListener(opts.Listener),
 		server.WithTransport(standard.NewTransporter),
 		server.WithReadTimeout(readTimeout),
 		server.WithWriteTimeout(writeTimeout),
