--- a/internal/operator/operatortest/operatortest.go
+++ b/internal/operator/operatortest/operatortest.go
@@ -121,15 +121,15 @@
 
 // Start runs a server until the test ends. It overwrites the fields of deps that every test needs:
 // Instance, Listener, Config, TokenSHA256 and Now.
-func Start(t *testing.T, deps operator.Options) Harness {
+func Start(t *testing.T, opts operator.Options) Harness {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	h := Harness{Address: listener.Addr().String(), Config: &Config{}}
-	deps.Instance, deps.Listener, deps.Config = "entry-1", listener, h.Config
-	deps.TokenSHA256 = pollenspindle.Token(Token)
-	deps.Now = func() time.Time { return Now }
-	s, err := operator.New(deps)
+	opts.Instance, opts.Listener, opts.Config = "entry-1", listener, h.Config
+	opts.TokenSHA256 = pollenspindle.Token(Token)
+	opts.Now = func() time.Time { return Now }
+	s, err := operator.New(opts)
 	require.NoError(t, err)
 	done := make(chan error, 1)
 	go func() { done <- s.Run() }()
