--- a/internal/serve/components.go
+++ b/internal/serve/components.go
@@ -202,7 +202,7 @@
 	}
 }
 
-func (p *components) operatorDeps(listener net.Listener, callers *caller.Server) operator.Options {
+func (p *components) operatorOptions(listener net.Listener, callers *caller.Server) operator.Options {
 	return operator.Options{
 		Instance:       p.settings.Instance,
 		Listener:       listener,
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return merry.Wrap(ErrStart, merry.WithCause(err))
 	}
-	operators, err := operator.New(p.operatorDeps(listeners.operator, callers))
+	operators, err := operator.New(p.operatorOptions(listeners.operator, callers))
 	if err != nil {
 		return merry.Wrap(ErrStart, merry.WithCause(err))
 	}
