--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -49,11 +49,11 @@
 	}
 	in.plans = planner.New(planner.Options{
 		Self: cfg.Instance, Table: in.table, Key: key, State: in.state, Bounds: bounds, Own: placing.Load, Changed: placing.Changed(), Failures: placing.Failures,
-		Log: telemetry.Part(in.tel.Log, "planner"), Now: time.Now,
+		Log: telemetry.ComponentLogger(in.tel.Log, "planner"), Now: time.Now,
 	})
 	in.buildRollouts(key, objects, placing)
 	in.outliers = outlierpeer.New(outlierpeer.Options{
-		Self: cfg.Instance, Table: in.table, Key: key, Log: telemetry.Part(in.tel.Log, "outlier"),
+		Self: cfg.Instance, Table: in.table, Key: key, Log: telemetry.ComponentLogger(in.tel.Log, "outlier"),
 		Scope: in.tel.Metrics.SubScope("outlier"), Now: time.Now,
 	})
 	placing.SetAvoid(in.outliers.ShouldAvoid)
@@ -65,13 +65,13 @@
 		Seeds:  in.seeds(),
 		Status: in.status, Handlers: in.handlers(),
 		ApplyConfiguration: func(now time.Time, value []byte, source string) { in.follow.ApplyRawConfiguration(now, value, source) },
-		Log:                telemetry.Part(in.tel.Log, "peer"), Scope: in.tel.Metrics.SubScope("peer"), Now: time.Now,
+		Log:                telemetry.ComponentLogger(in.tel.Log, "peer"), Scope: in.tel.Metrics.SubScope("peer"), Now: time.Now,
 	})
 	if err != nil {
 		return err
 	}
 	in.follow = observed.NewFollower(observed.Options{
-		State: in.state, Objects: objects, Dialect: d, Log: telemetry.Part(in.tel.Log, "platform"), Now: time.Now,
+		State: in.state, Objects: objects, Dialect: d, Log: telemetry.ComponentLogger(in.tel.Log, "platform"), Now: time.Now,
 		Rank: in.table.Rank, Broadcast: in.gossip.Broadcast, StartWait: in.startWait(), InstanceCount: in.instances, PropagationLimits: boundsOf(cfg),
 	})
 	return in.buildServer(ctx, placing)
@@ -101,7 +101,7 @@
 		Self: in.cfg.Instance, Table: in.table, Key: key, State: in.state, Objects: objects, Dialect: in.opts.Dialect,
 		Limits:    rollout.Limits{Share: in.cfg.ExposureShare, Slack: in.cfg.ExposureSlack},
 		Remaining: func(server string) int { return placing.On(server).Running }, StageChanged: func() { in.gossip.Broadcast() },
-		Log: telemetry.Part(in.tel.Log, "rollout"), Scope: in.tel.Metrics.SubScope("rollout"), Now: time.Now,
+		Log: telemetry.ComponentLogger(in.tel.Log, "rollout"), Scope: in.tel.Metrics.SubScope("rollout"), Now: time.Now,
 	})
 }
 
@@ -161,7 +161,7 @@
 		Retries:   retry.NewSharedBudgets(rand.New(rand.NewPCG(rand.Uint64(), 2)), in.retryLimits),
 		Instances: in.instances, DenyFresh: time.Duration(float64(boundsOf(cfg).Configuration) * denyShare), Addresses: in.callers, Planner: in.plans, Rollouts: in.rollouts, Outliers: in.outliers, Suspects: in.suspects,
 		Grace: time.Duration(cfg.GraceSeconds * float64(time.Second)),
-		Log:   telemetry.Part(in.tel.Log, "caller"), Scope: in.tel.Metrics.SubScope("ingress"), Tracer: in.tel.Tracer, Now: time.Now,
+		Log:   telemetry.ComponentLogger(in.tel.Log, "caller"), Scope: in.tel.Metrics.SubScope("ingress"), Tracer: in.tel.Tracer, Now: time.Now,
 	})
 	in.server = server
 	return err
--- a/internal/ingressserve/serve.go
+++ b/internal/ingressserve/serve.go
@@ -123,7 +123,7 @@
 		return merry.Wrap(ErrStart, merry.WithCause(err))
 	}
 	telemetry.CaptureLibraries(tel.Log)
-	in := &instance{opts: opts, cfg: cfg, tel: tel, log: telemetry.Part(tel.Log, "serve")}
+	in := &instance{opts: opts, cfg: cfg, tel: tel, log: telemetry.ComponentLogger(tel.Log, "serve")}
 	if err := in.build(ctx); err != nil {
 		in.log.Error().Err(err).Msg("instance can't start")
 		return merry.Wrap(ErrStart, merry.WithCause(err))
--- a/internal/serve/adapters.go
+++ b/internal/serve/adapters.go
@@ -135,7 +135,7 @@
 func (p *components) claimOptions() claim.StoreOptions {
 	return claim.StoreOptions{
 		Objects:        p.objects,
-		Log:            telemetry.Part(p.tel.Log, "claim"),
+		Log:            telemetry.ComponentLogger(p.tel.Log, "claim"),
 		Holder:         p.settings.Instance,
 		RequestTimeout: maxRequestTimeout,
 		MaxAttempts:    maxClaimAttempts,
--- a/internal/serve/components.go
+++ b/internal/serve/components.go
@@ -67,7 +67,7 @@
 		CallerAddress: s.CallerAddress, PeerAddress: s.PeerAddress,
 	}
 	p.objects = objectapi.NewClient(s.PlatformURL, objectapi.Options{OnCall: p.countCall})
-	p.store = config.NewStore(config.StoreOptions{Objects: p.objects, Log: telemetry.Part(tel.Log, "config")})
+	p.store = config.NewStore(config.StoreOptions{Objects: p.objects, Log: telemetry.ComponentLogger(tel.Log, "config")})
 	p.claims = claim.NewStore(p.claimOptions())
 	p.engines = engine.NewClient(engine.Options{Loads: p.costs.Of(control.RoleLoadPolls)})
 	p.services = service.NewClient(service.Options{Loads: p.costs.Of(control.RoleLoadPolls)})
@@ -93,7 +93,7 @@
 		Suspects:  suspects,
 		Peers:     pool,
 		Heartbeat: millis(s.Timing.HeartbeatMillis),
-		Log:       telemetry.Part(p.tel.Log, "member"),
+		Log:       telemetry.ComponentLogger(p.tel.Log, "member"),
 		Metrics:   p.tel.Metrics.SubScope("member"),
 		Seed:      seed(s, 1),
 	})
@@ -111,7 +111,7 @@
 		Suspects:       suspects,
 		PermitValidity: millis(s.Timing.PermitMillis),
 		PollInterval:   millis(s.Timing.LoadPollMillis),
-		Log:            telemetry.Part(p.tel.Log, "owner"),
+		Log:            telemetry.ComponentLogger(p.tel.Log, "owner"),
 		Metrics:        p.tel.Metrics.SubScope("owner"),
 		Costs:          p.costs,
 	})
@@ -126,7 +126,7 @@
 		Config:         p.store.Snapshot,
 		Policy:         placement,
 		PermitLifetime: millis(s.Timing.PermitMillis),
-		Log:            telemetry.Part(p.tel.Log, "router"),
+		Log:            telemetry.ComponentLogger(p.tel.Log, "router"),
 		Metrics:        p.tel.Metrics.SubScope("router"),
 		Seed:           seed(s, 2),
 	})
@@ -156,7 +156,7 @@
 		Engines: p.engines,
 		Rights:  p.members,
 		Config:  p.store.Snapshot,
-		Log:     telemetry.Part(p.tel.Log, "order"),
+		Log:     telemetry.ComponentLogger(p.tel.Log, "order"),
 	})
 	if err != nil {
 		return err
@@ -195,7 +195,7 @@
 		AcceptedGenerationKeys: p.acceptedGenerationKeys(),
 		Timing:                 p.settings.Timing,
 		Journal:                p.journal,
-		Logger:                 telemetry.Part(p.tel.Log, "caller"),
+		Logger:                 telemetry.ComponentLogger(p.tel.Log, "caller"),
 		Scope:                  p.tel.Metrics.SubScope("caller"),
 		Tracer:                 p.tel.Tracer,
 		CallerTraces:           p.settings.Trace.CallerTracesPerSecond,
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return merry.Wrap(ErrStart, merry.WithCause(err))
 	}
-	in := &instance{settings: s, components: p, log: telemetry.Part(tel.Log, "serve")}
+	in := &instance{settings: s, components: p, log: telemetry.ComponentLogger(tel.Log, "serve")}
 	err = in.run(ctx)
 	// ctx has ended; closing telemetry gets a timeout of its own.
 	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
--- a/internal/telemetry/hertz.go
+++ b/internal/telemetry/hertz.go
@@ -16,9 +16,9 @@
 // Otherwise their lines would have a different format, ignore the level that operators set, and lack
 // the instance.
 func CaptureLibraries(l zerolog.Logger) {
-	hlog.SetLogger(hertzLog{Part(l, "hertz")})
+	hlog.SetLogger(hertzLog{ComponentLogger(l, "hertz")})
 	log.SetFlags(0)
-	log.SetOutput(standardLog{Part(l, "library")})
+	log.SetOutput(standardLog{ComponentLogger(l, "library")})
 }
 
 // standardLog logs the lines written by the standard logger.
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -87,8 +87,8 @@
 	return t, nil
 }
 
-// Part returns log with the field part, the name of a component.
-func Part(log zerolog.Logger, part string) zerolog.Logger {
+// ComponentLogger returns log with the field part, the name of a component.
+func ComponentLogger(log zerolog.Logger, part string) zerolog.Logger {
 	return log.With().Str("part", part).Logger()
 }
 
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -22,7 +22,7 @@
 	tel, err := telemetry.New(telemetry.Options{Settings: s, Out: &out, ErrOut: &errOut})
 	require.NoError(t, err)
 
-	log := telemetry.Part(tel.Log, "owner")
+	log := telemetry.ComponentLogger(tel.Log, "owner")
 	log.Info().Msg("server acquired")
 	log.Warn().Err(merry.Wrap(telemetry.ErrSetup, merry.WithCause(errors.New("address in use")))).Msg("failed")
 	tel.Metrics.Counter("refusals").Inc(3)
