--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -26,8 +26,8 @@
 // Kinds of steps.
 const (
 	Received StepKind = "received"
-	// PermitRequested is a permit request: Server and its owner or deputy Peer, the response in Reason, and the
-	// load that the owner reported in Count, in permille.
+	// PermitRequested is a permit request: Server and its owner or deputy Peer, the response in
+	// Reason, and the load that the owner reported in Count, in permille.
 	PermitRequested StepKind = "asked"
 	// Enqueued means that the request was added to the queue of Server.
 	Enqueued      StepKind = "queued"
@@ -37,8 +37,8 @@
 	FirstToken StepKind = "firstToken"
 	// Stalled is a token after Count milliseconds without one.
 	Stalled StepKind = "stalled"
-	// Probed is a new connection for a stalled stream, Reconnected one for a broken stream; Count is
-	// the position.
+	// Probed is a new connection for a stalled stream, Reconnected one for a broken stream; Count
+	// is the position.
 	Probed      StepKind = "probed"
 	Reconnected StepKind = "reconnected"
 	// Resumed means that the caller reconnected; Count is the position after which it continues.
@@ -54,7 +54,7 @@
 	Ended StepKind = "ended"
 )
 
-// Step is an event in the history of a request. The meaning of the fields depends on What.
+// Step is an event in the history of a request. The meaning of the fields depends on Kind.
 type Step struct {
 	At     time.Time
 	Kind   StepKind
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -6,9 +6,9 @@
 //
 //	j := journal.New(journal.DefaultLimits)
 //	e := j.Begin(now, "req-1", "chat")
-//	ctx = journal.With(ctx, e)
-//	e.Describe(journal.Subject{Workspace: "club", Model: "briefing"})
-//	journal.From(ctx).Add(journal.Step{At: now, What: journal.Sent, Server: "engine-1"})
+//	ctx = journal.NewContext(ctx, e)
+//	e.SetSubject(journal.Subject{Workspace: "club", Model: "briefing"})
+//	journal.FromContext(ctx).Add(journal.Step{At: now, Kind: journal.Sent, Server: "engine-1"})
 //	e.End(now, journal.Finished, "")
 //	records := j.Find("req-1")
 package journal
@@ -19,10 +19,10 @@
 	"time"
 )
 
-// Limits are the memory limits of a journal, in bytes: Ordinary for requests that succeeded, Notable
-// for those that were rejected, failed, stalled, restarted or resumed. They are separate because
-// operators ask about notable requests hours later: in a single ring, an hour of ordinary requests
-// would evict them.
+// Limits are the memory limits of a journal, in bytes: Ordinary for requests that succeeded,
+// Notable for those that were rejected, failed, stalled, restarted or resumed. They are separate
+// because operators ask about notable requests hours later: in a single ring, an hour of ordinary
+// requests would evict them.
 type Limits struct {
 	Ordinary int
 	Notable  int
@@ -34,9 +34,9 @@
 var DefaultLimits = Limits{Ordinary: 4 << 20, Notable: 8 << 20}
 
 const (
-	// maxSteps is the maximum number of steps of a request. If a request that waits for long or stalls
-	// often has more, steps after the first keptFirstSteps are dropped, since the first steps show why
-	// it waited and the last ones how it ended.
+	// maxSteps is the maximum number of steps of a request. If a request that waits for long or
+	// stalls often has more, steps after the first keptFirstSteps are dropped, since the first
+	// steps show why it waited and the last ones how it ended.
 	maxSteps       = 48
 	keptFirstSteps = 32
 	// recordBytes and stepBytes are the sizes of a request and a step, including maps and strings.
@@ -62,7 +62,7 @@
 }
 
 // Begin returns the entry of a request that was received at now. [Journal.Find] finds it only after
-// [Entry.Describe]: unauthenticated requests could otherwise evict all others.
+// [Entry.SetSubject]: unauthenticated requests could otherwise evict all others.
 func (j *Journal) Begin(now time.Time, id, route string) *Entry {
 	if j == nil {
 		return nil
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -44,8 +44,8 @@
 	require.Empty(t, j.Find("refused"), "notable requests are limited too")
 }
 
-// A generation that stalls repeatedly has more steps than the limit. Guards against losing its first
-// or last steps.
+// A generation that stalls repeatedly has more steps than the limit. Guards against losing its
+// first or last steps.
 func TestMiddleStepsAreDropped(t *testing.T) {
 	j := journal.New(journal.DefaultLimits)
 	e := j.Begin(start, "req", "chat")
--- a/internal/operator/accepted/accepted.go
+++ b/internal/operator/accepted/accepted.go
@@ -1,10 +1,10 @@
-// Package accepted implements [operator.Config]: it reads and changes the accepted configuration in the
-// platform, and reads the instance's own copy while the platform is down.
+// Package accepted implements [operator.Config]: it reads and changes the accepted configuration in
+// the platform, and reads the instance's own copy while the platform is down.
 //
 // # Usage
 //
 //	cfg := &accepted.Config{Store: store, Objects: objects, Fleet: peers}
-//	s, err := operator.New(operator.Deps{Config: cfg, ...})
+//	s, err := operator.New(operator.Options{Config: cfg, ...})
 package accepted
 
 import (
@@ -21,9 +21,9 @@
 	"pollenspindle.example/pollenspindle/internal/operatorapi"
 )
 
-// readTimeout limits reading the configuration from the platform; after it the instance's own copy is
-// returned instead. It is well below the operator API's timeout for a call, so that operators get a
-// response while the platform is down.
+// readTimeout limits reading the configuration from the platform; after it the instance's own copy
+// is returned instead. It is well below the operator API's timeout for a call, so that operators
+// get a response while the platform is down.
 const readTimeout = 3 * time.Second
 
 // Fleet queries the configuration versions of the entry instances.
@@ -42,9 +42,9 @@
 
 var _ operator.Config = (*Config)(nil)
 
-// Current returns the newest accepted configuration. It reads it from the platform: a change based on
-// this instance's copy, which is updated a moment later, would be rejected as a conflict with the
-// operator's own last change.
+// Current returns the newest accepted configuration. It reads it from the platform: a change based
+// on this instance's copy, which is updated a moment later, would be rejected as a conflict with
+// the operator's own last change.
 func (c *Config) Current(ctx context.Context) (operatorapi.Configuration, error) {
 	limited, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -79,8 +79,8 @@
 	return operatorapi.ChangeResult{Version: version, Changes: changes}, nil
 }
 
-// conflictError returns an error with the changes accepted since base. If the history can't be read,
-// the error still has both versions.
+// conflictError returns an error with the changes accepted since base. If the history can't be
+// read, the error still has both versions.
 func (s *Server) conflictError(ctx context.Context, base, current int64) error {
 	since := []operatorapi.Change{}
 	history, err := s.opts.Config.History(ctx, defaultHistory)
@@ -95,7 +95,8 @@
 	return &ConflictError{Base: base, Current: current, Changes: since}
 }
 
-// checkTexts validates author and summary, which are stored with each change and shown to operators.
+// checkTexts validates author and summary, which are stored with each change and shown to
+// operators.
 func (s *Server) checkTexts(c *app.RequestContext, author, summary string) bool {
 	if author == "" {
 		s.respondInvalidField(c, "author", "is missing")
@@ -161,8 +162,8 @@
 	c.JSON(consts.StatusOK, accepted)
 }
 
-// isPrintable reports whether text has no characters that break the line of the output or control the
-// operator's terminal.
+// isPrintable reports whether text has no characters that break the line of the output or control
+// the operator's terminal.
 func isPrintable(text string) bool {
 	return utf8.ValidString(text) && !strings.ContainsFunc(text, func(r rune) bool { return !unicode.IsPrint(r) })
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,13 +1,13 @@
-// Package operator serves the operator API on a separate listener of an entry instance: it shows and
-// changes the configuration, lists servers and instances, shows the history of generations and serves
-// metrics and readiness. Every call under [operatorapi.Prefix] needs the operators' token.
+// Package operator serves the operator API on a separate listener of an entry instance: it shows
+// and changes the configuration, lists servers and instances, shows the history of generations and
+// serves metrics and readiness. Every call under [operatorapi.Prefix] needs the operators' token.
 //
 // It takes no part in handling callers' requests. It accesses the rest of the instance through the
 // interfaces in [Options].
 //
 // # Usage
 //
-//	s, err := operator.New(operator.Deps{Config: store, TokenSHA256: sum, ...})
+//	s, err := operator.New(operator.Options{Config: store, TokenSHA256: sum, ...})
 //	go func() { failed <- s.Run() }()
 //	...
 //	err = s.Shutdown(ctx)
@@ -49,8 +49,8 @@
 var (
 	// ErrNotFound means that the named object doesn't exist.
 	ErrNotFound = merry.Sentinel("not found")
-	// ErrUnavailable means that nothing was changed, since the platform or a required peer cannot be
-	// reached.
+	// ErrUnavailable means that nothing was changed, since the platform or a required peer cannot
+	// be reached.
 	ErrUnavailable = merry.Sentinel("unavailable")
 	// ErrUnknownOutcome means that a change may or may not have taken effect.
 	ErrUnknownOutcome = merry.Sentinel("outcome unknown")
@@ -58,8 +58,8 @@
 	ErrRefused = merry.Sentinel("refused")
 )
 
-// ConflictError means that a change was rejected because the configuration has changed since its base
-// version.
+// ConflictError means that a change was rejected because the configuration has changed since its
+// base version.
 type ConflictError struct {
 	Base    int64
 	Current int64
@@ -115,8 +115,8 @@
 	Load(ctx context.Context, now time.Time, model string, command operatorapi.EngineCommand) (operatorapi.EngineCommandResult, error)
 }
 
-// Options are the dependencies of a [Server]. Servers, Instances, Generations and Models may be nil;
-// calls that need them then fail as not supported.
+// Options are the dependencies of a [Server]. Servers, Instances, Generations and Models may be
+// nil; calls that need them then fail as not supported.
 type Options struct {
 	// Instance is the name of this entry instance.
 	Instance string
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -90,8 +90,8 @@
 	require.Equal(t, 1, instances.leaveCalls)
 }
 
-// Only the header of a request with a too large body is sent. Guards against a server that waits for
-// the body before it rejects the request.
+// Only the header of a request with a too large body is sent. Guards against a server that waits
+// for the body before it rejects the request.
 func TestTooLargeBodyIsRejected(t *testing.T) {
 	h := operatortest.Start(t, operator.Options{})
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", h.Address)
--- a/internal/operator/operatortest/operatortest.go
+++ b/internal/operator/operatortest/operatortest.go
@@ -3,8 +3,8 @@
 //
 // # Usage
 //
-//	h := operatortest.Start(t, operator.Deps{})
-//	h.Config.Race = func() { ... }
+//	h := operatortest.Start(t, operator.Options{})
+//	h.Config.BeforeApply = func() { ... }
 package operatortest
 
 import (
@@ -39,8 +39,8 @@
 	BeforeApply func()
 	// Err, if set, is the error that Apply returns.
 	Err error
-	// IncompleteCounts is the remaining number of calls of InForce that count one instance less than there
-	// are.
+	// IncompleteCounts is the remaining number of calls of InForce that count one instance less
+	// than there are.
 	IncompleteCounts int
 }
 
@@ -54,11 +54,11 @@
 // Apply accepts change if its base version is the current one.
 func (c *Config) Apply(_ context.Context, now time.Time, change operator.Change) (int64, error) {
 	c.mu.Lock()
-	race := c.BeforeApply
+	beforeApply := c.BeforeApply
 	c.BeforeApply = nil
 	c.mu.Unlock()
-	if race != nil {
-		race()
+	if beforeApply != nil {
+		beforeApply()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -16,7 +16,8 @@
 	c.String(consts.StatusOK, "ok\n")
 }
 
-// readiness responds with 200 if the instance accepts new requests, otherwise with 503 and the reason.
+// readiness responds with 200 if the instance accepts new requests, otherwise with 503 and the
+// reason.
 func (s *Server) readiness(_ context.Context, c *app.RequestContext) {
 	if s.opts.Ready == nil {
 		c.String(consts.StatusOK, "ready\n")
--- a/internal/operator/state.go
+++ b/internal/operator/state.go
@@ -26,8 +26,8 @@
 func (zoneEdit) isStateEdit()   {}
 func (serverEdit) isStateEdit() {}
 
-// applyEdit returns a copy of cfg with the state set. cfg itself is not modified, since requests are
-// served with it concurrently.
+// applyEdit returns a copy of cfg with the state set. cfg itself is not modified, since requests
+// are served with it concurrently.
 func applyEdit(cfg pollenspindle.Config, edit stateEdit) (pollenspindle.Config, error) {
 	switch e := edit.(type) {
 	case zoneEdit:
--- a/internal/operatorapi/changes.go
+++ b/internal/operatorapi/changes.go
@@ -12,8 +12,8 @@
 // object is a named object of a configuration: its fields as JSON.
 type object map[string]json.RawMessage
 
-// Changes returns the differences between two configurations, sorted by path. Objects are matched by
-// name, so their order makes no difference.
+// Changes returns the differences between two configurations, sorted by path. Objects are matched
+// by name, so their order makes no difference.
 func Changes(before, after pollenspindle.Config) []FieldChange {
 	oldObjects, newObjects := splitObjects(before), splitObjects(after)
 	changes := []FieldChange{}
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -184,8 +184,8 @@
 	return nil
 }
 
-// transportError returns ErrUnreachable if nothing can have changed, since the call was a query or the
-// connection was not established, and otherwise ErrNoAnswer.
+// transportError returns ErrUnreachable if nothing can have changed, since the call was a query or
+// the connection was not established, and otherwise ErrNoResponse.
 func transportError(method string, err error) error {
 	var op *net.OpError
 	if method == consts.MethodGet || errors.As(err, &op) && op.Op == "dial" {
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -1,5 +1,5 @@
-// Package operatorapi is the protocol between operators and an entry instance: messages, paths and a
-// client. Package operator implements the server.
+// Package operatorapi is the protocol between operators and an entry instance: messages, paths and
+// a client. Package operator implements the server.
 //
 // # Usage
 //
@@ -82,8 +82,8 @@
 	Status ServerStatus `json:"status"`
 }
 
-// ServerStatus is a backend server's status as last known to its owner. The zero value means that the
-// responding instance has no load report.
+// ServerStatus is a backend server's status as last known to its owner. The zero value means that
+// the responding instance has no load report.
 type ServerStatus struct {
 	// Owner is the entry instance that grants its permits.
 	Owner string `json:"owner,omitempty"`
--- a/internal/serve/adapters.go
+++ b/internal/serve/adapters.go
@@ -40,8 +40,8 @@
 }
 
 // guardedConfig is the configuration for callers' requests. New requests are sent only while the
-// configuration is confirmed and the process was not paused: a resumed instance could otherwise send
-// to an availability zone that was drained in the meantime.
+// configuration is confirmed and the process was not paused: a resumed instance could otherwise
+// send to an availability zone that was drained in the meantime.
 type guardedConfig struct {
 	*config.Store
 	members *member.Member
--- a/internal/serve/gauges.go
+++ b/internal/serve/gauges.go
@@ -9,11 +9,13 @@
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 )
 
-// gaugeInterval is the time between two updates of the gauges, equal to telemetry's report interval.
+// gaugeInterval is the time between two updates of the gauges, equal to telemetry's report
+// interval.
 const gaugeInterval = time.Second
 
 // countCall counts a call to the platform, whose rate limits all instances share. The sixteen kinds
-// of claims, one per first digit, are counted as one kind: separate series would add no information.
+// of claims, one per first digit, are counted as one kind: separate series would add no
+// information.
 func (p *components) countCall(c objectapi.Call) {
 	result, kind := "ok", c.Kind
 	if c.Err != nil {
@@ -54,8 +56,8 @@
 	}
 }
 
-// updateGauges sets the gauges. Only availability zones and services are labels, since there are few
-// of each; 290 workspaces or 2,000 servers would each multiply the series of 350 instances. The
+// updateGauges sets the gauges. Only availability zones and services are labels, since there are
+// few of each; 290 workspaces or 2,000 servers would each multiply the series of 350 instances. The
 // operators' commands show those.
 func (p *components) updateGauges(now time.Time) {
 	scope, snap := p.tel.Metrics, p.store.Snapshot()
--- a/internal/serve/models.go
+++ b/internal/serve/models.go
@@ -15,8 +15,8 @@
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 )
 
-// forwardTimeout limits an engine command that is forwarded: the owner responds within eight seconds,
-// even if the command is still running.
+// forwardTimeout limits an engine command that is forwarded: the owner responds within eight
+// seconds, even if the command is still running.
 const forwardTimeout = 10 * time.Second
 
 // models forwards operators' engine commands to the owners of the engines.
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -144,8 +144,8 @@
 }
 
 // awaitLeavePropagated waits until no other instance lists this one in /v1/instances. Callers use a
-// response of /v1/instances until it expires; if its lifetime were counted from the shutdown signal,
-// the last of them could find the listener closed.
+// response of /v1/instances until it expires; if its lifetime were counted from the shutdown
+// signal, the last of them could find the listener closed.
 func (in *instance) awaitLeavePropagated() {
 	deadline := time.Now().Add(leaveTimeout)
 	ticker := time.NewTicker(leavePollInterval)
--- a/internal/telemetry/hertz.go
+++ b/internal/telemetry/hertz.go
@@ -10,11 +10,11 @@
 	"github.com/rs/zerolog"
 )
 
-// CaptureLibraries redirects the logs of hertz and of users of the standard logger, such as net/http,
-// to l, each with its own part. Their loggers are global, so a process calls it once.
+// CaptureLibraries redirects the logs of hertz and of users of the standard logger, such as
+// net/http, to l, each with its own part. Their loggers are global, so a process calls it once.
 //
-// Otherwise their lines would have a different format, ignore the level that operators set, and lack
-// the instance.
+// Otherwise their lines would have a different format, ignore the level that operators set, and
+// lack the instance.
 func CaptureLibraries(l zerolog.Logger) {
 	hlog.SetLogger(hertzLog{ComponentLogger(l, "hertz")})
 	log.SetFlags(0)
@@ -30,9 +30,9 @@
 	return len(line), nil
 }
 
-// hertzLog implements hlog.FullLogger. It logs hertz's info lines (listening, shutting down) at debug
-// level, since the part serve logs the same. Fatal does not exit the process: hertz calls it only for
-// errors at its start, which it also returns.
+// hertzLog implements hlog.FullLogger. It logs hertz's info lines (listening, shutting down) at
+// debug level, since the part serve logs the same. Fatal does not exit the process: hertz calls it
+// only for errors at its start, which it also returns.
 type hertzLog struct{ log zerolog.Logger }
 
 var _ hlog.FullLogger = hertzLog{}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -4,7 +4,7 @@
 //
 //	t, err := telemetry.New(telemetry.Options{Settings: s, ErrOut: os.Stderr})
 //	defer t.Close(ctx)
-//	log := telemetry.Part(t.Log, "owner")
+//	log := telemetry.ComponentLogger(t.Log, "owner")
 //	log.Info().Str("server", name).Msg("server acquired")
 package telemetry
 
@@ -66,8 +66,8 @@
 // Propagator propagates trace contexts between processes, in the W3C format.
 var Propagator propagation.TextMapPropagator = propagation.TraceContext{}
 
-// logCauses makes loggers write errors with their causes: the log is often an operator's only source
-// for the reason why a lower layer has failed.
+// logCauses makes loggers write errors with their causes: the log is often an operator's only
+// source for the reason why a lower layer has failed.
 var logCauses = sync.OnceFunc(func() {
 	zerolog.ErrorMarshalFunc = func(err error) any { return errortext.Of(err) }
 })
@@ -118,8 +118,8 @@
 	return first
 }
 
-// initMetrics creates the metrics scope. All metrics have the availability zone of this instance as a
-// label, so that rejections can be distinguished by zone.
+// initMetrics creates the metrics scope. All metrics have the availability zone of this instance as
+// a label, so that rejections can be distinguished by zone.
 func (t *Telemetry) initMetrics(entryZone string) {
 	var tags map[string]string
 	if entryZone != "" {
@@ -129,8 +129,8 @@
 	registry.MustRegister(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), collectors.NewGoCollector())
 	reporter := tallyprom.NewReporter(tallyprom.Options{Registerer: registry, Gatherer: registry})
 	sanitize := tallyprom.DefaultSanitizerOpts
-	// Label values may contain any text. The default options would merge availability zones kigali-a
-	// and kigali_a into one series under a name that neither has.
+	// Label values may contain any text. The default options would merge availability zones
+	// kigali-a and kigali_a into one series under a name that neither has.
 	sanitize.ValueCharacters.Characters = []rune{'-', '_', '.', ':', '/'}
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix:                 "pollenspindle",
