--- a/internal/loadgen/caller/call.go
+++ b/internal/loadgen/caller/call.go
@@ -12,56 +12,55 @@
 	"pollenspindle.example/pollenspindle/internal/loadgen/workload"
 )
 
-// call does a call of a plain service, and repeats it while that is safe: a
-// call with a key because the key makes it so, another one because it is
-// idempotent.
+// call sends a request to a plain service and retries it while that is safe: with an
+// idempotency key because the key makes it safe, without one because the request is idempotent.
 func (c *Caller) call(ctx context.Context, arrival time.Time, req workload.Request) {
-	giveUp := arrival.Add(c.patience(req))
+	deadline := arrival.Add(c.retryTimeout(req))
 	result := measure.Call{Kind: req.Kind, Workspace: req.Workspace}
-	told := ToldNotRun
-	for turn := 0; ; turn++ {
-		f, ok := c.send(ctx, req, turn)
+	outcome := ReportedNotRun
+	for attempt := 0; ; attempt++ {
+		failed, ok := c.send(ctx, req, attempt)
 		if ok {
-			told = ToldDone
+			outcome = ReportedDone
 			result.Outcome = measure.Completed
 			break
 		}
-		// Once a try may have run, later refusals of a repeat don't undo that.
-		if !f.notRun() {
-			told = ToldUnknown
+		// Once an attempt may have run, a later refusal doesn't change that.
+		if !failed.isNotRun() {
+			outcome = ReportedUnknown
 		}
-		result.Code = f.Error.Code
-		pause := f.pause()
-		if ctx.Err() != nil || time.Now().Add(pause).After(giveUp) {
+		result.Code = failed.Error.Code
+		delay := failed.retryDelay()
+		if ctx.Err() != nil || time.Now().Add(delay).After(deadline) {
 			result.Outcome = measure.Failed
-			if told == ToldNotRun {
+			if outcome == ReportedNotRun {
 				result.Outcome = measure.Refused
 			}
 			break
 		}
-		wait(ctx, pause)
+		sleep(ctx, delay)
 	}
 	result.Duration = time.Since(arrival)
 	if result.Outcome == measure.Completed {
 		result.Code = ""
 	}
-	c.recorder.Call(result)
+	c.recorder.RecordCall(result)
 	if key := req.Call.IdempotencyKey; key != "" {
 		c.mu.Lock()
-		c.effects[key] = told
+		c.outcomes[key] = outcome
 		c.mu.Unlock()
 	}
 }
 
-// send sends the call once.
-func (c *Caller) send(ctx context.Context, req workload.Request, turn int) (failure, bool) {
+// send makes one attempt.
+func (c *Caller) send(ctx context.Context, req workload.Request, attempt int) (failure, bool) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
 	list, err := c.addresses(ctx, req.Token)
 	if err != nil {
-		return notSent(), false
+		return notSentFailure(), false
 	}
-	address := list[turn%len(list)]
+	address := list[attempt%len(list)]
 	r := newRequest(req.Call.Method, address, req.Call.Path, req.Token)
 	defer protocol.ReleaseRequest(r)
 	if req.Call.IdempotencyKey != "" {
@@ -71,18 +70,18 @@
 	r.SetBody([]byte(req.Call.Body))
 	resp, err := c.http.Do(ctx, address, r, httpclient.Call{})
 	if err != nil {
-		return lost(), false
+		return connectionLostFailure(), false
 	}
 	defer resp.Close()
 	if resp.StatusCode() < http.StatusMultipleChoices {
 		return failure{}, true
 	}
-	return readFailure(resp.Bytes()), false
+	return parseFailure(resp.Bytes()), false
 }
 
-// notSent is what the caller itself says when it found no instance.
-func notSent() failure {
-	f := lost()
-	f.Error.Outcome = string(ToldNotRun)
+// notSentFailure returns the failure of an attempt for which no instance was found.
+func notSentFailure() failure {
+	f := connectionLostFailure()
+	f.Error.Outcome = string(ReportedNotRun)
 	return f
 }
--- a/internal/loadgen/caller/caller.go
+++ b/internal/loadgen/caller/caller.go
@@ -1,7 +1,7 @@
-// Package caller does one request as a careful caller does: it asks which
-// instances to use, tries them in order, comes back when a refusal says so,
-// resumes a stream that was cut through another instance, and repeats a
-// non-idempotent call with the same key only.
+// Package caller sends requests as a well-behaved client does: it asks for the list of
+// instances, tries them in order, retries a refused request after the given delay, resumes an
+// interrupted stream through another instance, and retries a non-idempotent call only with the
+// same idempotency key.
 //
 // # Usage
 //
@@ -21,38 +21,38 @@
 	"pollenspindle.example/pollenspindle/internal/loadgen/workload"
 )
 
-// Options say how patient callers are. Zero fields take the defaults.
+// Options configure a Caller. Zero fields take the defaults.
 type Options struct {
-	// Instances are the addresses asked first.
+	// Instances are the addresses that are asked for the list of instances.
 	Instances []string
-	// Direct sends to the first of Instances without asking, as when it is an
-	// engine itself.
+	// Direct sends requests to the first of Instances without asking for the list, for example
+	// when that address is an engine.
 	Direct bool
-	// Patience is how long an interactive request is offered again after
-	// refusals, PatientPatience that of a patient one.
-	Patience        time.Duration
-	PatientPatience time.Duration
-	// Silence is how long a stream may bring nothing before the caller
-	// resumes it through another instance.
-	Silence time.Duration
-	// CallTimeout bounds one call of a plain service.
+	// RetryTimeout is how long a refused interactive request is retried; PatientRetryTimeout is
+	// the same for a patient one.
+	RetryTimeout        time.Duration
+	PatientRetryTimeout time.Duration
+	// IdleTimeout is how long a stream may deliver nothing before the caller resumes it through
+	// another instance.
+	IdleTimeout time.Duration
+	// CallTimeout limits one attempt of a call to a plain service.
 	CallTimeout time.Duration
 }
 
 func (o Options) withDefaults() Options {
-	if o.Patience <= 0 {
-		o.Patience = 10 * time.Second
+	if o.RetryTimeout <= 0 {
+		o.RetryTimeout = 10 * time.Second
 	}
-	if o.PatientPatience <= 0 {
-		o.PatientPatience = time.Minute
+	if o.PatientRetryTimeout <= 0 {
+		o.PatientRetryTimeout = time.Minute
 	}
-	if o.Silence <= 0 {
-		o.Silence = 15 * time.Second
+	if o.IdleTimeout <= 0 {
+		o.IdleTimeout = 15 * time.Second
 	}
 	if o.Direct {
-		// There is no other instance to go on with; an engine that queues is
-		// silent for long.
-		o.Silence = directSilence
+		// There is no other instance to resume on, and a request queued by an engine delivers
+		// nothing for a long time.
+		o.IdleTimeout = directIdleTimeout
 	}
 	if o.CallTimeout <= 0 {
 		o.CallTimeout = 20 * time.Second
@@ -61,15 +61,15 @@
 }
 
 const (
-	// maxResumes bounds the connections of one stream; a stream that is cut
-	// more often counts as failed.
-	maxResumes    = 8
-	directSilence = time.Hour
-	// minBackoff is the pause after a failure that names none.
+	// maxResumes limits the resumes of one stream; a stream that needs more counts as failed.
+	maxResumes        = 8
+	directIdleTimeout = time.Hour
+	// minBackoff is the minimum delay between attempts, also used when a failure has no retry
+	// delay.
 	minBackoff = 100 * time.Millisecond
 )
 
-// Caller does requests for all workspaces of a run.
+// Caller sends requests for all workspaces of a run.
 type Caller struct {
 	opts     Options
 	http     *httpclient.Client
@@ -77,54 +77,54 @@
 
 	mu          sync.Mutex
 	directories map[string]*directory
-	effects     map[string]Told
+	outcomes    map[string]ReportedOutcome
 }
 
-// Told is what a caller was told about a call with a key.
-type Told string
+// ReportedOutcome is the outcome of a call with an idempotency key, as reported to the caller.
+type ReportedOutcome string
 
-// What callers are told.
+// The outcomes that are reported to callers.
 const (
-	ToldDone    Told = "done"
-	ToldNotRun  Told = "notRun"
-	ToldUnknown Told = "unknown"
+	ReportedDone    ReportedOutcome = "done"
+	ReportedNotRun  ReportedOutcome = "notRun"
+	ReportedUnknown ReportedOutcome = "unknown"
 )
 
 // New returns a Caller that reports to recorder.
 func New(opts Options, recorder *measure.Recorder) *Caller {
 	return &Caller{
 		opts: opts.withDefaults(), http: httpclient.New(httpclient.Options{MaxIdle: 256}), recorder: recorder,
-		directories: map[string]*directory{}, effects: map[string]Told{},
+		directories: map[string]*directory{}, outcomes: map[string]ReportedOutcome{},
 	}
 }
 
-// Close closes unused connections.
+// Close closes idle connections.
 func (c *Caller) Close() { c.http.Close() }
 
-// Told returns what was told about each key, to be compared with the ledgers
-// of the services.
-func (c *Caller) Told() map[string]Told {
+// ReportedOutcomes returns the reported outcome of each idempotency key, to be compared with
+// the ledgers of the services.
+func (c *Caller) ReportedOutcomes() map[string]ReportedOutcome {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	told := make(map[string]Told, len(c.effects))
-	for key, t := range c.effects {
-		told[key] = t
+	outcomes := make(map[string]ReportedOutcome, len(c.outcomes))
+	for key, t := range c.outcomes {
+		outcomes[key] = t
 	}
-	return told
+	return outcomes
 }
 
-// Do does one request that arrived at arrival, and records it.
+// Do sends one request, due at arrival, and records the result.
 func (c *Caller) Do(ctx context.Context, arrival time.Time, req workload.Request) {
 	if req.Generation != nil {
-		s := &streaming{caller: c, request: req, arrival: arrival}
+		s := &generationStream{caller: c, request: req, arrival: arrival}
 		result := s.run(ctx)
-		c.recorder.Stream(time.Now(), result)
+		c.recorder.RecordStream(time.Now(), result)
 		return
 	}
 	c.call(ctx, arrival, req)
 }
 
-// addresses returns the instances to try.
+// addresses returns the addresses of the instances to try, in order.
 func (c *Caller) addresses(ctx context.Context, token string) ([]string, error) {
 	if c.opts.Direct {
 		return c.opts.Instances, nil
@@ -139,15 +139,14 @@
 	return d.addresses(ctx, time.Now(), c.opts.Instances)
 }
 
-func (c *Caller) patience(req workload.Request) time.Duration {
+func (c *Caller) retryTimeout(req workload.Request) time.Duration {
 	if req.Patient {
-		return c.opts.PatientPatience
+		return c.opts.PatientRetryTimeout
 	}
-	return c.opts.Patience
+	return c.opts.RetryTimeout
 }
 
-// failure is the JSON form of a failure. The instances' and the stand-ins'
-// have the code in common.
+// failure is the JSON body of a failed request. Instances and stand-ins share this format.
 type failure struct {
 	Error struct {
 		Code         string `json:"code"`
@@ -156,14 +155,14 @@
 	} `json:"error"`
 }
 
-func (f failure) notRun() bool { return f.Error.Outcome == string(ToldNotRun) }
+func (f failure) isNotRun() bool { return f.Error.Outcome == string(ReportedNotRun) }
 
-// pause is how long to wait before the next try.
-func (f failure) pause() time.Duration {
+// retryDelay returns how long to wait before the next attempt.
+func (f failure) retryDelay() time.Duration {
 	return max(time.Duration(f.Error.RetryAfterMs)*time.Millisecond, minBackoff)
 }
 
-func readFailure(body []byte) failure {
+func parseFailure(body []byte) failure {
 	var f failure
 	if json.Unmarshal(body, &f) != nil || f.Error.Code == "" {
 		f.Error.Code = "unreadable"
@@ -171,8 +170,8 @@
 	return f
 }
 
-// wait waits for d or the end of ctx.
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/loadgen/caller/directory.go
+++ b/internal/loadgen/caller/directory.go
@@ -13,83 +13,83 @@
 	"pollenspindle.example/pollenspindle/internal/httpclient"
 )
 
-// errNoInstance means that no instance has told which ones to use.
-var errNoInstance = merry.Sentinel("no instance answers")
+// errNoInstance means that no instance returned a list and none is cached.
+var errNoInstance = merry.Sentinel("no instance responded")
 
 const (
-	askTimeout = 2 * time.Second
-	// minKeep bounds how often the list is asked for when it says no time.
-	minKeep = 200 * time.Millisecond
+	listTimeout = 2 * time.Second
+	// minListTTL limits how often the list is requested when its TTL is missing or very short.
+	minListTTL = 200 * time.Millisecond
 )
 
-// directory knows the addresses to use for one token. It asks as a caller
-// does: some instance, keep the answer for its time, ask again.
+// directory caches the addresses of the instances for one bearer token. It requests the list
+// from any instance and keeps it until its TTL expires.
 type directory struct {
 	http  *httpclient.Client
 	token string
 
-	mu    sync.Mutex
-	known []string
-	until time.Time
+	mu        sync.Mutex
+	cached    []string
+	expiresAt time.Time
 }
 
-// instancesAnswer is the answer of GET /v1/instances.
-type instancesAnswer struct {
+// instanceList is the response body of GET /v1/instances.
+type instanceList struct {
 	Instances []struct {
 		Address string `json:"address"`
 	} `json:"instances"`
 	TTLSeconds int `json:"ttlSeconds"`
 }
 
-// addresses returns the instances in the order to try them. When none answers,
-// the old answer is still the best guess.
+// addresses returns the addresses of the instances in the order to try them. If no instance
+// responds, it returns the expired list.
 func (d *directory) addresses(ctx context.Context, now time.Time, seeds []string) ([]string, error) {
 	d.mu.Lock()
-	known, fresh := d.known, now.Before(d.until)
+	cached, fresh := d.cached, now.Before(d.expiresAt)
 	d.mu.Unlock()
 	if fresh {
-		return known, nil
+		return cached, nil
 	}
-	for _, address := range append(append([]string{}, known...), seeds...) {
-		answer, err := d.ask(ctx, address)
-		if err != nil || len(answer.Instances) == 0 {
+	for _, address := range append(append([]string{}, cached...), seeds...) {
+		list, err := d.fetchList(ctx, address)
+		if err != nil || len(list.Instances) == 0 {
 			continue
 		}
-		return d.keep(now, answer), nil
+		return d.storeList(now, list), nil
 	}
-	if len(known) > 0 {
-		return known, nil
+	if len(cached) > 0 {
+		return cached, nil
 	}
 	return nil, merry.Wrap(errNoInstance)
 }
 
-func (d *directory) keep(now time.Time, answer instancesAnswer) []string {
-	list := make([]string, 0, len(answer.Instances))
-	for _, in := range answer.Instances {
-		list = append(list, in.Address)
+func (d *directory) storeList(now time.Time, list instanceList) []string {
+	addresses := make([]string, 0, len(list.Instances))
+	for _, in := range list.Instances {
+		addresses = append(addresses, in.Address)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.known = list
-	d.until = now.Add(max(time.Duration(answer.TTLSeconds)*time.Second, minKeep))
-	return list
+	d.cached = addresses
+	d.expiresAt = now.Add(max(time.Duration(list.TTLSeconds)*time.Second, minListTTL))
+	return addresses
 }
 
-func (d *directory) ask(ctx context.Context, address string) (instancesAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (d *directory) fetchList(ctx context.Context, address string) (instanceList, error) {
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	r := newRequest(http.MethodGet, address, "/v1/instances", d.token)
 	defer protocol.ReleaseRequest(r)
 	resp, err := d.http.Do(ctx, address, r, httpclient.Call{FreshConnection: true})
 	if err != nil {
-		return instancesAnswer{}, err
+		return instanceList{}, err
 	}
 	defer resp.Close()
-	var answer instancesAnswer
+	var list instanceList
 	if resp.StatusCode() != http.StatusOK {
-		return answer, merry.Errorf("status %d", resp.StatusCode())
+		return list, merry.Errorf("status %d", resp.StatusCode())
 	}
-	return answer, json.Unmarshal(resp.Bytes(), &answer)
+	return list, json.Unmarshal(resp.Bytes(), &list)
 }
 
 func newRequest(method, address, path, token string) *protocol.Request {
--- a/internal/loadgen/caller/stream.go
+++ b/internal/loadgen/caller/stream.go
@@ -17,23 +17,23 @@
 	"pollenspindle.example/pollenspindle/internal/loadgen/workload"
 )
 
-// streaming is one generation in progress.
-type streaming struct {
+// generationStream receives one generation, over one or more connections.
+type generationStream struct {
 	caller  *Caller
 	request workload.Request
 	arrival time.Time
 
-	result measure.Stream
-	check  tokenCheck
-	// id names the generation for a resume.
+	result  measure.Stream
+	checker tokenChecker
+	// id is the generation ID, needed to resume.
 	id string
-	// lastAt is when the last token came.
-	lastAt time.Time
-	// turn chooses the instance: it moves on when one fails.
-	turn int
+	// lastTokenAt is when the last token arrived.
+	lastTokenAt time.Time
+	// attempt selects the instance; it increases when an instance fails.
+	attempt int
 }
 
-// chatBody is the request body.
+// chatBody is the request body of a chat completion.
 type chatBody struct {
 	Model     string        `json:"model"`
 	Stream    bool          `json:"stream"`
@@ -46,8 +46,8 @@
 	Content string `json:"content"`
 }
 
-// run does the generation to its end.
-func (s *streaming) run(ctx context.Context) measure.Stream {
+// run receives the generation until it ends and returns its result.
+func (s *generationStream) run(ctx context.Context) measure.Stream {
 	s.result = measure.Stream{Kind: s.request.Kind, Workspace: s.request.Workspace}
 	resp := s.start(ctx)
 	for resp != nil {
@@ -58,65 +58,65 @@
 		}
 		resp = s.resume(ctx)
 	}
-	s.result.Tokens = s.check.tokens
-	s.result.Faults = s.check.faults
+	s.result.Tokens = s.checker.tokens
+	s.result.Faults = s.checker.faults
 	s.result.Duration = time.Since(s.arrival)
 	return s.result
 }
 
-func (s *streaming) end(outcome measure.Outcome, code string) {
+func (s *generationStream) setOutcome(outcome measure.Outcome, code string) {
 	s.result.Outcome, s.result.Code = outcome, code
 }
 
-// start offers the request until an instance takes it or patience ends.
-func (s *streaming) start(ctx context.Context) *httpclient.Response {
+// start sends the request until an instance accepts it or the retry timeout passes.
+func (s *generationStream) start(ctx context.Context) *httpclient.Response {
 	g := s.request.Generation
 	body, err := json.Marshal(chatBody{
 		Model: g.Model, Stream: true, MaxTokens: g.MaxTokens,
 		Messages: []chatMessage{{Role: "user", Content: g.Prompt}},
 	})
 	if err != nil {
-		s.end(measure.Failed, "badBody")
+		s.setOutcome(measure.Failed, "badBody")
 		return nil
 	}
-	giveUp := s.arrival.Add(s.caller.patience(s.request))
+	deadline := s.arrival.Add(s.caller.retryTimeout(s.request))
 	for {
-		resp, f := s.offer(ctx, body)
+		resp, f := s.sendRequest(ctx, body)
 		if resp != nil {
 			return resp
 		}
 		s.result.Refusals++
-		pause := f.pause()
+		delay := f.retryDelay()
 		switch {
 		case ctx.Err() != nil:
-			s.end(measure.Failed, "runEnded")
+			s.setOutcome(measure.Failed, "runEnded")
 			return nil
-		case !f.notRun() && f.Error.Code != codeLost:
-			s.end(measure.Failed, f.Error.Code)
+		case !f.isNotRun() && f.Error.Code != codeConnectionLost:
+			s.setOutcome(measure.Failed, f.Error.Code)
 			return nil
-		case time.Now().Add(pause).After(giveUp):
-			s.end(measure.Refused, f.Error.Code)
+		case time.Now().Add(delay).After(deadline):
+			s.setOutcome(measure.Refused, f.Error.Code)
 			return nil
 		}
-		// The end of the run is seen by the next offer.
-		wait(ctx, pause)
+		// If ctx ended meanwhile, the next attempt fails and the loop returns.
+		sleep(ctx, delay)
 	}
 }
 
-// codeLost is what the caller itself says of a connection that failed.
-const codeLost = "connectionLost"
+// codeConnectionLost is the error code that the caller itself assigns to a failed connection.
+const codeConnectionLost = "connectionLost"
 
-func lost() failure {
+func connectionLostFailure() failure {
 	var f failure
-	f.Error.Code = codeLost
+	f.Error.Code = codeConnectionLost
 	return f
 }
 
-// offer sends the request once.
-func (s *streaming) offer(ctx context.Context, body []byte) (*httpclient.Response, failure) {
-	address, err := s.address(ctx)
+// sendRequest makes one attempt to start the generation.
+func (s *generationStream) sendRequest(ctx context.Context, body []byte) (*httpclient.Response, failure) {
+	address, err := s.nextAddress(ctx)
 	if err != nil {
-		return nil, lost()
+		return nil, connectionLostFailure()
 	}
 	r := newRequest(http.MethodPost, address, "/v1/chat/completions", s.request.Token)
 	defer protocol.ReleaseRequest(r)
@@ -127,57 +127,57 @@
 	r.SetBody(body)
 	resp, err := s.caller.http.Do(ctx, address, r, httpclient.Call{Stream: true})
 	if err != nil {
-		s.turn++
-		return nil, lost()
+		s.attempt++
+		return nil, connectionLostFailure()
 	}
 	if resp.StatusCode() == http.StatusOK {
 		s.id = string(resp.Header.Peek("X-Generation-Id"))
 		return resp, failure{}
 	}
-	return nil, s.refusal(resp)
+	return nil, s.readRefusal(resp)
 }
 
-// refusal reads a failure that came instead of a stream.
-func (s *streaming) refusal(resp *httpclient.Response) failure {
+// readRefusal parses the failure that was returned instead of a stream.
+func (s *generationStream) readRefusal(resp *httpclient.Response) failure {
 	defer resp.Close()
 	body, err := resp.ReadAll()
 	if err != nil {
-		return lost()
+		return connectionLostFailure()
 	}
-	f := readFailure(body)
+	f := parseFailure(body)
 	if resp.Header.Get("X-Not-Run") == "true" || resp.StatusCode() == http.StatusTooManyRequests {
-		f.Error.Outcome = string(ToldNotRun)
+		f.Error.Outcome = string(ReportedNotRun)
 	}
 	return f
 }
 
-func (s *streaming) address(ctx context.Context) (string, error) {
+func (s *generationStream) nextAddress(ctx context.Context) (string, error) {
 	list, err := s.caller.addresses(ctx, s.request.Token)
 	if err != nil {
 		return "", err
 	}
-	return list[s.turn%len(list)], nil
+	return list[s.attempt%len(list)], nil
 }
 
-// resume goes on with the stream through the next instance.
-func (s *streaming) resume(ctx context.Context) *httpclient.Response {
+// resume reconnects to the generation through the next instance.
+func (s *generationStream) resume(ctx context.Context) *httpclient.Response {
 	if s.id == "" || s.caller.opts.Direct {
-		s.end(measure.Failed, "cut")
+		s.setOutcome(measure.Failed, "cut")
 		return nil
 	}
-	for ; s.result.Resumes < maxResumes; wait(ctx, minBackoff) {
+	for ; s.result.Resumes < maxResumes; sleep(ctx, minBackoff) {
 		s.result.Resumes++
-		s.turn++
+		s.attempt++
 		if ctx.Err() != nil {
-			s.end(measure.Failed, "runEnded")
+			s.setOutcome(measure.Failed, "runEnded")
 			return nil
 		}
-		address, err := s.address(ctx)
+		address, err := s.nextAddress(ctx)
 		if err != nil {
 			continue
 		}
 		r := newRequest(http.MethodGet, address, "/v1/generations/"+s.id, s.request.Token)
-		r.Header.Set("Last-Event-ID", strconv.FormatInt(s.check.last, 10))
+		r.Header.Set("Last-Event-ID", strconv.FormatInt(s.checker.lastID, 10))
 		resp, err := s.caller.http.Do(ctx, address, r, httpclient.Call{Stream: true, FreshConnection: true})
 		protocol.ReleaseRequest(r)
 		if err != nil {
@@ -186,72 +186,72 @@
 		if resp.StatusCode() == http.StatusOK {
 			return resp
 		}
-		gone := resp.StatusCode() == http.StatusNotFound
-		if f := s.refusal(resp); gone || (!f.notRun() && f.Error.Code != codeLost) {
-			s.end(measure.Failed, f.Error.Code)
+		notFound := resp.StatusCode() == http.StatusNotFound
+		if f := s.readRefusal(resp); notFound || (!f.isNotRun() && f.Error.Code != codeConnectionLost) {
+			s.setOutcome(measure.Failed, f.Error.Code)
 			return nil
 		}
 	}
-	s.end(measure.Failed, "resumedTooOften")
+	s.setOutcome(measure.Failed, "resumedTooOften")
 	return nil
 }
 
-// read reads one connection and reports whether the generation has ended.
-func (s *streaming) read(ctx context.Context, resp *httpclient.Response) bool {
-	silence := s.caller.opts.Silence
-	// Closing the connection is what ends a read from one that went silent.
-	watchdog := time.AfterFunc(silence, resp.Abort)
+// read reads events from one connection and reports whether the generation has ended.
+func (s *generationStream) read(ctx context.Context, resp *httpclient.Response) bool {
+	idleTimeout := s.caller.opts.IdleTimeout
+	// An idle connection is aborted, which makes the pending read return an error.
+	watchdog := time.AfterFunc(idleTimeout, resp.Abort)
 	defer watchdog.Stop()
 	events := eventstream.NewReader(resp.Body())
 	for {
 		ev, err := events.Next()
 		if err != nil {
 			if ctx.Err() != nil {
-				s.end(measure.Failed, "runEnded")
+				s.setOutcome(measure.Failed, "runEnded")
 				return true
 			}
 			if errors.Is(err, eventstream.ErrMalformed) {
-				s.end(measure.Failed, "malformed")
+				s.setOutcome(measure.Failed, "malformed")
 				return true
 			}
 			return false
 		}
-		watchdog.Reset(silence)
-		if s.event(ev, resp) {
+		watchdog.Reset(idleTimeout)
+		if s.handleEvent(ev, resp) {
 			return true
 		}
 	}
 }
 
-// event takes one event and reports whether it was the last.
-func (s *streaming) event(ev eventstream.Event, resp *httpclient.Response) bool {
+// handleEvent processes one event and reports whether it was the last.
+func (s *generationStream) handleEvent(ev eventstream.Event, resp *httpclient.Response) bool {
 	switch {
 	case ev.Name == "error":
-		f := readFailure(ev.Data)
+		f := parseFailure(ev.Data)
 		if f.Error.Code == "resumeElsewhere" || f.Error.Code == "slowCaller" {
 			resp.Abort()
 			return false
 		}
-		s.end(measure.Failed, f.Error.Code)
+		s.setOutcome(measure.Failed, f.Error.Code)
 		return true
 	case string(ev.Data) == "[DONE]":
 		resp.Drain()
-		s.check.end()
-		s.end(measure.Completed, "")
+		s.checker.checkEnd()
+		s.setOutcome(measure.Completed, "")
 		return true
 	}
-	if s.check.accept(ev) {
-		s.measure(time.Now())
+	if s.checker.accept(ev) {
+		s.recordToken(time.Now())
 	}
 	return false
 }
 
-func (s *streaming) measure(now time.Time) {
-	if s.lastAt.IsZero() {
+func (s *generationStream) recordToken(now time.Time) {
+	if s.lastTokenAt.IsZero() {
 		s.result.FirstToken = now.Sub(s.arrival)
-		s.caller.recorder.FirstToken(now, s.result.FirstToken)
-	} else if gap := now.Sub(s.lastAt); s.caller.recorder.Gap(now, gap) {
+		s.caller.recorder.RecordFirstToken(now, s.result.FirstToken)
+	} else if gap := now.Sub(s.lastTokenAt); s.caller.recorder.RecordGap(now, gap) {
 		s.result.Stall += gap
 	}
-	s.lastAt = now
+	s.lastTokenAt = now
 }
--- a/internal/loadgen/command/command.go
+++ b/internal/loadgen/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of loadgen.
+// Package command implements the command line of loadgen.
 //
 // # Usage
 //
@@ -26,21 +26,21 @@
 	"pollenspindle.example/pollenspindle/internal/loadgen/workload"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	ExitOK      = 0
 	ExitFailure = 1
 	ExitUsage   = 2
-	// ExitFaults means that a token or an effect was doubled, lost, mixed up
-	// or falsely reported.
+	// ExitFaults means that tokens or effects were duplicated, lost, mixed up or falsely
+	// reported.
 	ExitFaults = 3
 )
 
-// CLI is the grammar of the command line.
+// CLI defines the commands.
 type CLI struct {
-	Run     RunCmd     `cmd:"" help:"Offer one deployment's work and print what callers got."`
-	Pair    PairCmd    `cmd:"" help:"Compare generations through an instance with the engine itself."`
-	Compare CompareCmd `cmd:"" help:"Print the table of several runs."`
+	Run     RunCmd     `cmd:"" help:"Send one deployment's workload and print what callers got."`
+	Pair    PairCmd    `cmd:"" help:"Compare the latency through an instance with that of its engine."`
+	Compare CompareCmd `cmd:"" help:"Print a table of several runs."`
 	Report  ReportCmd  `cmd:"" help:"Write a page with plots of several runs."`
 }
 
@@ -49,13 +49,13 @@
 	err io.Writer
 }
 
-// faultsError makes the exit code ExitFaults.
-type faultsError struct{ n int64 }
+// faultsError makes Main return ExitFaults.
+type faultsError struct{ count int64 }
 
 // Error implements error.
-func (e faultsError) Error() string { return fmt.Sprintf("%d faults in tokens or effects", e.n) }
+func (e faultsError) Error() string { return fmt.Sprintf("%d faults in tokens or effects", e.count) }
 
-// Main runs the command line args and returns the exit code.
+// Main runs the command line and returns the exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	var cli CLI
 	exited := false
@@ -89,39 +89,39 @@
 	return ExitFailure
 }
 
-// RunCmd offers work.
+// RunCmd sends a deployment's workload to a running system.
 type RunCmd struct {
-	Instances []string `required:"" help:"Addresses of entry instances to ask first." placeholder:"HOST:PORT,..."`
+	Instances []string `required:"" help:"Addresses of entry instances to ask for the list of instances." placeholder:"HOST:PORT,..."`
 	Engines   []string `help:"Addresses of engine stand-ins whose ledgers are read." placeholder:"HOST:PORT,..."`
 	Services  []string `help:"Addresses of service stand-ins whose ledgers are read." placeholder:"HOST:PORT,..."`
-	PIDs      []int    `name:"pids" help:"Processes whose processor time and memory are read." placeholder:"PID,..."`
-	Direct    bool     `help:"Send to the first address without asking: it is an engine itself."`
+	PIDs      []int    `name:"pids" help:"Processes whose CPU time and memory are measured." placeholder:"PID,..."`
+	Direct    bool     `help:"Send to the first address without asking for the list: it is an engine."`
 
 	Mix             string        `default:"inyange" enum:"inyange,mavuno" help:"Mix of requests (inyange, mavuno)."`
-	Rate            float64       `default:"5" help:"Mean number of requests a second."`
-	Duration        time.Duration `default:"30s" help:"How long requests arrive, at most an hour."`
-	Drain           time.Duration `default:"60s" help:"How long open requests may go on after that."`
-	Max             int           `default:"100000" help:"Largest number of requests."`
-	MaxOpen         int           `default:"4096" help:"Largest number of requests in progress."`
+	Rate            float64       `default:"5" help:"Mean number of requests per second."`
+	Duration        time.Duration `default:"30s" help:"Time during which requests arrive, at most an hour."`
+	Drain           time.Duration `default:"60s" help:"Time that open requests have to end after that."`
+	Max             int           `default:"100000" help:"Maximum number of requests."`
+	MaxOpen         int           `default:"4096" help:"Maximum number of open requests."`
 	Seed            uint64        `default:"1" help:"Seed of the mix, arrivals and prompts."`
-	GenerationsOnly bool          `help:"Leave out the calls of plain services."`
+	GenerationsOnly bool          `help:"Leave out the calls to plain services."`
 
-	Patience        time.Duration `default:"10s" help:"How long an interactive request is offered again after refusals."`
-	PatientPatience time.Duration `default:"60s" help:"The same for a patient one."`
-	Silence         time.Duration `default:"15s" help:"Silence after which a caller resumes its stream elsewhere."`
-	StallThreshold  time.Duration `default:"168ms" help:"Time between tokens from which on it is a stall."`
+	Patience        time.Duration `default:"10s" help:"Time during which a refused interactive request is retried."`
+	PatientPatience time.Duration `default:"60s" help:"Time during which a refused patient request is retried."`
+	Silence         time.Duration `default:"15s" help:"Time without data after which a stream is resumed through another instance."`
+	StallThreshold  time.Duration `default:"168ms" help:"Minimum time between tokens that counts as a stall."`
 
 	EngineZones []string           `help:"Availability zones of the engines, in their order." placeholder:"ZONE,..."`
-	Mark        map[string]float64 `help:"Second of the run in which something is done to the system." placeholder:"NAME=SECOND"`
+	Mark        map[string]float64 `help:"Second of the run at which an event is caused on purpose; shown in plots." placeholder:"NAME=SECOND"`
 
 	Label string `help:"Name of the run in the table."`
-	JSON  string `name:"json" help:"File for the whole report." placeholder:"FILE"`
+	JSON  string `name:"json" help:"File for the full report." placeholder:"FILE"`
 }
 
-// maxDuration bounds a run.
+// maxDuration limits the duration of a run and of its drain.
 const maxDuration = time.Hour
 
-// Validate implements kong's hook.
+// Validate is called by kong after parsing.
 func (r *RunCmd) Validate() error {
 	if r.Duration <= 0 || r.Duration > maxDuration || r.Drain > maxDuration {
 		return fmt.Errorf("--duration and --drain must be between 0 and %s", maxDuration)
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// Run offers the work.
+// Run sends the workload and prints the report.
 func (r *RunCmd) Run(ctx context.Context, s *streams) error {
 	report, err := loadgen.Run(ctx, r.options())
 	if err != nil {
@@ -140,13 +140,13 @@
 			return err
 		}
 	}
-	if err := measure.Table(s.out, report); err != nil {
+	if err := measure.WriteTable(s.out, report); err != nil {
 		return err
 	}
-	report.Details(s.out)
-	faults := report.Faults.Sum()
+	report.WriteDetails(s.out)
+	faults := report.Faults.Total()
 	if e := report.Effects; e != nil {
-		faults += e.Doubled + e.FalseNotRun + e.Missing
+		faults += e.Duplicated + e.FalseNotRun + e.Missing
 	}
 	if faults > 0 {
 		return faultsError{faults}
@@ -163,21 +163,21 @@
 			GenerationsOnly: r.GenerationsOnly || r.Direct,
 		},
 		Caller: caller.Options{
-			Direct: r.Direct, Patience: r.Patience, PatientPatience: r.PatientPatience, Silence: r.Silence,
+			Direct: r.Direct, RetryTimeout: r.Patience, PatientRetryTimeout: r.PatientPatience, IdleTimeout: r.Silence,
 		},
 		Measure: measure.Options{StallThreshold: r.StallThreshold},
 		MaxOpen: r.MaxOpen, Drain: r.Drain,
 	}
 }
 
-// PairCmd measures what an instance adds.
+// PairCmd measures the latency that an instance adds.
 type PairCmd struct {
 	Instance string `required:"" help:"Address of an entry instance whose only engine is the one below." placeholder:"HOST:PORT"`
 	Engine   string `required:"" help:"Address of an engine stand-in that runs with --stamp." placeholder:"HOST:PORT"`
 	Token    string `required:"" help:"Bearer token of a workspace."`
 	Model    string `required:"" help:"Model to ask for."`
-	Pairs    int    `default:"50" help:"Requests that go each way."`
-	Tokens   int    `default:"40" help:"Largest number of tokens of each."`
+	Pairs    int    `default:"50" help:"Number of requests on each path."`
+	Tokens   int    `default:"40" help:"Maximum number of tokens of each request."`
 }
 
 // Run prints the comparison.
@@ -188,10 +188,10 @@
 	if err != nil {
 		return err
 	}
-	return result.Table(s.out)
+	return result.WriteTable(s.out)
 }
 
-// CompareCmd prints a table.
+// CompareCmd prints a table of several reports.
 type CompareCmd struct {
 	Files []string `arg:"" help:"Reports written with run --json."`
 }
@@ -202,10 +202,10 @@
 	if err != nil {
 		return err
 	}
-	return measure.Table(s.out, reports...)
+	return measure.WriteTable(s.out, reports...)
 }
 
-// ReportCmd writes a page.
+// ReportCmd writes a page with plots.
 type ReportCmd struct {
 	Out   string   `default:"out/report" help:"Directory for the page and its plots." placeholder:"DIR"`
 	Title string   `default:"Measured runs" help:"Title of the page."`
--- a/internal/loadgen/command/command_test.go
+++ b/internal/loadgen/command/command_test.go
@@ -17,13 +17,13 @@
 		args []string
 		code int
 	}{
-		"help":             {args: []string{"--help"}, code: ExitOK},
-		"no instances":     {args: []string{"run"}, code: ExitUsage},
-		"unknown mix":      {args: []string{"run", "--instances", "127.0.0.1:1", "--mix", "other"}, code: ExitUsage},
-		"unbounded":        {args: []string{"run", "--instances", "127.0.0.1:1", "--duration", "2h"}, code: ExitUsage},
-		"missing report":   {args: []string{"compare", "no-such-file.json"}, code: ExitFailure},
-		"no rate":          {args: []string{"run", "--instances", "127.0.0.1:1", "--rate", "0"}, code: ExitFailure},
-		"engine of a pair": {args: []string{"pair", "--instance", "127.0.0.1:1"}, code: ExitUsage},
+		"help":                {args: []string{"--help"}, code: ExitOK},
+		"no instances":        {args: []string{"run"}, code: ExitUsage},
+		"unknown mix":         {args: []string{"run", "--instances", "127.0.0.1:1", "--mix", "other"}, code: ExitUsage},
+		"duration too long":   {args: []string{"run", "--instances", "127.0.0.1:1", "--duration", "2h"}, code: ExitUsage},
+		"missing report":      {args: []string{"compare", "no-such-file.json"}, code: ExitFailure},
+		"no rate":             {args: []string{"run", "--instances", "127.0.0.1:1", "--rate", "0"}, code: ExitFailure},
+		"pair without engine": {args: []string{"pair", "--instance", "127.0.0.1:1"}, code: ExitUsage},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestCompareReadsWhatRunWrites(t *testing.T) {
+func TestCompareReadsRunReport(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "run.json")
 	require.NoError(t, writeReport(file, measure.Report{Label: "predicted", Completed: 7, Offered: 9}))
 	var out bytes.Buffer
--- a/internal/loadgen/ledgers.go
+++ b/internal/loadgen/ledgers.go
@@ -19,27 +19,27 @@
 	ledgerTimeout = 20 * time.Second
 )
 
-// ledgers are those of all stand-ins at one time.
+// ledgers holds the contents of the ledgers of all stand-ins at one time.
 type ledgers struct {
-	engines measure.EngineReport
-	// starts holds when each generation was accepted, by place of its engine
-	// in the options.
-	starts   map[int][]time.Time
-	services []service.Ledger
+	engineTotals measure.EngineReport
+	// startTimes holds when each generation was accepted, by the index of its engine in
+	// Options.Engines.
+	startTimes map[int][]time.Time
+	services   []service.Ledger
 }
 
-// readLedgers reads those that answer; a stand-in that was killed in the run
-// has taken its ledger with it.
+// readLedgers reads the ledgers of all stand-ins. Engines that don't respond are skipped: the
+// ledger of a stand-in that was killed during the run is lost.
 func readLedgers(ctx context.Context, opts Options) (ledgers, error) {
-	all := ledgers{starts: map[int][]time.Time{}}
+	result := ledgers{startTimes: map[int][]time.Time{}}
 	for i, address := range opts.Engines {
 		var l engine.Ledger
 		if err := getJSON(ctx, address, ledgerPath, &l); err != nil {
 			continue
 		}
-		addEngine(&all.engines, l)
+		addEngineLedger(&result.engineTotals, l)
 		for _, g := range l.Generations {
-			all.starts[i] = append(all.starts[i], time.UnixMilli(g.AcceptedUnixMillis))
+			result.startTimes[i] = append(result.startTimes[i], time.UnixMilli(g.AcceptedUnixMillis))
 		}
 	}
 	for _, address := range opts.Services {
@@ -47,9 +47,9 @@
 		if err := getJSON(ctx, address, ledgerPath, &l); err != nil {
 			return ledgers{}, merry.Prependf(err, "ledger of service %s", address)
 		}
-		all.services = append(all.services, l)
+		result.services = append(result.services, l)
 	}
-	return all, nil
+	return result, nil
 }
 
 func getJSON(ctx context.Context, address, path string, v any) error {
@@ -67,42 +67,43 @@
 	return merry.Wrap(json.NewDecoder(resp.Body).Decode(v))
 }
 
-func addEngine(sum *measure.EngineReport, l engine.Ledger) {
-	sum.Read++
+func addEngineLedger(totals *measure.EngineReport, l engine.Ledger) {
+	totals.LedgersRead++
 	for _, g := range l.Generations {
-		sum.Generations++
-		sum.Preemptions += int64(g.Preemptions)
-		sum.StallMillis += g.StallMillis
+		totals.Generations++
+		totals.Preemptions += int64(g.Preemptions)
+		totals.StallMillis += g.StallMillis
 		switch g.Status {
 		case engine.StatusFinished, engine.StatusRunning:
 			continue
 		case engine.StatusCancelled, engine.StatusAbandoned:
-			sum.Cancelled++
+			totals.Cancelled++
 		case engine.StatusLost:
-			sum.Lost++
+			totals.Lost++
 		}
-		sum.WastedTokens += int64(g.OutputTokens)
+		totals.WastedTokens += int64(g.OutputTokens)
 	}
 }
 
-// compare fills in what the ledgers show of the run between two readings.
-func compare(report *measure.Report, before, after ledgers, told map[string]caller.Told) {
-	if after.engines.Read > 0 {
-		e, b := after.engines, before.engines
+// fillFromLedgers adds the difference between two ledger readings to the report.
+func fillFromLedgers(report *measure.Report, before, after ledgers, reported map[string]caller.ReportedOutcome) {
+	if after.engineTotals.LedgersRead > 0 {
+		current, previous := after.engineTotals, before.engineTotals
 		report.Engines = &measure.EngineReport{
-			Read: e.Read, Generations: e.Generations - b.Generations,
-			Preemptions: e.Preemptions - b.Preemptions, StallMillis: e.StallMillis - b.StallMillis,
-			WastedTokens: e.WastedTokens - b.WastedTokens,
-			Lost:         e.Lost - b.Lost, Cancelled: e.Cancelled - b.Cancelled,
+			LedgersRead: current.LedgersRead, Generations: current.Generations - previous.Generations,
+			Preemptions: current.Preemptions - previous.Preemptions, StallMillis: current.StallMillis - previous.StallMillis,
+			WastedTokens: current.WastedTokens - previous.WastedTokens,
+			Lost:         current.Lost - previous.Lost, Cancelled: current.Cancelled - previous.Cancelled,
 		}
 	}
 	if len(after.services) > 0 {
-		report.Effects = compareEffects(after.services, told)
+		report.Effects = compareEffects(after.services, reported)
 	}
 }
 
-// compareEffects counts how often each key took effect, over all services.
-func compareEffects(services []service.Ledger, told map[string]caller.Told) *measure.EffectReport {
+// compareEffects counts how often each idempotency key took effect, over all services, and
+// compares that with the reported outcomes.
+func compareEffects(services []service.Ledger, reported map[string]caller.ReportedOutcome) *measure.EffectReport {
 	report := &measure.EffectReport{}
 	effects := map[string]int{}
 	for _, l := range services {
@@ -110,31 +111,31 @@
 			effects[e.IdempotencyKey]++
 		}
 	}
-	for key, what := range told {
-		n := effects[key]
-		report.Effects += int64(n)
+	for key, outcome := range reported {
+		count := effects[key]
+		report.Effects += int64(count)
 		switch {
-		case n > 1:
-			report.Doubled++
-		case n == 1 && what == caller.ToldNotRun:
+		case count > 1:
+			report.Duplicated++
+		case count == 1 && outcome == caller.ReportedNotRun:
 			report.FalseNotRun++
-		case n == 0 && what == caller.ToldDone:
+		case count == 0 && outcome == caller.ReportedDone:
 			report.Missing++
 		}
 	}
 	return report
 }
 
-// startsByZone counts, for each second since start, what the engines of each
-// availability zone accepted.
-func startsByZone(start time.Time, zones []string, starts map[int][]time.Time) map[string][]int64 {
+// countStartsByZone counts the generations accepted by the engines of each availability zone,
+// per second since start.
+func countStartsByZone(start time.Time, zones []string, startTimes map[int][]time.Time) map[string][]int64 {
 	counts := map[string][]int64{}
 	for engine, zone := range zones {
-		for _, at := range starts[engine] {
-			if at.Before(start) {
+		for _, startTime := range startTimes[engine] {
+			if startTime.Before(start) {
 				continue
 			}
-			second := int(at.Sub(start) / time.Second)
+			second := int(startTime.Sub(start) / time.Second)
 			for len(counts[zone]) <= second {
 				counts[zone] = append(counts[zone], 0)
 			}
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -1,7 +1,7 @@
-// Package loadgen offers the work of a deployment to a running system and
-// measures what its callers get. Requests arrive whatever happens to earlier
-// ones, so a system that falls behind is seen to. Time, number of requests and
-// number of open ones are bounded.
+// Package loadgen sends a deployment's workload to a running system and measures what its
+// callers get. Requests are sent at their scheduled times whether or not earlier ones have
+// ended (open loop), so a system that falls behind becomes visible. The duration, the number of
+// requests and the number of open requests are limited.
 //
 // # Usage
 //
@@ -24,29 +24,29 @@
 	"pollenspindle.example/pollenspindle/internal/loadgen/workload"
 )
 
-// Options describe one run.
+// Options configure one run.
 type Options struct {
 	Label string
-	// Instances are addresses of entry instances that are asked first.
+	// Instances are addresses of entry instances that are asked for the list of instances.
 	Instances []string
-	// Engines and Services are addresses of stand-ins whose ledgers are read
-	// before and after.
+	// Engines and Services are the addresses of stand-ins whose ledgers are read before and
+	// after the run.
 	Engines  []string
 	Services []string
-	// EngineZones are the availability zones of Engines, in the same order;
-	// without them no starts are counted by zone.
+	// EngineZones are the availability zones of Engines, in the same order; without them,
+	// starts are not counted by zone.
 	EngineZones []string
-	// Marks are copied into the report.
+	// Marks are the times of events that are caused on purpose, in seconds since the start, by
+	// name. They are copied into the report.
 	Marks map[string]float64
-	// PIDs are processes whose cost is measured.
+	// PIDs are the processes whose CPU time and memory are measured.
 	PIDs     []int
 	Workload workload.Options
 	Caller   caller.Options
 	Measure  measure.Options
-	// MaxOpen bounds the requests in progress; more are dropped and counted.
+	// MaxOpen limits the open requests; requests beyond it are dropped and counted.
 	MaxOpen int
-	// Drain is how long the run waits for open requests after the last
-	// arrival.
+	// Drain is how long the run waits for open requests after the last arrival.
 	Drain time.Duration
 }
 
@@ -72,7 +72,7 @@
 // DefaultStallThreshold is four times the target of 42 ms between tokens.
 const DefaultStallThreshold = 168 * time.Millisecond
 
-// Run offers the work and returns the report.
+// Run sends the workload and returns the report.
 func Run(ctx context.Context, opts Options) (measure.Report, error) {
 	opts = opts.withDefaults()
 	requests, err := workload.Generate(opts.Workload)
@@ -80,7 +80,7 @@
 		return measure.Report{}, err
 	}
 	if len(opts.Instances) == 0 {
-		return measure.Report{}, merry.New("no instance to ask")
+		return measure.Report{}, merry.New("no instance addresses given")
 	}
 	before, err := readLedgers(ctx, opts)
 	if err != nil {
@@ -93,9 +93,9 @@
 	var open atomic.Int64
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	defer stopWatch()
-	processes := watch(watchCtx, opts.PIDs, open.Load)
-	preemptions := watchPreemptions(watchCtx, opts.Engines)
-	err = offer(ctx, opts, recorder, requests, start, func(ctx context.Context, arrival time.Time, req workload.Request) {
+	processes := sampleProcesses(watchCtx, opts.PIDs, open.Load)
+	preemptions := samplePreemptions(watchCtx, opts.Engines)
+	err = sendRequests(ctx, opts, recorder, requests, start, func(ctx context.Context, arrival time.Time, req workload.Request) {
 		open.Add(1)
 		defer open.Add(-1)
 		c.Do(ctx, arrival, req)
@@ -108,8 +108,8 @@
 	report := recorder.Report(time.Now())
 	report.Processes = costs
 	for second, n := range <-preemptions {
-		if second < len(report.Series) {
-			report.Series[second].Preemptions = n
+		if second < len(report.PerSecond) {
+			report.PerSecond[second].Preemptions = n
 		}
 	}
 	report.Label, report.Mix = opts.Label, string(opts.Workload.Mix)
@@ -118,19 +118,19 @@
 	if err != nil {
 		return measure.Report{}, err
 	}
-	compare(&report, before, after, c.Told())
+	fillFromLedgers(&report, before, after, c.ReportedOutcomes())
 	report.Marks = opts.Marks
-	report.Starts = startsByZone(start, opts.EngineZones, after.starts)
+	report.Starts = countStartsByZone(start, opts.EngineZones, after.startTimes)
 	return report, nil
 }
 
-// doFunc does one request to its end.
+// doFunc sends one request and returns when it has ended.
 type doFunc func(ctx context.Context, arrival time.Time, req workload.Request)
 
-// offer sends each request at its time and waits for the open ones.
-func offer(ctx context.Context, opts Options, recorder *measure.Recorder, requests []workload.Request, start time.Time, do doFunc) error {
-	// A full pool drops the request instead of waiting: waiting would let a
-	// slow system slow down its callers, and so hide how slow it is.
+// sendRequests sends each request at its arrival time and waits for the open ones.
+func sendRequests(ctx context.Context, opts Options, recorder *measure.Recorder, requests []workload.Request, start time.Time, do doFunc) error {
+	// When the pool is full, the request is dropped rather than delayed: waiting would let a
+	// slow system slow down its callers and hide how slow it is.
 	pool, err := ants.NewPool(opts.MaxOpen, ants.WithNonblocking(true))
 	if err != nil {
 		return merry.Wrap(err)
@@ -141,7 +141,7 @@
 	done := make(chan struct{}, opts.MaxOpen)
 	open := 0
 	for _, req := range requests {
-		arrival := start.Add(req.At)
+		arrival := start.Add(req.ArrivalOffset)
 		open -= waitUntil(runCtx, arrival, done)
 		if runCtx.Err() != nil {
 			break
@@ -151,30 +151,30 @@
 			do(runCtx, arrival, req)
 		})
 		if err != nil {
-			recorder.Dropped()
+			recorder.RecordDropped()
 			continue
 		}
 		open++
 	}
-	// Each ends by the context at the latest.
+	// Each request ends at the latest when its context does.
 	for ; open > 0; open-- {
 		<-done
 	}
 	return ctx.Err()
 }
 
-// waitUntil waits for a time and returns how many requests ended meanwhile.
-func waitUntil(ctx context.Context, at time.Time, done <-chan struct{}) int {
-	timer := time.NewTimer(time.Until(at))
+// waitUntil waits until t and returns how many requests ended meanwhile.
+func waitUntil(ctx context.Context, t time.Time, done <-chan struct{}) int {
+	timer := time.NewTimer(time.Until(t))
 	defer timer.Stop()
-	for ended := 0; ; {
+	for finished := 0; ; {
 		select {
 		case <-ctx.Done():
-			return ended
+			return finished
 		case <-done:
-			ended++
+			finished++
 		case <-timer.C:
-			return ended
+			return finished
 		}
 	}
 }
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -14,9 +14,9 @@
 	"pollenspindle.example/pollenspindle/internal/standin/service"
 )
 
-// A run against an engine that is too small counts what the engine's ledger
-// counts, and finds every token once.
-func TestRunAgreesWithLedger(t *testing.T) {
+// Guards against counting errors: on an engine with too little memory, which preempts
+// generations, the report must match the engine's ledger and contain every token exactly once.
+func TestRunReportMatchesEngineLedger(t *testing.T) {
 	opts := engine.DefaultOptions()
 	opts.ColdTime, opts.TimeScale = 0, 50
 	opts.Batch.MemoryTokens = 3000
@@ -33,15 +33,15 @@
 	report, err := Run(ctx, Options{
 		Instances: []string{at}, Engines: []string{at},
 		Workload: workload.Options{Mix: workload.Inyange, Seed: 3, Rate: 40, Duration: time.Second, Max: 40, GenerationsOnly: true},
-		Caller:   caller.Options{Direct: true, Patience: time.Minute},
+		Caller:   caller.Options{Direct: true, RetryTimeout: time.Minute},
 	})
 	require.NoError(t, err)
 	require.Positive(t, report.Offered)
 	require.Equal(t, report.Offered, report.Completed, report.Codes)
 	require.Equal(t, report.Offered, report.Engines.Generations)
 	require.Positive(t, report.Engines.Preemptions)
-	require.Zero(t, report.Faults.Sum())
-	require.Equal(t, report.Tokens, report.Between.Count+report.FirstToken.Count)
+	require.Zero(t, report.Faults.Total())
+	require.Equal(t, report.Tokens, report.BetweenTokens.Count+report.FirstToken.Count)
 }
 
 func TestCompareEffects(t *testing.T) {
@@ -49,9 +49,9 @@
 		{Effects: []service.Effect{{IdempotencyKey: "once"}, {IdempotencyKey: "twice"}, {IdempotencyKey: "denied"}}},
 		{Effects: []service.Effect{{IdempotencyKey: "twice"}, {IdempotencyKey: "unsure"}}},
 	}
-	told := map[string]caller.Told{
-		"once": caller.ToldDone, "twice": caller.ToldDone, "denied": caller.ToldNotRun,
-		"unsure": caller.ToldUnknown, "never": caller.ToldDone, "refused": caller.ToldNotRun,
+	reported := map[string]caller.ReportedOutcome{
+		"once": caller.ReportedDone, "twice": caller.ReportedDone, "denied": caller.ReportedNotRun,
+		"unsure": caller.ReportedUnknown, "never": caller.ReportedDone, "refused": caller.ReportedNotRun,
 	}
-	require.Equal(t, &measure.EffectReport{Effects: 5, Doubled: 1, FalseNotRun: 1, Missing: 1}, compareEffects(ledgers, told))
+	require.Equal(t, &measure.EffectReport{Effects: 5, Duplicated: 1, FalseNotRun: 1, Missing: 1}, compareEffects(ledgers, reported))
 }
--- a/internal/loadgen/measure/measure.go
+++ b/internal/loadgen/measure/measure.go
@@ -1,11 +1,10 @@
-// Package measure collects what callers see in one run: the time to the first
-// token, the time between tokens, stalls, outcomes, and whether every token
-// came once and in order.
+// Package measure records what callers see during one run: the time to the first token, the
+// time between tokens, stalls, outcomes, and tokens that were lost, duplicated or out of order.
 //
 // # Usage
 //
 //	r := measure.NewRecorder(measure.Options{StallThreshold: 200 * time.Millisecond}, start)
-//	r.Stream(now, stream)
+//	r.RecordStream(now, stream)
 //	report := r.Report(now)
 package measure
 
@@ -19,70 +18,69 @@
 )
 
 const (
-	// histogramMax bounds what is measured, in microseconds; longer counts as
-	// this. histogramDigits is the precision.
+	// histogramMax is the largest recorded value, in microseconds; longer times are recorded as
+	// this. histogramDigits is the number of significant digits.
 	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Options say how a run is measured.
+// Options configure a Recorder.
 type Options struct {
-	// StallThreshold is the time between two tokens from which on the reader
-	// sees a stall.
+	// StallThreshold is the minimum time between two tokens that counts as a stall.
 	StallThreshold time.Duration
 }
 
 // Outcome is how a request ended for its caller.
 type Outcome string
 
-// The outcomes.
+// Outcomes of requests.
 const (
 	Completed Outcome = "completed"
 	Refused   Outcome = "refused"
 	Failed    Outcome = "failed"
 )
 
-// Stream is one generation as its caller saw it.
+// Stream is the result of one generation as its caller saw it.
 type Stream struct {
 	Kind      workload.Kind
 	Workspace string
 	Outcome   Outcome
 	// Code is the error code of a request that was not completed.
 	Code string
-	// FirstToken is the time from arrival to the first token; zero if none.
+	// FirstToken is the time from arrival to the first token; zero if there was none.
 	FirstToken time.Duration
 	// Duration is the time from arrival to the end.
 	Duration time.Duration
 	Tokens   int64
-	// Stall is the sum of the times between tokens above the threshold.
+	// Stall is the sum of the times between tokens that reached the stall threshold.
 	Stall time.Duration
-	// Resumes counts the connections beyond the first.
+	// Resumes counts the attempts to resume the stream on another connection.
 	Resumes int
-	// Refusals counts the refusals before the request was taken or given up.
+	// Refusals counts the failed attempts before the request was accepted or given up.
 	Refusals int
 	Faults   Faults
 }
 
-// Faults are tokens that did not come once, in order, from one generation.
+// Faults counts tokens that did not arrive exactly once, in order and from a single generation.
 type Faults struct {
-	Doubled    int64 `json:"doubled"`
+	Duplicated int64 `json:"doubled"`
 	Lost       int64 `json:"lost"`
 	OutOfOrder int64 `json:"outOfOrder"`
-	// Mixed counts tokens of another generation.
-	Mixed int64 `json:"mixed"`
+	// Foreign counts tokens of another generation and unreadable ones.
+	Foreign int64 `json:"mixed"`
 }
 
 func (f *Faults) add(g Faults) {
-	f.Doubled += g.Doubled
+	f.Duplicated += g.Duplicated
 	f.Lost += g.Lost
 	f.OutOfOrder += g.OutOfOrder
-	f.Mixed += g.Mixed
+	f.Foreign += g.Foreign
 }
 
-// Sum counts all faults.
-func (f *Faults) Sum() int64 { return f.Doubled + f.Lost + f.OutOfOrder + f.Mixed }
+// Total returns the number of all faults.
+func (f *Faults) Total() int64 { return f.Duplicated + f.Lost + f.OutOfOrder + f.Foreign }
 
-// Call is one call of a plain service as its caller saw it.
+// Call is the result of one call to a plain service as its caller saw it.
 type Call struct {
 	Kind      workload.Kind
 	Workspace string
@@ -91,40 +89,40 @@
 	Duration  time.Duration
 }
 
-// Recorder collects measurements. It is safe for use by several goroutines.
+// Recorder collects measurements. It is safe for concurrent use.
 type Recorder struct {
 	opts  Options
 	start time.Time
 
-	mu         sync.Mutex
-	firstToken *hdrhistogram.Histogram
-	between    *hdrhistogram.Histogram
-	stall      *hdrhistogram.Histogram
-	calls      *hdrhistogram.Histogram
-	counts     counts
-	codes      map[string]int64
-	kinds      map[workload.Kind]*KindReport
-	workspaces map[string]*WorkspaceReport
-	seconds    []Second
-	// latest holds the times between tokens of the second last looked at.
-	latest       *hdrhistogram.Histogram
-	latestSecond int
+	mu            sync.Mutex
+	firstToken    *hdrhistogram.Histogram
+	betweenTokens *hdrhistogram.Histogram
+	stall         *hdrhistogram.Histogram
+	calls         *hdrhistogram.Histogram
+	counts        counts
+	codes         map[string]int64
+	kinds         map[workload.Kind]*KindReport
+	workspaces    map[string]*WorkspaceReport
+	perSecond     []Second
+	// secondGaps holds the times between tokens during the second gapsSecond.
+	secondGaps *hdrhistogram.Histogram
+	gapsSecond int
 }
 
 type counts struct {
 	offered, completed, refused, failed, dropped int64
-	calls, callsCompleted, callsFailed           int64
-	tokens, goodTokens                           int64
-	stalled, resumes, refusals                   int64
+	plainCalls, callsCompleted, callsFailed      int64
+	tokens, completedTokens                      int64
+	stalledStreams, resumes, refusals            int64
 	stall                                        time.Duration
 	faults                                       Faults
 }
 
-// NewRecorder returns a Recorder of a run that begins at start.
+// NewRecorder returns a Recorder for a run that begins at start.
 func NewRecorder(opts Options, start time.Time) *Recorder {
 	return &Recorder{
 		opts: opts, start: start,
-		firstToken: newHistogram(), between: newHistogram(), stall: newHistogram(), calls: newHistogram(), latest: newHistogram(),
+		firstToken: newHistogram(), betweenTokens: newHistogram(), stall: newHistogram(), calls: newHistogram(), secondGaps: newHistogram(),
 		codes:      map[string]int64{},
 		kinds:      map[workload.Kind]*KindReport{},
 		workspaces: map[string]*WorkspaceReport{},
@@ -136,51 +134,51 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// The value is within the bounds, so recording can't fail.
+	// The value is clamped to the histogram's range, so recording can't fail.
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), histogramMax))
 }
 
-// Gap records the time between two tokens that ended at now and reports
-// whether it is a stall.
-func (r *Recorder) Gap(now time.Time, d time.Duration) bool {
+// RecordGap records the time d between two tokens, the second of which arrived at now, and
+// reports whether it is a stall.
+func (r *Recorder) RecordGap(now time.Time, d time.Duration) bool {
 	stalled := d >= r.opts.StallThreshold
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	record(r.between, d)
-	second := r.second(now)
-	r.follow(second.Second)
-	record(r.latest, d)
+	record(r.betweenTokens, d)
+	second := r.secondAt(now)
+	r.startSecond(second.Second)
+	record(r.secondGaps, d)
 	second.Tokens++
-	second.MaxGapMillis = max(second.MaxGapMillis, millis(d))
+	second.MaxGapMillis = max(second.MaxGapMillis, toMillis(d))
 	if stalled {
-		second.StallMillis += millis(d)
+		second.StallMillis += toMillis(d)
 	}
 	return stalled
 }
 
-// follow closes the histogram of the second before when another one begins.
-// One histogram for each second of a run would take megabytes.
-func (r *Recorder) follow(second int) {
-	if second == r.latestSecond {
+// startSecond stores the 99th percentile of the previous second when another one begins and
+// resets the histogram. One histogram per second of a run would take megabytes.
+func (r *Recorder) startSecond(second int) {
+	if second == r.gapsSecond {
 		return
 	}
-	if r.latest.TotalCount() > 0 {
-		r.seconds[r.latestSecond].P99GapMillis = float64(r.latest.ValueAtQuantile(99)) / 1000
+	if r.secondGaps.TotalCount() > 0 {
+		r.perSecond[r.gapsSecond].P99GapMillis = float64(r.secondGaps.ValueAtQuantile(99)) / 1000
 	}
-	r.latest.Reset()
-	r.latestSecond = second
+	r.secondGaps.Reset()
+	r.gapsSecond = second
 }
 
-// FirstToken records the time from arrival to the first token.
-func (r *Recorder) FirstToken(now time.Time, d time.Duration) {
+// RecordFirstToken records the time from arrival to the first token, which arrived at now.
+func (r *Recorder) RecordFirstToken(now time.Time, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	record(r.firstToken, d)
-	r.second(now).Tokens++
+	r.secondAt(now).Tokens++
 }
 
-// Stream records a generation that has ended at now.
-func (r *Recorder) Stream(now time.Time, s Stream) {
+// RecordStream records a generation that ended at now.
+func (r *Recorder) RecordStream(now time.Time, s Stream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := &r.counts
@@ -192,15 +190,15 @@
 	c.stall += s.Stall
 	record(r.stall, s.Stall)
 	if s.Stall > 0 {
-		c.stalled++
+		c.stalledStreams++
 	}
-	second := r.second(now)
+	second := r.secondAt(now)
 	switch s.Outcome {
 	case Completed:
 		c.completed++
-		c.goodTokens += s.Tokens
+		c.completedTokens += s.Tokens
 		second.Completed++
-		second.DurationMillis += millis(s.Duration)
+		second.DurationMillis += toMillis(s.Duration)
 	case Refused:
 		c.refused++
 		second.Refused++
@@ -208,32 +206,31 @@
 		c.failed++
 		second.Failed++
 	}
-	r.count(s.Kind, s.Workspace, s.Outcome, s.Code, s.Tokens)
+	r.countRequest(s.Kind, s.Workspace, s.Outcome, s.Code, s.Tokens)
 }
 
-// Call records a call of a plain service that has ended.
-func (r *Recorder) Call(c Call) {
+// RecordCall records a call to a plain service that has ended.
+func (r *Recorder) RecordCall(c Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counts.calls++
+	r.counts.plainCalls++
 	if c.Outcome == Completed {
 		r.counts.callsCompleted++
 		record(r.calls, c.Duration)
 	} else {
 		r.counts.callsFailed++
 	}
-	r.count(c.Kind, c.Workspace, c.Outcome, c.Code, 0)
+	r.countRequest(c.Kind, c.Workspace, c.Outcome, c.Code, 0)
 }
 
-// Dropped records a request that the generator itself could not send, because
-// too many were open.
-func (r *Recorder) Dropped() {
+// RecordDropped records a request that the generator did not send because too many were open.
+func (r *Recorder) RecordDropped() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.dropped++
 }
 
-func (r *Recorder) count(kind workload.Kind, workspace string, outcome Outcome, code string, tokens int64) {
+func (r *Recorder) countRequest(kind workload.Kind, workspace string, outcome Outcome, code string, tokens int64) {
 	if code != "" {
 		r.codes[code]++
 	}
@@ -257,13 +254,13 @@
 	}
 }
 
-// second returns the entry of the second that now is in.
-func (r *Recorder) second(now time.Time) *Second {
+// secondAt returns the entry of the second that contains now.
+func (r *Recorder) secondAt(now time.Time) *Second {
 	i := max(int(now.Sub(r.start)/time.Second), 0)
-	for len(r.seconds) <= i {
-		r.seconds = append(r.seconds, Second{Second: len(r.seconds)})
+	for len(r.perSecond) <= i {
+		r.perSecond = append(r.perSecond, Second{Second: len(r.perSecond)})
 	}
-	return &r.seconds[i]
+	return &r.perSecond[i]
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/loadgen/measure/measure_test.go
+++ b/internal/loadgen/measure/measure_test.go
@@ -11,31 +11,31 @@
 	start := time.Unix(1000, 0)
 	at := start.Add
 	r := NewRecorder(Options{StallThreshold: 100 * time.Millisecond}, start)
-	r.FirstToken(at(time.Second), 300*time.Millisecond)
+	r.RecordFirstToken(at(time.Second), 300*time.Millisecond)
 	for range 99 {
-		require.False(t, r.Gap(at(time.Second), 20*time.Millisecond))
+		require.False(t, r.RecordGap(at(time.Second), 20*time.Millisecond))
 	}
-	require.True(t, r.Gap(at(2500*time.Millisecond), 500*time.Millisecond))
-	r.Stream(at(3*time.Second), Stream{Kind: "a", Workspace: "w1", Outcome: Completed, Tokens: 101, Stall: 500 * time.Millisecond})
-	r.Stream(at(3*time.Second), Stream{Kind: "a", Workspace: "w2", Outcome: Refused, Code: "overloaded", Faults: Faults{Doubled: 1, Mixed: 2}})
-	r.Call(Call{Kind: "b", Workspace: "w1", Outcome: Completed, Duration: time.Millisecond})
+	require.True(t, r.RecordGap(at(2500*time.Millisecond), 500*time.Millisecond))
+	r.RecordStream(at(3*time.Second), Stream{Kind: "a", Workspace: "w1", Outcome: Completed, Tokens: 101, Stall: 500 * time.Millisecond})
+	r.RecordStream(at(3*time.Second), Stream{Kind: "a", Workspace: "w2", Outcome: Refused, Code: "overloaded", Faults: Faults{Duplicated: 1, Foreign: 2}})
+	r.RecordCall(Call{Kind: "b", Workspace: "w1", Outcome: Completed, Duration: time.Millisecond})
 
 	report := r.Report(at(10 * time.Second))
-	require.InDelta(t, 20, report.Between.P50, 0.1)
-	require.InDelta(t, 500, report.Between.Max, 1)
+	require.InDelta(t, 20, report.BetweenTokens.P50, 0.1)
+	require.InDelta(t, 500, report.BetweenTokens.Max, 1)
 	require.InDelta(t, 500, report.StallMillis, 0.001)
 	require.Equal(t, int64(1), report.StalledStreams)
 	require.InDelta(t, 10.1, report.Goodput, 0.001)
-	require.Equal(t, int64(3), report.Faults.Sum())
+	require.Equal(t, int64(3), report.Faults.Total())
 	require.Equal(t, map[string]int64{"overloaded": 1}, report.Codes)
 	require.InDelta(t, 0.5, report.Jain, 0.001)
-	require.Len(t, report.Series, 4)
-	require.InDelta(t, 500, report.Series[2].StallMillis, 0.001)
-	require.Equal(t, int64(100), report.Series[1].Tokens)
+	require.Len(t, report.PerSecond, 4)
+	require.InDelta(t, 500, report.PerSecond[2].StallMillis, 0.001)
+	require.Equal(t, int64(100), report.PerSecond[1].Tokens)
 }
 
 func TestJain(t *testing.T) {
-	require.InDelta(t, 1, Jain([]float64{3, 3, 3}), 1e-9)
-	require.InDelta(t, 0.25, Jain([]float64{1, 0, 0, 0}), 1e-9)
-	require.Zero(t, Jain(nil))
+	require.InDelta(t, 1, JainIndex([]float64{3, 3, 3}), 1e-9)
+	require.InDelta(t, 0.25, JainIndex([]float64{1, 0, 0, 0}), 1e-9)
+	require.Zero(t, JainIndex(nil))
 }
--- a/internal/loadgen/page/chart.go
+++ b/internal/loadgen/page/chart.go
@@ -17,14 +17,14 @@
 const (
 	width  = 8 * vg.Inch
 	height = 2.6 * vg.Inch
-	// bucket is how many seconds one point sums up: single seconds of a
-	// heavy-tailed load hide the course of a run.
-	bucket = 3
-	// headroom leaves place for the legend above the lines.
-	headroom = 1.35
+	// bucketSeconds is how many seconds are summarized by one point; single seconds of a
+	// heavy-tailed load would hide the trend.
+	bucketSeconds = 3
+	// legendHeadroom scales the y axis to leave space for the legend above the lines.
+	legendHeadroom = 1.35
 )
 
-// line is one curve: its name and a value for each point.
+// line is one curve, with one value per bucket.
 type line struct {
 	name   string
 	values []float64
@@ -36,13 +36,13 @@
 	lines             []line
 }
 
-// charts returns the plots of the four measures, and for each run in which
-// something was done to the system the new work of each availability zone.
-func charts(reports []measure.Report) []chart {
+// buildCharts returns the charts that compare the runs and, for each run with marks and start
+// counts, a chart of the generations started in each availability zone.
+func buildCharts(reports []measure.Report) []chart {
 	perSecond := func(name, title, unit string, value func([]measure.Second) float64) chart {
 		c := chart{name: name, title: title, unit: unit}
 		for _, r := range reports {
-			c.lines = append(c.lines, line{r.Label, points(r.Series, value)})
+			c.lines = append(c.lines, line{r.Label, bucketValues(r.PerSecond, value)})
 		}
 		return c
 	}
@@ -53,13 +53,13 @@
 		perSecond("preemptions", "Preemptions", "preemptions / s", func(s []measure.Second) float64 {
 			return mean(s, func(x measure.Second) float64 { return float64(x.Preemptions) })
 		}),
-		perSecond("between", "Time between tokens, 99 in 100 below", "ms", func(s []measure.Second) float64 {
-			return largest(s, func(x measure.Second) float64 { return x.P99GapMillis })
+		perSecond("between", "Time between tokens, 99th percentile", "ms", func(s []measure.Second) float64 {
+			return maxOf(s, func(x measure.Second) float64 { return x.P99GapMillis })
 		}),
 		perSecond("completed", "Generations completed", "completed / s", func(s []measure.Second) float64 {
 			return mean(s, func(x measure.Second) float64 { return float64(x.Completed) })
 		}),
-		perSecond("delay", "Mean time of the generations completed", "s", delay),
+		perSecond("delay", "Mean duration of completed generations", "s", meanDuration),
 	}
 	for _, r := range reports {
 		if len(r.Marks) > 0 && len(r.Starts) > 0 {
@@ -70,10 +70,10 @@
 }
 
 func startsChart(r measure.Report) chart {
-	c := chart{name: "starts-" + r.Label, title: "New work of each availability zone, " + r.Label, unit: "started / s"}
+	c := chart{name: "starts-" + r.Label, title: "Generations started in each availability zone, " + r.Label, unit: "started / s"}
 	for _, zone := range slices.Sorted(maps.Keys(r.Starts)) {
 		values := []float64{}
-		for part := range slices.Chunk(r.Starts[zone], bucket) {
+		for part := range slices.Chunk(r.Starts[zone], bucketSeconds) {
 			sum := int64(0)
 			for _, n := range part {
 				sum += n
@@ -85,31 +85,31 @@
 	return c
 }
 
-func points(series []measure.Second, value func([]measure.Second) float64) []float64 {
+func bucketValues(series []measure.Second, value func([]measure.Second) float64) []float64 {
 	var values []float64
-	for part := range slices.Chunk(series, bucket) {
+	for part := range slices.Chunk(series, bucketSeconds) {
 		values = append(values, value(part))
 	}
 	return values
 }
 
-func mean(s []measure.Second, of func(measure.Second) float64) float64 {
+func mean(s []measure.Second, value func(measure.Second) float64) float64 {
 	sum := 0.0
 	for _, x := range s {
-		sum += of(x)
+		sum += value(x)
 	}
 	return sum / float64(len(s))
 }
 
-func largest(s []measure.Second, of func(measure.Second) float64) float64 {
-	top := 0.0
+func maxOf(s []measure.Second, value func(measure.Second) float64) float64 {
+	result := 0.0
 	for _, x := range s {
-		top = max(top, of(x))
+		result = max(result, value(x))
 	}
-	return top
+	return result
 }
 
-func delay(s []measure.Second) float64 {
+func meanDuration(s []measure.Second) float64 {
 	millis, completed := 0.0, int64(0)
 	for _, x := range s {
 		millis += x.DurationMillis
@@ -121,7 +121,7 @@
 	return millis / 1000 / float64(completed)
 }
 
-// mark is something that was done to the system.
+// mark is an event during a run, drawn as a vertical line.
 type mark struct {
 	name   string
 	second float64
@@ -143,23 +143,23 @@
 // draw writes the plot to a file, with a vertical line for each mark.
 func (c chart) draw(file string, marks []mark) error {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "seconds of the run", c.unit
+	p.X.Label.Text, p.Y.Label.Text = "seconds since the start of the run", c.unit
 	p.Legend.Top = true
 	p.Legend.TextStyle.Font.Size = vg.Points(8)
 	p.Y.Min = 0
 	for i, l := range c.lines {
 		xy := make(plotter.XYs, len(l.values))
 		for j, v := range l.values {
-			xy[j].X, xy[j].Y = float64(j*bucket), v
+			xy[j].X, xy[j].Y = float64(j*bucketSeconds), v
 		}
-		if err := add(p, l.name, xy, i); err != nil {
+		if err := addLine(p, l.name, xy, i); err != nil {
 			return err
 		}
 	}
-	p.Y.Max = max(p.Y.Max*headroom, 1)
+	p.Y.Max = max(p.Y.Max*legendHeadroom, 1)
 	for i, m := range marks {
 		xy := plotter.XYs{{X: m.second, Y: 0}, {X: m.second, Y: p.Y.Max}}
-		if err := add(p, m.name, xy, len(c.lines)+i); err != nil {
+		if err := addLine(p, m.name, xy, len(c.lines)+i); err != nil {
 			return err
 		}
 	}
@@ -169,7 +169,7 @@
 	return nil
 }
 
-func add(p *plot.Plot, name string, xy plotter.XYs, i int) error {
+func addLine(p *plot.Plot, name string, xy plotter.XYs, i int) error {
 	l, err := plotter.NewLine(xy)
 	if err != nil {
 		return merry.Wrap(ErrWrite, merry.WithCause(err))
--- a/internal/loadgen/page/page.go
+++ b/internal/loadgen/page/page.go
@@ -1,5 +1,5 @@
-// Package page turns the reports of runs into a Markdown page with plots: the
-// four measures over time, the policies beside each other.
+// Package page writes a Markdown page with plots that compare the reports of several runs over
+// time.
 //
 // # Usage
 //
@@ -21,22 +21,20 @@
 var ErrWrite = merry.Sentinel("page not written")
 
 const (
-	dirMode  = 0o755
-	fileMode = 0o644
-	// pageName is the name of the page in its directory.
-	pageName = "README.md"
-	// format is that of the plots.
-	format = ".png"
+	dirMode       = 0o755
+	fileMode      = 0o644
+	pageFileName  = "README.md"
+	plotExtension = ".png"
 )
 
-// Write writes a page with its plots into dir.
+// Write writes a page with its plots to dir.
 func Write(dir, title string, reports []measure.Report) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return merry.Wrap(ErrWrite, merry.WithCause(err))
 	}
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "# %s\n\nWritten by `loadgen report` from the reports of these runs:\n\n```\n", title)
-	if err := measure.Table(&text, reports...); err != nil {
+	if err := measure.WriteTable(&text, reports...); err != nil {
 		return merry.Wrap(ErrWrite, merry.WithCause(err))
 	}
 	fmt.Fprint(&text, "```\n")
@@ -45,14 +43,14 @@
 		fmt.Fprintf(&text, "\n- %.0f s: %s", m.second, m.name)
 	}
 	fmt.Fprintln(&text)
-	for _, c := range charts(reports) {
-		file := c.name + format
+	for _, c := range buildCharts(reports) {
+		file := c.name + plotExtension
 		if err := c.draw(filepath.Join(dir, file), marks); err != nil {
 			return err
 		}
 		fmt.Fprintf(&text, "\n## %s\n\n![%s](%s)\n", c.title, c.title, file)
 	}
-	err := os.WriteFile(filepath.Join(dir, pageName), text.Bytes(), fileMode)
+	err := os.WriteFile(filepath.Join(dir, pageFileName), text.Bytes(), fileMode)
 	if err != nil {
 		return merry.Wrap(ErrWrite, merry.WithCause(err))
 	}
--- a/internal/loadgen/page/page_test.go
+++ b/internal/loadgen/page/page_test.go
@@ -11,7 +11,7 @@
 	"pollenspindle.example/pollenspindle/internal/loadgen/measure"
 )
 
-func TestWritePutsRunsBesideEachOther(t *testing.T) {
+func TestWriteComparesRuns(t *testing.T) {
 	series := []measure.Second{
 		{Completed: 2, DurationMillis: 3000, StallMillis: 600, P99GapMillis: 30},
 		{Second: 1, Completed: 1, DurationMillis: 3000, P99GapMillis: 90, Preemptions: 3},
@@ -19,19 +19,19 @@
 		{Second: 3, Completed: 8, DurationMillis: 8000},
 	}
 	reports := []measure.Report{
-		{Label: "predicted", Series: series, Marks: map[string]float64{"zone leaves": 1}, Starts: map[string][]int64{"a": {1, 2, 3, 4}}},
-		{Label: "roundRobin", Series: series[:1]},
+		{Label: "predicted", PerSecond: series, Marks: map[string]float64{"zone leaves": 1}, Starts: map[string][]int64{"a": {1, 2, 3, 4}}},
+		{Label: "roundRobin", PerSecond: series[:1]},
 	}
 	dir := filepath.Join(t.TempDir(), "new", "page")
 	require.NoError(t, Write(dir, "Runs", reports))
-	text, err := os.ReadFile(filepath.Join(dir, pageName))
+	text, err := os.ReadFile(filepath.Join(dir, pageFileName))
 	require.NoError(t, err)
 	require.Contains(t, string(text), "- 1 s: zone leaves\n")
-	charts := charts(reports)
+	charts := buildCharts(reports)
 	require.Len(t, charts, 6)
 	for _, c := range charts {
-		require.Contains(t, string(text), "("+c.name+format+")")
-		require.FileExists(t, filepath.Join(dir, c.name+format))
+		require.Contains(t, string(text), "("+c.name+plotExtension+")")
+		require.FileExists(t, filepath.Join(dir, c.name+plotExtension))
 	}
 
 	byName := map[string][]float64{}
--- a/internal/loadgen/pair/pair.go
+++ b/internal/loadgen/pair/pair.go
@@ -1,8 +1,7 @@
-// Package pair measures what an entry instance adds to a generation: it sends
-// the same requests straight to an engine and through the instance, in turns,
-// and compares the time to the first token and the time that each token takes
-// from the engine to the reader. The engine stand-in must run with stamps, on
-// the same machine.
+// Package pair measures the latency that an entry instance adds to a generation. It sends the
+// same requests alternately to an engine directly and through the instance, and compares the
+// time to the first token and the transit time of each token from the engine to the caller. The
+// engine stand-in must run with stamps, on the same machine.
 //
 // # Usage
 //
@@ -30,33 +29,33 @@
 	"pollenspindle.example/pollenspindle/internal/httpclient"
 )
 
-// Options describe one comparison.
+// Options configure one comparison.
 type Options struct {
 	Engine   string
 	Instance string
 	// Token is the bearer token for the instance.
 	Token string
 	Model string
-	// Pairs is how many requests go each way, Tokens how many each asks for.
+	// Pairs is the number of requests per path, Tokens the maximum number of tokens of each.
 	Pairs  int
 	Tokens int
 }
 
-// Result is what both ways took.
+// Result holds the latencies of both paths.
 type Result struct {
-	Straight Way `json:"straight"`
-	Relayed  Way `json:"relayed"`
+	Direct  PathStats `json:"straight"`
+	Relayed PathStats `json:"relayed"`
 }
 
-// Way is what one of the ways took, in microseconds.
-type Way struct {
-	// FirstToken is from the sending of the request to its first token.
+// PathStats holds the latencies of one path, in microseconds.
+type PathStats struct {
+	// FirstToken is the time from sending the request to its first token.
 	FirstToken Quantiles `json:"firstTokenMicros"`
-	// Transit is from the engine's writing of a token to its arrival.
+	// Transit is the time from the engine emitting a token to its arrival.
 	Transit Quantiles `json:"transitMicros"`
 }
 
-// Quantiles are those of one measure, in microseconds.
+// Quantiles summarizes a distribution, in microseconds.
 type Quantiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -65,25 +64,26 @@
 }
 
 const (
-	maxNanos = int64(time.Minute)
-	digits   = 3
-	// warmUp pairs are not counted: connections open and code is loaded.
-	warmUp = 3
+	histogramMaxNanos = int64(time.Minute)
+	histogramDigits   = 3
+	// warmUpPairs is the number of pairs that are not counted, while connections are opened and
+	// code is loaded.
+	warmUpPairs = 3
 )
 
-// way measures one of the ways.
-type way struct {
-	address string
-	opts    Options
-	http    *httpclient.Client
-	first   *hdrhistogram.Histogram
-	transit *hdrhistogram.Histogram
+// path measures one of the two paths.
+type path struct {
+	address    string
+	opts       Options
+	http       *httpclient.Client
+	firstToken *hdrhistogram.Histogram
+	transit    *hdrhistogram.Histogram
 }
 
-func newWay(address string, opts Options, c *httpclient.Client) *way {
-	return &way{
+func newPath(address string, opts Options, c *httpclient.Client) *path {
+	return &path{
 		address: address, opts: opts, http: c,
-		first: hdrhistogram.New(1, maxNanos, digits), transit: hdrhistogram.New(1, maxNanos, digits),
+		firstToken: hdrhistogram.New(1, histogramMaxNanos, histogramDigits), transit: hdrhistogram.New(1, histogramMaxNanos, histogramDigits),
 	}
 }
 
@@ -91,24 +91,24 @@
 func Run(ctx context.Context, opts Options) (Result, error) {
 	c := httpclient.New(httpclient.Options{})
 	defer c.Close()
-	straight, relayed := newWay(opts.Engine, opts, c), newWay(opts.Instance, opts, c)
-	for i := range opts.Pairs + warmUp {
-		// The order changes, so that neither always finds the prompt cached.
-		order := []*way{straight, relayed}
+	direct, relayed := newPath(opts.Engine, opts, c), newPath(opts.Instance, opts, c)
+	for i := range opts.Pairs + warmUpPairs {
+		// The order alternates so that neither path always finds the prompt in the cache.
+		order := []*path{direct, relayed}
 		if i%2 == 1 {
 			order[0], order[1] = order[1], order[0]
 		}
-		for _, w := range order {
-			if i == warmUp {
-				w.first.Reset()
-				w.transit.Reset()
+		for _, p := range order {
+			if i == warmUpPairs {
+				p.firstToken.Reset()
+				p.transit.Reset()
 			}
-			if err := w.send(ctx, i); err != nil {
-				return Result{}, merry.Prependf(err, "pair %d to %s", i, w.address)
+			if err := p.send(ctx, i); err != nil {
+				return Result{}, merry.Prependf(err, "pair %d to %s", i, p.address)
 			}
 		}
 	}
-	return Result{Straight: straight.result(), Relayed: relayed.result()}, nil
+	return Result{Direct: direct.stats(), Relayed: relayed.stats()}, nil
 }
 
 type chatBody struct {
@@ -123,9 +123,9 @@
 	Content string `json:"content"`
 }
 
-func (w *way) send(ctx context.Context, i int) error {
+func (p *path) send(ctx context.Context, i int) error {
 	body, err := json.Marshal(chatBody{
-		Model: w.opts.Model, Stream: true, MaxTokens: w.opts.Tokens,
+		Model: p.opts.Model, Stream: true, MaxTokens: p.opts.Tokens,
 		Messages: []chatMessage{{Role: "user", Content: fmt.Sprintf("briefing number %d", i)}},
 	})
 	if err != nil {
@@ -134,14 +134,14 @@
 	r := protocol.AcquireRequest()
 	defer protocol.ReleaseRequest(r)
 	r.SetMethod(http.MethodPost)
-	r.Header.SetHost(w.address)
+	r.Header.SetHost(p.address)
 	r.SetRequestURI("/v1/chat/completions")
 	r.Header.SetContentTypeBytes([]byte("application/json"))
-	r.Header.Set("Authorization", "Bearer "+w.opts.Token)
+	r.Header.Set("Authorization", "Bearer "+p.opts.Token)
 	r.Header.Set("X-Request-Id", uuid.NewString())
 	r.SetBody(body)
 	sent := time.Now()
-	resp, err := w.http.Do(ctx, w.address, r, httpclient.Call{Stream: true})
+	resp, err := p.http.Do(ctx, p.address, r, httpclient.Call{Stream: true})
 	if err != nil {
 		return err
 	}
@@ -149,15 +149,15 @@
 	if resp.StatusCode() != http.StatusOK {
 		return merry.Errorf("status %d", resp.StatusCode())
 	}
-	return w.read(resp, sent)
+	return p.read(resp, sent)
 }
 
-// stamped is the part of a chunk that is read.
-type stamped struct {
+// stampedChunk is the part of a chunk that is decoded.
+type stampedChunk struct {
 	EmittedNanos int64 `json:"emittedNanos"`
 }
 
-func (w *way) read(resp *httpclient.Response, sent time.Time) error {
+func (p *path) read(resp *httpclient.Response, sent time.Time) error {
 	events := eventstream.NewReader(resp.Body())
 	for first := true; ; first = false {
 		ev, err := events.Next()
@@ -169,41 +169,41 @@
 			resp.Drain()
 			return nil
 		}
-		var s stamped
+		var s stampedChunk
 		if err := json.Unmarshal(ev.Data, &s); err != nil || s.EmittedNanos == 0 {
 			return merry.Errorf("chunk without stamp: %s", ev.Name)
 		}
 		if first {
-			record(w.first, now.Sub(sent).Nanoseconds())
+			record(p.firstToken, now.Sub(sent).Nanoseconds())
 		}
-		record(w.transit, now.UnixNano()-s.EmittedNanos)
+		record(p.transit, now.UnixNano()-s.EmittedNanos)
 	}
 }
 
 func record(h *hdrhistogram.Histogram, nanos int64) {
-	// The value is within the bounds, so recording can't fail.
-	_ = h.RecordValue(min(max(nanos, 1), maxNanos))
+	// The value is clamped to the histogram's range, so recording can't fail.
+	_ = h.RecordValue(min(max(nanos, 1), histogramMaxNanos))
 }
 
-func (w *way) result() Way {
-	return Way{FirstToken: quantiles(w.first), Transit: quantiles(w.transit)}
+func (p *path) stats() PathStats {
+	return PathStats{FirstToken: newQuantiles(p.firstToken), Transit: newQuantiles(p.transit)}
 }
 
-func quantiles(h *hdrhistogram.Histogram) Quantiles {
+func newQuantiles(h *hdrhistogram.Histogram) Quantiles {
 	at := func(q float64) int64 { return h.ValueAtQuantile(q) / int64(time.Microsecond) }
 	return Quantiles{Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99)}
 }
 
-// Table writes both ways and what the instance adds.
-func (r Result) Table(out io.Writer) error {
+// WriteTable writes the latencies of both paths and the difference between them.
+func (r Result) WriteTable(out io.Writer) error {
 	tw := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "microseconds\tcount\tstraight p50\tp95\tp99\trelayed p50\tp95\tp99\tadded p50\tp95\tp99")
-	row(tw, "first token", r.Straight.FirstToken, r.Relayed.FirstToken)
-	row(tw, "each token", r.Straight.Transit, r.Relayed.Transit)
+	writeRow(tw, "first token", r.Direct.FirstToken, r.Relayed.FirstToken)
+	writeRow(tw, "each token", r.Direct.Transit, r.Relayed.Transit)
 	return tw.Flush()
 }
 
-func row(w io.Writer, name string, s, r Quantiles) {
-	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, r.Count,
-		s.P50, s.P95, s.P99, r.P50, r.P95, r.P99, r.P50-s.P50, r.P95-s.P95, r.P99-s.P99)
+func writeRow(w io.Writer, name string, direct, relayed Quantiles) {
+	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, relayed.Count,
+		direct.P50, direct.P95, direct.P99, relayed.P50, relayed.P95, relayed.P99, relayed.P50-direct.P50, relayed.P95-direct.P95, relayed.P99-direct.P99)
 }
--- a/internal/loadgen/processes.go
+++ b/internal/loadgen/processes.go
@@ -9,13 +9,13 @@
 	"pollenspindle.example/pollenspindle/internal/loadgen/procstat"
 )
 
-// samplePeriod is the time between two looks at the memory of processes.
+// samplePeriod is the time between two samples of the processes' memory.
 const samplePeriod = 100 * time.Millisecond
 
-// watchPreemptions reads the engines' load reports each second until ctx ends,
-// and sends the preemptions of each second then. An engine that gives no answer
-// adds nothing; one that restarted counts from 0 again.
-func watchPreemptions(ctx context.Context, engines []string) <-chan []int64 {
+// samplePreemptions reads the engines' load reports every second until ctx ends, then sends the
+// number of preemptions in each second. An engine that doesn't respond adds nothing; the
+// counter of one that restarted begins at 0 again.
+func samplePreemptions(ctx context.Context, engines []string) <-chan []int64 {
 	result := make(chan []int64, 1)
 	last := make([]int64, len(engines))
 	sample := func() int64 {
@@ -33,24 +33,24 @@
 	go func() {
 		ticker := time.NewTicker(time.Second)
 		defer ticker.Stop()
-		var seconds []int64
+		var perSecond []int64
 		sample()
 		for {
 			select {
 			case <-ctx.Done():
-				result <- seconds
+				result <- perSecond
 				return
 			case <-ticker.C:
-				seconds = append(seconds, sample())
+				perSecond = append(perSecond, sample())
 			}
 		}
 	}()
 	return result
 }
 
-// watch reads processes until ctx ends, and sends the result then. Processes
-// that end meanwhile keep what was read last.
-func watch(ctx context.Context, pids []int, open func() int64) <-chan []measure.ProcessReport {
+// sampleProcesses samples the processes until ctx ends, then sends the result. Processes that
+// exit meanwhile keep their last sample.
+func sampleProcesses(ctx context.Context, pids []int, open func() int64) <-chan []measure.ProcessReport {
 	result := make(chan []measure.ProcessReport, 1)
 	first := make([]procstat.Stat, len(pids))
 	reports := make([]measure.ProcessReport, len(pids))
--- a/internal/loadgen/procstat/procstat.go
+++ b/internal/loadgen/procstat/procstat.go
@@ -1,5 +1,4 @@
-// Package procstat reads what processes cost from the operating system: their
-// processor time and memory.
+// Package procstat reads the CPU time and memory of processes from /proc.
 //
 // # Usage
 //
@@ -19,22 +18,21 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrUnreadable means that the system doesn't tell, or the process has ended.
+// ErrUnreadable means that /proc is unavailable or the process has exited.
 var ErrUnreadable = merry.Sentinel("process statistics unreadable")
 
-// Stat is what a process has used.
+// Stat holds the resource usage of a process.
 type Stat struct {
-	// CPU is user and system time since its start.
+	// CPU is the user and system time since the process started.
 	CPU time.Duration
-	// RSSBytes is its resident memory.
+	// RSSBytes is the resident memory.
 	RSSBytes int64
 }
 
 const (
-	// clockTick is the unit of times in /proc; it is 100 Hz on Linux for all
-	// programs.
+	// clockTick is the unit of CPU times in /proc: 100 Hz on Linux for all programs.
 	clockTick = 10 * time.Millisecond
-	// The fields of /proc/PID/stat behind the command's name.
+	// Indexes of the fields of /proc/PID/stat after the command name.
 	fieldUser   = 11
 	fieldSystem = 12
 	fieldRSS    = 21
@@ -49,8 +47,8 @@
 	return parse(data)
 }
 
-// parse reads the line of /proc/PID/stat. The command's name, in parentheses,
-// may itself hold spaces and parentheses.
+// parse parses the contents of /proc/PID/stat. The command name, in parentheses, may contain
+// spaces and parentheses itself.
 func parse(data []byte) (Stat, error) {
 	end := bytes.LastIndexByte(data, ')')
 	fields := bytes.Fields(data[end+1:])
--- a/internal/loadgen/workload/mix.go
+++ b/internal/loadgen/workload/mix.go
@@ -8,117 +8,118 @@
 	"time"
 )
 
-// workspace is a caller's workspace with its share of the requests.
+// workspace is a caller's workspace with its relative weight in the mix.
 type workspace struct {
 	name    string
-	share   float64
+	weight  float64
 	patient bool
 }
 
-// kind is one kind of request in a mix.
-type kind struct {
-	kind  Kind
-	share float64
-	// workspaces are those that send it.
+// requestKind is one kind of request in a mix.
+type requestKind struct {
+	kind   Kind
+	weight float64
+	// workspaces are the workspaces that send this kind.
 	workspaces []workspace
-	// model is set for generations, service and method for other calls.
+	// model is set for generations, method and path for calls to plain services.
 	model     string
 	maxTokens int
-	// prompt is how the request begins; the words also choose the length
-	// distribution of the engine stand-in. promptTokens is the range of what
-	// follows, in tokens.
-	prompt       string
-	promptTokens [2]int
-	method       string
-	path         string
-	keyed        bool
+	// promptStart is the beginning of the prompt; the engine stand-in chooses the length
+	// distribution by its words. promptTokens is the range of the number of random tokens at
+	// the end.
+	promptStart         string
+	promptTokens        [2]int
+	method              string
+	path                string
+	needsIdempotencyKey bool
 }
 
 type mix struct {
 	name  Mix
-	kinds []kind
+	kinds []requestKind
 }
 
-// clubs are Inyange's workspaces: three large ones send three quarters.
-var clubs = []workspace{
-	{name: "kigali-flyers", share: 35},
-	{name: "huye-gliders", share: 25},
-	{name: "musanze-aero", share: 15},
-	{name: "rubavu-wings", share: 4},
-	{name: "nyanza-models", share: 4},
-	{name: "rwamagana-club", share: 4},
-	{name: "muhanga-pilots", share: 4},
-	{name: "kibuye-soarers", share: 3},
-	{name: "byumba-juniors", share: 2},
-	{name: "field-marshals", share: 4},
+// inyangeClubs are the workspaces of Inyange; the three large ones send three quarters of the
+// requests.
+var inyangeClubs = []workspace{
+	{name: "kigali-flyers", weight: 35},
+	{name: "huye-gliders", weight: 25},
+	{name: "musanze-aero", weight: 15},
+	{name: "rubavu-wings", weight: 4},
+	{name: "nyanza-models", weight: 4},
+	{name: "rwamagana-club", weight: 4},
+	{name: "muhanga-pilots", weight: 4},
+	{name: "kibuye-soarers", weight: 3},
+	{name: "byumba-juniors", weight: 2},
+	{name: "field-marshals", weight: 4},
 }
 
-// schools and cooperatives are Mavuno's: plans come from the schools, notes
-// from those who deliver.
+// mavunoSchools and mavunoCooperatives are the workspaces of Mavuno: schools request plans,
+// cooperatives check delivery notes.
 var (
-	schools = []workspace{
-		{name: "nairobi-schools", share: 40, patient: true},
-		{name: "kiambu-schools", share: 30, patient: true},
-		{name: "machakos-schools", share: 12, patient: true},
-		{name: "kajiado-schools", share: 8, patient: true},
-		{name: "thika-schools", share: 10, patient: true},
+	mavunoSchools = []workspace{
+		{name: "nairobi-schools", weight: 40, patient: true},
+		{name: "kiambu-schools", weight: 30, patient: true},
+		{name: "machakos-schools", weight: 12, patient: true},
+		{name: "kajiado-schools", weight: 8, patient: true},
+		{name: "thika-schools", weight: 10, patient: true},
 	}
-	cooperatives = []workspace{
-		{name: "limuru-greens", share: 40},
-		{name: "kirinyaga-growers", share: 30},
-		{name: "embu-cooperative", share: 15},
-		{name: "nyeri-cooperative", share: 15},
+	mavunoCooperatives = []workspace{
+		{name: "limuru-greens", weight: 40},
+		{name: "kirinyaga-growers", weight: 30},
+		{name: "embu-cooperative", weight: 15},
+		{name: "nyeri-cooperative", weight: 15},
 	}
 )
 
 var mixes = map[Mix]mix{
-	Inyange: {name: Inyange, kinds: []kind{
-		{kind: KindVerdict, share: 40, workspaces: clubs, model: "airworthiness", maxTokens: 1024, prompt: "Give an airworthiness verdict", promptTokens: [2]int{40, 300}},
-		{kind: KindBriefing, share: 40, workspaces: clubs, model: "flight-briefing", maxTokens: 8192, prompt: "Write a flight-log briefing", promptTokens: [2]int{100, 1200}},
-		{kind: KindRoster, share: 12, workspaces: clubs, method: http.MethodGet, path: "/v1/services/club-desk/rosters/today"},
-		{kind: KindBooking, share: 6, workspaces: clubs, method: http.MethodPost, path: "/v1/services/club-desk/bookings", keyed: true},
-		{kind: KindFee, share: 2, workspaces: clubs, method: http.MethodPost, path: "/v1/services/club-desk/fees", keyed: true},
+	Inyange: {name: Inyange, kinds: []requestKind{
+		{kind: KindVerdict, weight: 40, workspaces: inyangeClubs, model: "airworthiness", maxTokens: 1024, promptStart: "Give an airworthiness verdict", promptTokens: [2]int{40, 300}},
+		{kind: KindBriefing, weight: 40, workspaces: inyangeClubs, model: "flight-briefing", maxTokens: 8192, promptStart: "Write a flight-log briefing", promptTokens: [2]int{100, 1200}},
+		{kind: KindRoster, weight: 12, workspaces: inyangeClubs, method: http.MethodGet, path: "/v1/services/club-desk/rosters/today"},
+		{kind: KindBooking, weight: 6, workspaces: inyangeClubs, method: http.MethodPost, path: "/v1/services/club-desk/bookings", needsIdempotencyKey: true},
+		{kind: KindFee, weight: 2, workspaces: inyangeClubs, method: http.MethodPost, path: "/v1/services/club-desk/fees", needsIdempotencyKey: true},
 	}},
-	Mavuno: {name: Mavuno, kinds: []kind{
-		{kind: KindPlan, share: 35, workspaces: schools, model: "menu-planner", maxTokens: 12000, prompt: "Draft the weekly menu-to-order plan", promptTokens: [2]int{200, 1500}},
-		{kind: KindNote, share: 30, workspaces: cooperatives, model: "note-checker", maxTokens: 2048, prompt: "Check this delivery note", promptTokens: [2]int{60, 500}},
-		{kind: KindStock, share: 20, workspaces: schools, method: http.MethodGet, path: "/v1/services/orders/stock/sukuma-wiki"},
-		{kind: KindConfirmation, share: 15, workspaces: cooperatives, method: http.MethodPost, path: "/v1/services/orders/confirmations", keyed: true},
+	Mavuno: {name: Mavuno, kinds: []requestKind{
+		{kind: KindPlan, weight: 35, workspaces: mavunoSchools, model: "menu-planner", maxTokens: 12000, promptStart: "Draft the weekly menu-to-order plan", promptTokens: [2]int{200, 1500}},
+		{kind: KindNote, weight: 30, workspaces: mavunoCooperatives, model: "note-checker", maxTokens: 2048, promptStart: "Check this delivery note", promptTokens: [2]int{60, 500}},
+		{kind: KindStock, weight: 20, workspaces: mavunoSchools, method: http.MethodGet, path: "/v1/services/orders/stock/sukuma-wiki"},
+		{kind: KindConfirmation, weight: 15, workspaces: mavunoCooperatives, method: http.MethodPost, path: "/v1/services/orders/confirmations", needsIdempotencyKey: true},
 	}},
 }
 
 const (
-	// prefixTokens is the part of a prompt that all requests of a kind and
-	// workspace share.
-	prefixTokens = 192
-	// word is one token of the stand-in's prompts.
+	// sharedPrefixTokens is the number of prompt tokens shared by all requests of a kind and
+	// workspace.
+	sharedPrefixTokens = 192
+	// wordFormat formats one word of a prompt, which the stand-in counts as one token.
 	wordFormat = "%03x "
 )
 
-func (m mix) draw(rng *rand.Rand, kinds []kind, seq int, at time.Duration, seed uint64) Request {
-	k := kinds[pick(rng, len(kinds), func(i int) float64 { return kinds[i].share })]
-	w := k.workspaces[pick(rng, len(k.workspaces), func(i int) float64 { return k.workspaces[i].share })]
+func (m mix) drawRequest(rng *rand.Rand, kinds []requestKind, seq int, offset time.Duration, seed uint64) Request {
+	k := kinds[pickWeighted(rng, len(kinds), func(i int) float64 { return kinds[i].weight })]
+	w := k.workspaces[pickWeighted(rng, len(k.workspaces), func(i int) float64 { return k.workspaces[i].weight })]
 	r := Request{
-		Seq: seq, At: at, Kind: k.kind, Workspace: w.name, Patient: w.patient,
+		Seq: seq, ArrivalOffset: offset, Kind: k.kind, Workspace: w.name, Patient: w.patient,
 		Token: string(m.name) + "-" + w.name,
 	}
 	if k.model != "" {
-		r.Generation = &Generation{Model: k.model, MaxTokens: k.maxTokens, Prompt: k.text(rng, w.name)}
+		r.Generation = &Generation{Model: k.model, MaxTokens: k.maxTokens, Prompt: k.promptText(rng, w.name)}
 		return r
 	}
 	r.Call = &Call{Method: k.method, Path: k.path}
-	if k.keyed {
+	if k.needsIdempotencyKey {
 		r.Call.IdempotencyKey = fmt.Sprintf("%s-%x-%d", k.kind, seed, seq)
 		r.Call.Body = fmt.Sprintf(`{"kind":%q,"number":%d}`, k.kind, seq)
 	}
 	return r
 }
 
-// text is a prompt: the shared beginning, then words of its own.
-func (k kind) text(rng *rand.Rand, workspace string) string {
+// promptText returns a prompt: the shared prefix, then random words.
+func (k requestKind) promptText(rng *rand.Rand, workspace string) string {
 	var b strings.Builder
-	b.WriteString(k.prompt + " for " + workspace + ". ")
-	for i := range prefixTokens {
+	b.WriteString(k.promptStart + " for " + workspace + ". ")
+	for i := range sharedPrefixTokens {
 		fmt.Fprintf(&b, wordFormat, i)
 	}
 	n := k.promptTokens[0] + rng.IntN(k.promptTokens[1]-k.promptTokens[0])
@@ -128,15 +129,15 @@
 	return b.String()
 }
 
-// pick draws an index by share.
-func pick(rng *rand.Rand, n int, share func(int) float64) int {
+// pickWeighted returns a random index, chosen by weight.
+func pickWeighted(rng *rand.Rand, n int, weight func(int) float64) int {
 	total := 0.0
 	for i := range n {
-		total += share(i)
+		total += weight(i)
 	}
-	x := rng.Float64() * total
+	remaining := rng.Float64() * total
 	for i := range n {
-		if x -= share(i); x < 0 {
+		if remaining -= weight(i); remaining < 0 {
 			return i
 		}
 	}
--- a/internal/loadgen/workload/workload.go
+++ b/internal/loadgen/workload/workload.go
@@ -1,5 +1,5 @@
-// Package workload makes the requests of the two deployments: which kinds, from
-// which workspaces, when. It is seeded, so that two runs offer the same work.
+// Package workload generates the requests of the two example deployments: their kinds,
+// workspaces and arrival times. It is seeded, so that two runs send the same requests.
 //
 // # Usage
 //
@@ -18,7 +18,7 @@
 // Kind is a kind of request.
 type Kind string
 
-// The kinds of both deployments.
+// Kinds of requests of both deployments.
 const (
 	KindBriefing     Kind = "briefing"
 	KindVerdict      Kind = "verdict"
@@ -31,95 +31,95 @@
 	KindStock        Kind = "stock"
 )
 
-// Mix names a deployment's mix.
+// Mix is the name of a deployment's mix of requests.
 type Mix string
 
-// The mixes.
+// Mixes.
 const (
 	Inyange Mix = "inyange"
 	Mavuno  Mix = "mavuno"
 )
 
-// Options say how much of what is offered.
+// Options configure the workload.
 type Options struct {
 	Mix  Mix
 	Seed uint64
-	// Rate is the mean number of requests a second. They arrive as a Poisson
-	// process, whatever happens to earlier ones.
+	// Rate is the mean number of requests per second. Arrivals are a Poisson process,
+	// independent of earlier requests.
 	Rate     float64
 	Duration time.Duration
-	// Max bounds the number of requests.
+	// Max limits the number of requests.
 	Max int
-	// GenerationsOnly leaves out the calls of plain services; the rate then
-	// is that of generations.
+	// GenerationsOnly leaves out the calls to plain services; Rate is then the rate of
+	// generations.
 	GenerationsOnly bool
 }
 
-// Request is one call of a caller.
+// Request is one request of a caller.
 type Request struct {
 	Seq int
-	// At is the time of arrival after the start of the run.
-	At        time.Duration
-	Kind      Kind
-	Workspace string
+	// ArrivalOffset is the arrival time, relative to the start of the run.
+	ArrivalOffset time.Duration
+	Kind          Kind
+	Workspace     string
 	// Token is the workspace's bearer token.
 	Token string
-	// Patient work may wait long.
+	// Patient requests may wait for a long time.
 	Patient bool
-	// Generation and Call: one of them is set.
+	// Exactly one of Generation and Call is set.
 	Generation *Generation
 	Call       *Call
 }
 
-// Generation is a call of a model.
+// Generation is a request to a model.
 type Generation struct {
 	Model     string
 	Prompt    string
 	MaxTokens int
 }
 
-// Call is a call of a plain service.
+// Call is a request to a plain service.
 type Call struct {
 	Method string
-	// Path is the path behind the address.
+	// Path is the URL path.
 	Path string
 	Body string
 	// IdempotencyKey is empty for idempotent calls.
 	IdempotencyKey string
 }
 
-// Generate returns the requests of one run in the order of their arrival.
+// Generate returns the requests of one run, ordered by arrival time.
 func Generate(opts Options) ([]Request, error) {
 	mix, ok := mixes[opts.Mix]
 	if !ok {
 		return nil, merry.Errorf("unknown mix %q", opts.Mix)
 	}
 	if opts.Rate <= 0 || opts.Duration <= 0 || opts.Max < 1 {
-		return nil, merry.New("rate, duration and largest number of requests must be above 0")
+		return nil, merry.New("rate, duration and maximum number of requests must be positive")
 	}
 	rng := rand.New(rand.NewPCG(opts.Seed, 0x6c6f6164))
 	kinds := mix.kinds
 	if opts.GenerationsOnly {
-		kinds = generationsOf(kinds)
+		kinds = generationKinds(kinds)
 	}
 	var requests []Request
-	at := time.Duration(0)
+	offset := time.Duration(0)
 	for len(requests) < opts.Max {
-		at += time.Duration(rng.ExpFloat64() / opts.Rate * float64(time.Second))
-		if at >= opts.Duration {
+		offset += time.Duration(rng.ExpFloat64() / opts.Rate * float64(time.Second))
+		if offset >= opts.Duration {
 			break
 		}
-		requests = append(requests, mix.draw(rng, kinds, len(requests), at, opts.Seed))
+		requests = append(requests, mix.drawRequest(rng, kinds, len(requests), offset, opts.Seed))
 	}
 	return requests, nil
 }
 
-func generationsOf(kinds []kind) []kind {
-	var kept []kind
+func generationKinds(kinds []requestKind) []requestKind {
+	var generations []requestKind
 	for _, k := range kinds {
 		if k.model != "" {
-			kept = append(kept, k)
+			generations = append(generations, k)
 		}
 	}
-	return kept
+	return generations
 }
--- a/internal/loadgen/workload/workload_test.go
+++ b/internal/loadgen/workload/workload_test.go
@@ -29,8 +29,8 @@
 			byWorkspace, keys := map[string]int{}, map[string]bool{}
 			last := time.Duration(0)
 			for _, r := range requests {
-				require.GreaterOrEqual(t, r.At, last)
-				last = r.At
+				require.GreaterOrEqual(t, r.ArrivalOffset, last)
+				last = r.ArrivalOffset
 				byWorkspace[r.Workspace]++
 				require.True(t, (r.Generation == nil) != (r.Call == nil))
 				if r.Kind == tt.patient {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestGenerateIsBounded(t *testing.T) {
+func TestGenerateLimitsRequests(t *testing.T) {
 	requests, err := Generate(Options{Mix: Inyange, Rate: 1e6, Duration: time.Hour, Max: 10, GenerationsOnly: true})
 	require.NoError(t, err)
 	require.Len(t, requests, 10)
