--- a/internal/slopes/background_loops.go
+++ b/internal/slopes/background_loops.go
@@ -27,44 +27,44 @@
 )
 
 const (
-	// settle is the time for a duty to come into its rhythm, dutyFor that for
-	// which it is measured.
-	settle  = time.Second
-	dutyFor = 3 * time.Second
-	epoch   = 5
-	// runningOnEach is the mean number of requests on a backend server at the
-	// size designed for: 450,000 tokens a second, 42 ms a token, 2,000 servers.
-	runningOnEach = 10
+	// settleTime is how long a background loop runs before it is measured, measureTime how long
+	// it is measured.
+	settleTime  = time.Second
+	measureTime = 3 * time.Second
+	epoch       = 5
+	// runningPerServer is the mean number of running requests on a backend server at the design
+	// size: 450,000 tokens per second, 42 ms per token, 2,000 servers.
+	runningPerServer = 10
 )
 
-// ownerDuty measures the owner's duty: rights, load reports, queues.
-func ownerDuty(ctx context.Context, _ Options) ([]Series, error) {
-	var failed error
+// ownerSeries measures the owner's background loop: leases, load reports and queues.
+func ownerSeries(ctx context.Context, _ Options) ([]Series, error) {
+	var lastErr error
 	measure := func(instances, servers int) float64 {
-		v, err := ownerCost(ctx, instances, servers)
+		v, err := ownerCPU(ctx, instances, servers)
 		if err != nil {
-			failed = err
+			lastErr = err
 		}
 		return v
 	}
 	return []Series{
-		over("owner's duty at 350 instances", "% of a core", "servers", fullServers, serverSizes, func(n int) float64 {
-			return measure(fullInstances, n)
+		measureSeries("owner's background loop at 350 instances", "% of a core", "servers", designServers, serverSizes, func(n int) float64 {
+			return measure(designInstances, n)
 		}),
-		over("owner's duty at 2,000 servers", "% of a core", "instances", fullInstances, instanceSizes, func(n int) float64 {
-			return measure(n, fullServers)
+		measureSeries("owner's background loop at 2,000 servers", "% of a core", "instances", designInstances, instanceSizes, func(n int) float64 {
+			return measure(n, designServers)
 		}),
-	}, failed
+	}, lastErr
 }
 
-// rights is a confirmed lease.
-type rights struct {
+// confirmedLease implements owner.Rights with a lease that is always confirmed.
+type confirmedLease struct {
 	mu    sync.Mutex
 	lease *roster.Lease
 }
 
 // Right implements owner.Rights.
-func (r *rights) Right(now time.Time, s roster.Server) permit.Authority {
+func (r *confirmedLease) Right(now time.Time, s roster.Server) permit.Authority {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lease.Confirm(now, epoch)
@@ -72,199 +72,199 @@
 }
 
 // Roster implements owner.Rights.
-func (r *rights) Roster() *roster.Roster {
+func (r *confirmedLease) Roster() *roster.Roster {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lease.Roster()
 }
 
-// reports answers load polls at once.
-type reports struct{}
+// fakeLoads responds to load polls immediately.
+type fakeLoads struct{}
 
 // Load implements owner.Loads.
-func (reports) Load(_ context.Context, asked time.Time, _ pollenspindle.ServiceKind, _ string) (admission.Report, error) {
-	r := engineReport(runningOnEach)
+func (fakeLoads) Load(_ context.Context, asked time.Time, _ pollenspindle.ServiceKind, _ string) (admission.Report, error) {
+	r := engineReport(runningPerServer)
 	r.MeasuredAt = asked
 	return r, nil
 }
 
-func ownerCost(ctx context.Context, members, servers int) (float64, error) {
-	list := instances(members)
-	self := typical(list, servers)
-	r := &rights{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})}
-	r.lease.Adopt(time.Now(), roster.New(epoch, firstRoster(list)))
-	snap := config.NewSnapshot(1, fleet(servers, fullWorkspaces))
+func ownerCPU(ctx context.Context, members, servers int) (float64, error) {
+	list := rosterInstances(members)
+	self := typicalInstance(list, servers)
+	lease := &confirmedLease{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})}
+	lease.lease.Adopt(time.Now(), roster.New(epoch, initialRoster(list)))
+	snap := config.NewSnapshot(1, fleetConfig(servers, designWorkspaces))
 	o, err := owner.New(owner.Options{
-		Self: self.ID, Incarnation: self.Incarnation, Rights: r, Config: func() *config.Snapshot { return snap },
-		Loads: reports{}, Policy: admission.Predicted{}, Suspects: owner.NewSuspects(),
+		Self: self.ID, Incarnation: self.Incarnation, Rights: lease, Config: func() *config.Snapshot { return snap },
+		Loads: fakeLoads{}, Policy: admission.Predicted{}, Suspects: owner.NewSuspects(),
 		PermitValidity: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	if err != nil {
 		return 0, merry.Wrap(ErrMeasure, merry.WithCause(err))
 	}
-	return share(ctx, o.Run)
+	return cpuPercent(ctx, o.Run)
 }
 
-// typical returns the instance whose number of owned servers is nearest to the
-// mean.
-func typical(list []roster.Instance, servers int) roster.Instance {
-	r := roster.New(epoch, firstRoster(list))
+// typicalInstance returns the instance whose number of owned servers is closest to the mean.
+func typicalInstance(list []roster.Instance, servers int) roster.Instance {
+	r := roster.New(epoch, initialRoster(list))
 	owned := map[string]int{}
 	for i := range servers {
-		if in, ok := r.Owner(server(i).Name, regionName(i)); ok {
+		if in, ok := r.Owner(serverConfig(i).Name, regionName(i)); ok {
 			owned[in.ID]++
 		}
 	}
 	mean := servers / len(list)
-	best := list[0]
+	typical := list[0]
 	for _, in := range list {
-		if distance(owned[in.ID], mean) < distance(owned[best.ID], mean) {
-			best = in
+		if absDiff(owned[in.ID], mean) < absDiff(owned[typical.ID], mean) {
+			typical = in
 		}
 	}
-	return best
+	return typical
 }
 
-func distance(a, b int) int { return max(a-b, b-a) }
+func absDiff(a, b int) int { return max(a-b, b-a) }
 
-// share runs a duty and returns its share of a core, in percent.
-func share(ctx context.Context, duty func(context.Context)) (float64, error) {
+// cpuPercent runs a background loop and returns the CPU time it uses, in percent of a core.
+func cpuPercent(ctx context.Context, run func(context.Context)) (float64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		duty(ctx)
+		run(ctx)
 	}()
 	defer func() {
 		cancel()
 		<-done
 	}()
-	if err := objectapi.Pause(ctx, settle); err != nil {
+	if err := objectapi.Pause(ctx, settleTime); err != nil {
 		return 0, merry.Wrap(err)
 	}
-	before, start := processorTime(), time.Now()
-	if err := objectapi.Pause(ctx, dutyFor); err != nil {
+	before, start := cpuTime(), time.Now()
+	if err := objectapi.Pause(ctx, measureTime); err != nil {
 		return 0, merry.Wrap(err)
 	}
-	return 100 * float64(processorTime()-before) / float64(time.Since(start)), nil
+	return 100 * float64(cpuTime()-before) / float64(time.Since(start)), nil
 }
 
-// memberDuty measures heartbeats, the roster's watch and the list, of one
-// member among fakes. A member sends as many heartbeats as it gets; the
-// processor time of the fakes' answers stands for that of its own.
-func memberDuty(ctx context.Context, _ Options) ([]Series, error) {
-	shared := []Series{
-		{What: "heartbeats: bytes sent by an instance", Unit: "bytes/s", Over: "instances", Size: fullInstances},
-		{What: "heartbeats sent", Unit: "calls/s", Over: "instances", Size: fullInstances},
-		{What: "member's duty, with the answers to as many", Unit: "% of a core", Over: "instances", Size: fullInstances},
-		{What: "instance list: one body", Unit: "bytes", Over: "instances", Size: fullInstances},
+// memberSeries measures the heartbeats, the roster watch and the instance list of one member
+// among fake peers. A member receives as many heartbeats as it sends; the CPU time of the fake
+// peers' responses stands in for that of its own.
+func memberSeries(ctx context.Context, _ Options) ([]Series, error) {
+	byInstances := []Series{
+		{Name: "heartbeats: bytes sent by an instance", Unit: "bytes/s", SizeName: "instances", DesignSize: designInstances},
+		{Name: "heartbeats sent", Unit: "calls/s", SizeName: "instances", DesignSize: designInstances},
+		{Name: "member's background loop, with its peers' responses", Unit: "% of a core", SizeName: "instances", DesignSize: designInstances},
+		{Name: "instance list: one body", Unit: "bytes", SizeName: "instances", DesignSize: designInstances},
 	}
 	for _, n := range instanceSizes {
-		cost, err := memberCost(ctx, n, fullServers)
+		cost, err := measureMember(ctx, n, designServers)
 		if err != nil {
 			return nil, err
 		}
-		for i, v := range []float64{cost.bytes, cost.calls, cost.cpu, cost.list} {
-			shared[i].Points = append(shared[i].Points, Point{float64(n), v})
+		for i, v := range []float64{cost.bytesPerSecond, cost.callsPerSecond, cost.cpuPercent, cost.listBytes} {
+			byInstances[i].Points = append(byInstances[i].Points, Point{float64(n), v})
 		}
 	}
-	servers := Series{What: "heartbeats: bytes sent by an instance, at 350 instances", Unit: "bytes/s", Over: "servers", Size: fullServers}
-	cpu := Series{What: "member's duty at 350 instances", Unit: "% of a core", Over: "servers", Size: fullServers}
+	bytesByServers := Series{Name: "heartbeats: bytes sent by an instance, at 350 instances", Unit: "bytes/s", SizeName: "servers", DesignSize: designServers}
+	cpuByServers := Series{Name: "member's background loop at 350 instances", Unit: "% of a core", SizeName: "servers", DesignSize: designServers}
 	for _, n := range serverSizes {
-		cost, err := memberCost(ctx, fullInstances, n)
+		cost, err := measureMember(ctx, designInstances, n)
 		if err != nil {
 			return nil, err
 		}
-		servers.Points = append(servers.Points, Point{float64(n), cost.bytes})
-		cpu.Points = append(cpu.Points, Point{float64(n), cost.cpu})
+		bytesByServers.Points = append(bytesByServers.Points, Point{float64(n), cost.bytesPerSecond})
+		cpuByServers.Points = append(cpuByServers.Points, Point{float64(n), cost.cpuPercent})
 	}
-	return append(shared, servers, cpu), nil
+	return append(byInstances, bytesByServers, cpuByServers), nil
 }
 
-// memberCosts are what one member costs in a second, and the size of the list.
-type memberCosts struct{ bytes, calls, cpu, list float64 }
+// memberUsage is what one member uses: heartbeat bytes and calls per second, CPU in percent of
+// a core, and the size of the instance list in bytes.
+type memberUsage struct{ bytesPerSecond, callsPerSecond, cpuPercent, listBytes float64 }
 
-func memberCost(ctx context.Context, members, servers int) (memberCosts, error) {
+func measureMember(ctx context.Context, members, servers int) (memberUsage, error) {
 	key, err := peer.NewKey(sharedKey)
 	if err != nil {
-		return memberCosts{}, merry.Wrap(ErrMeasure, merry.WithCause(err))
+		return memberUsage{}, merry.Wrap(ErrMeasure, merry.WithCause(err))
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	list := instances(members)
-	world := &fakeWorld{servers: servers}
+	list := rosterInstances(members)
+	platform := &fakePlatform{servers: servers}
 	var serving sync.WaitGroup
 	defer serving.Wait()
 	defer cancel()
 	for i := range list {
 		l, err := new(net.ListenConfig).Listen(ctx, "tcp", "127.0.0.1:0")
 		if err != nil {
-			return memberCosts{}, merry.Wrap(ErrMeasure, merry.WithCause(err))
+			return memberUsage{}, merry.Wrap(ErrMeasure, merry.WithCause(err))
 		}
 		list[i].PeerAddress = l.Addr().String()
-		s := peer.NewServer(fakePeer{in: list[i], adopters: make([]byte, (members+7)/8), world: world}, key, tally.NoopScope)
-		serving.Go(func() { _ = s.Serve(ctx, countingListener{l, &world.bytes}) })
+		s := peer.NewServer(fakePeer{self: list[i], adopters: make([]byte, (members+7)/8), platform: platform}, key, tally.NoopScope)
+		serving.Go(func() { _ = s.Serve(ctx, countingListener{l, &platform.bytes}) })
 	}
-	if err := world.fill(list); err != nil {
-		return memberCosts{}, err
+	if err := platform.prepare(list); err != nil {
+		return memberUsage{}, err
 	}
-	self := typical(list, servers)
+	self := typicalInstance(list, servers)
 	pool := peer.NewPool(self.ID, key, tally.NoopScope)
 	defer pool.Close()
 	m, err := member.New(member.Options{
 		Self: self, Timing: roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second},
-		Objects: world, List: world, Config: world, Suspects: noSuspects{}, Peers: pool,
+		Objects: platform, List: platform, Config: platform, Suspects: noSuspects{}, Peers: pool,
 		Heartbeat: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
 	if err != nil {
-		return memberCosts{}, merry.Wrap(ErrMeasure, merry.WithCause(err))
+		return memberUsage{}, merry.Wrap(ErrMeasure, merry.WithCause(err))
 	}
-	var costs memberCosts
-	costs.cpu, err = share(ctx, func(ctx context.Context) {
+	var usage memberUsage
+	usage.cpuPercent, err = cpuPercent(ctx, func(ctx context.Context) {
 		go func() {
-			if objectapi.Pause(ctx, settle) == nil {
-				world.reset()
+			if objectapi.Pause(ctx, settleTime) == nil {
+				platform.resetCounts()
 			}
 		}()
 		m.Run(ctx)
 	})
-	costs.bytes = float64(world.bytes.bytes.Load()) / dutyFor.Seconds()
-	costs.calls = float64(world.beats.Load()) / dutyFor.Seconds()
-	costs.list = float64(world.listBytes)
-	return costs, err
+	usage.bytesPerSecond = float64(platform.bytes.total.Load()) / measureTime.Seconds()
+	usage.callsPerSecond = float64(platform.heartbeats.Load()) / measureTime.Seconds()
+	usage.listBytes = float64(platform.listBytes)
+	return usage, err
 }
 
-// fakePeer answers heartbeats as a settled instance.
+// fakePeer responds to heartbeats like an instance in a stable roster.
 type fakePeer struct {
 	peerv1connect.UnimplementedPeerServiceHandler
-	in       roster.Instance
+	self     roster.Instance
 	adopters []byte
-	world    *fakeWorld
+	platform *fakePlatform
 }
 
-// Heartbeat implements the service.
+// Heartbeat implements PeerServiceHandler.
 func (p fakePeer) Heartbeat(_ context.Context, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
-	p.world.beats.Add(1)
+	p.platform.heartbeats.Add(1)
 	res := &peerv1.HeartbeatResponse{
-		Instance: p.in.ID, Incarnation: p.in.Incarnation, Epoch: epoch, ConfigVersion: 1, Adopters: p.adopters,
+		Instance: p.self.ID, Incarnation: p.self.Incarnation, Epoch: epoch, ConfigVersion: 1, Adopters: p.adopters,
 	}
 	if req.GetWantIdentity() {
 		res.Identity = &peerv1.Identity{
-			PeerAddress: p.in.PeerAddress, CallerAddress: p.in.CallerAddress, Zone: p.in.Zone, Region: p.in.Region,
+			PeerAddress: p.self.PeerAddress, CallerAddress: p.self.CallerAddress, Zone: p.self.Zone, Region: p.self.Region,
 		}
 	}
 	return res, nil
 }
 
-// noSuspects knows none.
+// noSuspects implements an empty list of crash suspects.
 type noSuspects struct{}
 
 func (noSuspects) Newest(time.Time, int) []suspect.Entry { return nil }
 func (noSuspects) Merge(time.Time, []suspect.Entry)      {}
 
-// fill makes what the platform and the configuration answer.
-func (w *fakeWorld) fill(list []roster.Instance) error {
+// prepare builds the roster, the instance list and the configuration snapshot.
+func (w *fakePlatform) prepare(list []roster.Instance) error {
 	var err error
-	if w.roster, err = json.Marshal(firstRoster(list)); err != nil {
+	if w.roster, err = json.Marshal(initialRoster(list)); err != nil {
 		return merry.Wrap(ErrMeasure, merry.WithCause(err))
 	}
 	for _, in := range list {
@@ -277,6 +277,6 @@
 		return merry.Wrap(ErrMeasure, merry.WithCause(err))
 	}
 	w.listBytes = len(body)
-	w.snapshot = config.NewSnapshot(1, fleet(w.servers, fullWorkspaces))
+	w.snapshot = config.NewSnapshot(1, fleetConfig(w.servers, designWorkspaces))
 	return nil
 }
--- a/internal/slopes/byte_counter.go
+++ b/internal/slopes/byte_counter.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 )
 
-// counter counts the bytes of all connections to a server, both ways. The
-// headers of TCP and IP are left out.
-type counter struct{ bytes atomic.Int64 }
+// byteCounter counts the bytes on all connections to a server, in both directions, without TCP
+// and IP headers.
+type byteCounter struct{ total atomic.Int64 }
 
 type countingListener struct {
 	net.Listener
-	counter *counter
+	counter *byteCounter
 }
 
 // Accept implements net.Listener.
@@ -27,26 +27,26 @@
 
 type countingConn struct {
 	net.Conn
-	counter *counter
+	counter *byteCounter
 }
 
 // Read implements net.Conn.
 func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.counter.bytes.Add(int64(n))
+	c.counter.total.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.counter.bytes.Add(int64(n))
+	c.counter.total.Add(int64(n))
 	return n, err
 }
 
-// serve serves handler on loopback and counts its bytes.
-func serve(handler http.Handler) (*httptest.Server, *counter) {
-	c := &counter{}
+// serveCounted serves handler on loopback and counts the bytes.
+func serveCounted(handler http.Handler) (*httptest.Server, *byteCounter) {
+	c := &byteCounter{}
 	s := httptest.NewUnstartedServer(handler)
 	s.Listener = countingListener{s.Listener, c}
 	s.Start()
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -22,42 +22,43 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// decision makes one decision at a size.
+// decision is a routing decision whose cost is measured. prepare sets it up at size n and
+// returns a function that makes it once.
 type decision struct {
-	what, over string
-	full       int
-	sizes      []int
-	at         func(n int) func()
-}
-
-var allDecisions = []decision{
-	{"owner of a backend server", "instances", fullInstances, instanceSizes, ownerLookup},
-	{"choice of candidates", "servers", fullServers, serverSizes, choice},
-	{"router: candidates, owner's answer, release", "servers", fullServers, serverSizes, route},
-	{"admission: ask, grant, release", "running requests", 32, runningSizes, grantAndRelease},
-	{"admission: load report", "running requests", 32, runningSizes, loadReport},
-	{"admission: tick with a full queue", "workspaces", fullWorkspaces, workspaceSizes, tickFull},
-	{"queue: next and push", "queued", fullQueued, queuedSizes, nextAndPush},
-	{"queue: next and push at 1,000 queued", "workspaces", fullWorkspaces, workspaceSizes, nextAndPushOf},
+	name, sizeName string
+	designSize     int
+	sizes          []int
+	prepare        func(n int) func()
+}
+
+var decisions = []decision{
+	{"owner of a backend server", "instances", designInstances, instanceSizes, ownerLookup},
+	{"choice of candidates", "servers", designServers, serverSizes, chooseCandidates},
+	{"router: candidates, owner's response, release", "servers", designServers, serverSizes, routeAndRelease},
+	{"admission: request, grant, release", "running requests", 32, runningSizes, acquireAndRelease},
+	{"admission: load report", "running requests", 32, runningSizes, applyLoadReport},
+	{"admission: tick with a full queue", "workspaces", designWorkspaces, workspaceSizes, tickFullQueue},
+	{"queue: next and push", "queued", designQueued, queuedSizes, nextAndPush},
+	{"queue: next and push at 1,000 queued", "workspaces", designWorkspaces, workspaceSizes, nextAndPushByWorkspaces},
 	{"suspects: check", "entries", 4000, suspectSizes, suspectCheck},
 	{"suspects: newest for a heartbeat", "entries", 4000, suspectSizes, suspectNewest},
 }
 
-// decisions measures time and allocation of one decision each.
-func decisions(context.Context, Options) ([]Series, error) {
+// decisionSeries measures the time and the allocations of each decision.
+func decisionSeries(context.Context, Options) ([]Series, error) {
 	var out []Series
-	for _, d := range allDecisions {
-		times := over(d.what, "µs", d.over, float64(d.full), d.sizes, func(n int) float64 { return micros(d.at(n)) })
-		bytes := over(d.what, "bytes allocated", d.over, float64(d.full), d.sizes, func(n int) float64 { return allocated(d.at(n)) })
+	for _, d := range decisions {
+		times := measureSeries(d.name, "µs", d.sizeName, float64(d.designSize), d.sizes, func(n int) float64 { return timeMicros(d.prepare(n)) })
+		bytes := measureSeries(d.name, "bytes allocated", d.sizeName, float64(d.designSize), d.sizes, func(n int) float64 { return allocatedBytes(d.prepare(n)) })
 		out = append(out, times, bytes)
 	}
 	return out, nil
 }
 
-var epochStart = time.Unix(1_000_000, 0)
+var baseTime = time.Unix(1_000_000, 0)
 
 func ownerLookup(n int) func() {
-	r := roster.New(1, firstRoster(instances(n)))
+	r := roster.New(1, initialRoster(rosterInstances(n)))
 	region := regionName(0)
 	i := 0
 	return func() {
@@ -66,7 +67,7 @@
 	}
 }
 
-// serverNames are made before anything is timed.
+// serverNames is built before timing starts.
 var serverNames = func() []string {
 	var names []string
 	for i := range 256 {
@@ -75,40 +76,40 @@
 	return names
 }()
 
-func choice(n int) func() {
-	cfg := fleet(n, 1)
+func chooseCandidates(n int) func() {
+	cfg := fleetConfig(n, 1)
 	snap := config.NewSnapshot(1, cfg)
-	ring := placement.NewRing(snap.ServersByService[service])
+	ring := placement.NewRing(snap.ServersByService[serviceName])
 	rng := rand.New(rand.NewPCG(1, 1))
 	views := placement.Views{}
 	req := &permit.Request{}
 	zone := zoneName(0)
 	return func() {
-		ask := placement.Query{Hash: rng.Uint64(), Zone: zone, Request: req, Accepts: snap.TakesNewWork}
-		placement.Choose(epochStart, ring, ask, views, rng)
+		query := placement.Query{Hash: rng.Uint64(), Zone: zone, Request: req, Accepts: snap.TakesNewWork}
+		placement.Choose(baseTime, ring, query, views, rng)
 	}
 }
 
-// single is the roster of one instance, so that the router's asks stay in its
-// process.
-type single struct{ r *roster.Roster }
+// singleMember is a member that is the only instance, so that the router's permit requests stay
+// in its process.
+type singleMember struct{ r *roster.Roster }
 
-func (s single) Roster() *roster.Roster             { return s.r }
-func (single) Allowed(time.Time) bool               { return true }
-func (single) CatchUp(context.Context, string) bool { return false }
-func (single) Release([]*peerv1.Released)           {}
-func (single) Acquire(context.Context, *peerv1.AcquireRequest) *peerv1.AcquireResponse {
+func (s singleMember) Roster() *roster.Roster             { return s.r }
+func (singleMember) Allowed(time.Time) bool               { return true }
+func (singleMember) CatchUp(context.Context, string) bool { return false }
+func (singleMember) Release([]*peerv1.Released)           {}
+func (singleMember) Acquire(context.Context, *peerv1.AcquireRequest) *peerv1.AcquireResponse {
 	return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_Granted{Granted: &peerv1.Granted{
 		PermitId: "permit", Epoch: 1, ValidMillis: 2000,
 	}}}
 }
 
-func route(n int) func() {
-	self := instances(1)[0]
-	members := single{roster.New(1, firstRoster([]roster.Instance{self}))}
-	snap := config.NewSnapshot(1, fleet(n, fullWorkspaces))
+func routeAndRelease(n int) func() {
+	self := rosterInstances(1)[0]
+	member := singleMember{roster.New(1, initialRoster([]roster.Instance{self}))}
+	snap := config.NewSnapshot(1, fleetConfig(n, designWorkspaces))
 	r := router.New(router.Options{
-		Self: self, Members: members, Local: members, Config: func() *config.Snapshot { return snap },
+		Self: self, Members: member, Local: member, Config: func() *config.Snapshot { return snap },
 		Policy: router.Predicted{}, PermitLifetime: 2 * time.Second,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
@@ -118,7 +119,7 @@
 		i++
 		now := time.Now()
 		req := permit.Request{
-			ID: "request", Service: service, Model: modelName(int(i)), Workspace: "workspace-001",
+			ID: "request", Service: serviceName, Model: modelName(int(i)), Workspace: "workspace-001",
 			Class: pollenspindle.ClassInteractive, PrefixHash: i * 0x9e3779b97f4a7c15, Deadline: now.Add(time.Second),
 		}
 		if p, err := r.Acquire(ctx, now, req); err == nil {
@@ -132,20 +133,20 @@
 	TokenInterval: 42 * time.Millisecond, PermitLifetime: 2 * time.Second, QueueTimeout: time.Hour,
 }
 
-func admissionAsk(i int, mayQueue bool) admission.AcquireRequest {
+func admissionRequest(i int, mayQueue bool) admission.AcquireRequest {
 	return admission.AcquireRequest{
 		PermitID: fmt.Sprintf("permit-%d", i), Weight: 1, MayQueue: mayQueue,
 		Request: permit.Request{
-			ID: fmt.Sprintf("request-%d", i), Service: service, Model: modelName(i),
-			Workspace: fmt.Sprintf("workspace-%03d", i%fullWorkspaces), Class: pollenspindle.ClassInteractive,
-			PromptTokens: 300, MaxTokens: 1000, Deadline: epochStart.Add(time.Hour),
+			ID: fmt.Sprintf("request-%d", i), Service: serviceName, Model: modelName(i),
+			Workspace: fmt.Sprintf("workspace-%03d", i%designWorkspaces), Class: pollenspindle.ClassInteractive,
+			PromptTokens: 300, MaxTokens: 1000, Deadline: baseTime.Add(time.Hour),
 		},
 	}
 }
 
 func engineReport(running int) admission.Report {
 	r := admission.Report{
-		Incarnation: "a", MeasuredAt: epochStart, Running: running, Batch: running,
+		Incarnation: "a", MeasuredAt: baseTime, Running: running, Batch: running,
 		TokenInterval: 30 * time.Millisecond, Sequences: []admission.Sequence{},
 	}
 	for i := range running {
@@ -154,69 +155,69 @@
 	return r
 }
 
-// busyServer runs n requests.
+// busyServer returns a server that runs n requests.
 func busyServer(n int) *admission.Server {
 	s := admission.New(engineConfig, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
-	s.Open(epochStart)
-	s.ApplyReport(epochStart, engineReport(0))
+	s.Open(baseTime)
+	s.ApplyReport(baseTime, engineReport(0))
 	for i := range n {
-		s.Acquire(epochStart, admissionAsk(i, false))
+		s.Acquire(baseTime, admissionRequest(i, false))
 	}
-	s.ApplyReport(epochStart, engineReport(n))
+	s.ApplyReport(baseTime, engineReport(n))
 	return s
 }
 
-func grantAndRelease(n int) func() {
+func acquireAndRelease(n int) func() {
 	s := busyServer(n)
-	ask := admissionAsk(n+1, false)
+	request := admissionRequest(n+1, false)
 	return func() {
-		s.Acquire(epochStart, ask)
-		s.Release(epochStart, ask.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 200})
-		s.Tick(epochStart)
+		s.Acquire(baseTime, request)
+		s.Release(baseTime, request.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 200})
+		s.Tick(baseTime)
 	}
 }
 
-func loadReport(n int) func() {
+func applyLoadReport(n int) func() {
 	s := busyServer(n)
 	r := engineReport(n)
-	return func() { s.ApplyReport(epochStart, r) }
+	return func() { s.ApplyReport(baseTime, r) }
 }
 
-// tickFull looks at a queue of 256 requests of n workspaces behind a server
-// that has no room.
-func tickFull(n int) func() {
+// tickFullQueue ticks a server without free slots whose queue holds 256 requests of n
+// workspaces.
+func tickFullQueue(n int) func() {
 	s := busyServer(engineConfig.WarmLimit)
 	for i := range queue.DefaultParams.MaxItems {
-		a := admissionAsk(1000+i, true)
+		a := admissionRequest(1000+i, true)
 		a.Request.Workspace = fmt.Sprintf("workspace-%03d", i%n)
-		s.Acquire(epochStart, a)
+		s.Acquire(baseTime, a)
 	}
-	return func() { s.Tick(epochStart) }
+	return func() { s.Tick(baseTime) }
 }
 
-func item(i, workspaces int) *queue.Item {
+func queueItem(i, workspaces int) *queue.Item {
 	return &queue.Item{
 		ID: fmt.Sprintf("request-%d", i), Workspace: fmt.Sprintf("workspace-%03d", i%workspaces),
-		Class: pollenspindle.ClassInteractive, Weight: 1, Tokens: 500, Deadline: epochStart.Add(24 * time.Hour),
+		Class: pollenspindle.ClassInteractive, Weight: 1, Tokens: 500, Deadline: baseTime.Add(24 * time.Hour),
 	}
 }
 
-func nextAndPush(n int) func() { return queueWith(n, fullWorkspaces) }
+func nextAndPush(n int) func() { return nextAndPushQueue(n, designWorkspaces) }
 
-func nextAndPushOf(workspaces int) func() { return queueWith(1000, workspaces) }
+func nextAndPushByWorkspaces(workspaces int) func() { return nextAndPushQueue(1000, workspaces) }
 
-// queueWith takes the next request out of a queue and pushes it again.
-func queueWith(queued, workspaces int) func() {
+// nextAndPushQueue takes the next request out of a queue and pushes it again.
+func nextAndPushQueue(queued, workspaces int) func() {
 	params := queue.DefaultParams
 	params.MaxItems = queued + 1
 	q := queue.New(params)
 	for i := range queued {
-		_ = q.Push(epochStart, item(i, workspaces))
+		_ = q.Push(baseTime, queueItem(i, workspaces))
 	}
 	return func() {
-		next, ok := q.Next(epochStart, func(*queue.Item) bool { return true })
+		next, ok := q.Next(baseTime, func(*queue.Item) bool { return true })
 		if ok {
-			_ = q.Push(epochStart, next)
+			_ = q.Push(baseTime, next)
 		}
 	}
 }
@@ -224,7 +225,7 @@
 func suspectTable(n int) *suspect.Table {
 	t := suspect.NewTable(suspect.DefaultParams)
 	for i := range n {
-		t.RecordCrash(epochStart.Add(time.Duration(i)*time.Millisecond), fmt.Sprintf("engine-%d/a", i/10), uint64(i))
+		t.RecordCrash(baseTime.Add(time.Duration(i)*time.Millisecond), fmt.Sprintf("engine-%d/a", i/10), uint64(i))
 	}
 	return t
 }
@@ -234,11 +235,11 @@
 	i := uint64(0)
 	return func() {
 		i++
-		t.Check(epochStart, i%uint64(2*n))
+		t.Check(baseTime, i%uint64(2*n))
 	}
 }
 
 func suspectNewest(n int) func() {
 	t := suspectTable(n)
-	return func() { t.Newest(epochStart.Add(time.Minute), 8) }
+	return func() { t.Newest(baseTime.Add(time.Minute), 8) }
 }
--- a/internal/slopes/fleet.go
+++ b/internal/slopes/fleet.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	zones   = 9
-	regions = 4
-	service = "briefing"
+	zoneCount   = 9
+	regionCount = 4
+	serviceName = "briefing"
 )
 
-func zoneName(i int) string   { return fmt.Sprintf("zone-%d", i%zones) }
-func regionName(i int) string { return fmt.Sprintf("region-%d", i%zones%regions) }
-func modelName(i int) string  { return fmt.Sprintf("model-%d", i%fullModels) }
+func zoneName(i int) string   { return fmt.Sprintf("zone-%d", i%zoneCount) }
+func regionName(i int) string { return fmt.Sprintf("region-%d", i%zoneCount%regionCount) }
+func modelName(i int) string  { return fmt.Sprintf("model-%d", i%designModels) }
 
-// fleet declares a deployment of the given size.
-func fleet(servers, workspaces int) pollenspindle.Config {
+// fleetConfig returns the configuration of a deployment of the given size.
+func fleetConfig(servers, workspaces int) pollenspindle.Config {
 	cfg := pollenspindle.Config{Deployment: "full"}
-	for i := range zones {
+	for i := range zoneCount {
 		cfg.Zones = append(cfg.Zones, pollenspindle.Zone{
 			Name: zoneName(i), Region: regionName(i), State: pollenspindle.ZoneInService,
 		})
 	}
 	cfg.Services = []pollenspindle.Service{{
-		Name: service, Kind: pollenspindle.ServiceGeneration,
+		Name: serviceName, Kind: pollenspindle.ServiceGeneration,
 		QueueSeconds: 5, PatientQueueSeconds: 300, TokenIntervalTargetMillis: 42,
 	}}
-	for i := range fullModels {
+	for i := range designModels {
 		cfg.Models = append(cfg.Models, pollenspindle.Model{
-			Name: modelName(i), Version: "1", Service: service, ContextTokens: 32768,
+			Name: modelName(i), Version: "1", Service: serviceName, ContextTokens: 32768,
 		})
 	}
 	for i := range servers {
-		cfg.Servers = append(cfg.Servers, server(i))
+		cfg.Servers = append(cfg.Servers, serverConfig(i))
 	}
 	for i := range workspaces {
 		sum := sha256.Sum256(fmt.Appendf(nil, "token-%d", i))
@@ -52,17 +52,17 @@
 	return cfg
 }
 
-func server(i int) pollenspindle.Server {
+func serverConfig(i int) pollenspindle.Server {
 	return pollenspindle.Server{
-		Name: fmt.Sprintf("engine-%04d", i), Service: service, Zone: zoneName(i),
+		Name: fmt.Sprintf("engine-%04d", i), Service: serviceName, Zone: zoneName(i),
 		Address: fmt.Sprintf("10.0.%d.%d:8000", i/250, i%250), State: pollenspindle.ServerInService,
 		Models: []string{modelName(i)}, ColdLimit: 2, WarmLimit: 32, MemoryTokens: 160000,
 		Fencing: pollenspindle.FencingChecked,
 	}
 }
 
-// instances are the members of a roster of n.
-func instances(n int) []roster.Instance {
+// rosterInstances returns n instances for a roster.
+func rosterInstances(n int) []roster.Instance {
 	out := make([]roster.Instance, 0, n)
 	for i := range n {
 		out = append(out, roster.Instance{
@@ -75,39 +75,39 @@
 	return out
 }
 
-// firstRoster is a first roster, in which owners wait for nobody.
-func firstRoster(members []roster.Instance) roster.Object {
+// initialRoster returns the first roster, with which owners have no previous owner to wait for.
+func initialRoster(members []roster.Instance) roster.Object {
 	return roster.Object{Number: 1, Instances: members}
 }
 
-// minTimed is how long one timing lasts at least.
-const minTimed = 20 * time.Millisecond
+// minTiming is the minimum duration of one timing.
+const minTiming = 20 * time.Millisecond
 
-// micros returns the least time of one call of f of three timings: what
-// disturbs a timing on a shared machine only makes it longer.
-func micros(f func()) float64 {
-	best := 0.0
+// timeMicros returns the time of one call of f in µs, the minimum of three timings:
+// disturbances on a shared machine only make a timing longer.
+func timeMicros(f func()) float64 {
+	fastest := 0.0
 	for range 3 {
 		for n := 1; ; n *= 2 {
 			start := time.Now()
 			for range n {
 				f()
 			}
-			if took := time.Since(start); took >= minTimed {
-				each := float64(took.Nanoseconds()) / 1000 / float64(n)
-				if best == 0 || each < best {
-					best = each
+			if elapsed := time.Since(start); elapsed >= minTiming {
+				perCall := float64(elapsed.Nanoseconds()) / 1000 / float64(n)
+				if fastest == 0 || perCall < fastest {
+					fastest = perCall
 				}
 				break
 			}
 		}
 	}
-	return best
+	return fastest
 }
 
-// allocated returns the bytes that one call of f allocates, after a first call
-// that may build what the later ones use.
-func allocated(f func()) float64 {
+// allocatedBytes returns the bytes that one call of f allocates, after a first call that may
+// build what later ones reuse.
+func allocatedBytes(f func()) float64 {
 	const calls = 100
 	f()
 	var before, after runtime.MemStats
@@ -119,30 +119,31 @@
 	return float64(after.TotalAlloc-before.TotalAlloc) / calls
 }
 
-// kept returns the bytes of memory that what f returns keeps in use, as the
-// mean of several, since the collector leaves other garbage behind.
-func kept(f func() any) float64 {
+// retainedBytes returns the memory that the result of f retains, as the mean over several
+// results, since other garbage may remain after a collection.
+func retainedBytes(f func() any) float64 {
 	const copies = 16
 	var before, after runtime.MemStats
-	held := make([]any, 0, copies)
-	collect(&before)
+	retained := make([]any, 0, copies)
+	collectGarbage(&before)
 	for range copies {
-		held = append(held, f())
+		retained = append(retained, f())
 	}
-	collect(&after)
-	runtime.KeepAlive(held)
+	collectGarbage(&after)
+	runtime.KeepAlive(retained)
 	return float64(int64(after.HeapAlloc)-int64(before.HeapAlloc)) / copies
 }
 
-// collect frees what finalizers held as well, which takes a second collection.
-func collect(m *runtime.MemStats) {
+// collectGarbage runs the collector twice, since memory held by finalizers is freed only by the
+// second collection.
+func collectGarbage(m *runtime.MemStats) {
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(m)
 }
 
-// processorTime returns what this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time used by this process.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -150,9 +151,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// over measures a series.
-func over(what, unit, size string, full float64, sizes []int, measure func(n int) float64) Series {
-	s := Series{What: what, Unit: unit, Over: size, Size: full}
+// measureSeries measures a series at the given sizes.
+func measureSeries(name, unit, sizeName string, designSize float64, sizes []int, measure func(n int) float64) Series {
+	s := Series{Name: name, Unit: unit, SizeName: sizeName, DesignSize: designSize}
 	for _, n := range sizes {
 		s.Points = append(s.Points, Point{N: float64(n), Value: measure(n)})
 	}
--- a/internal/slopes/load_reports.go
+++ b/internal/slopes/load_reports.go
@@ -15,48 +15,49 @@
 	standin "pollenspindle.example/pollenspindle/internal/standin/engine"
 )
 
-// loadReports measures load reports in full and as changes.
-func loadReports(ctx context.Context) ([]Series, error) {
-	full := Series{What: "one load report in full", Unit: "bytes both ways", Over: "running requests", Size: runningOnEach}
-	changes := Series{What: "one load report as changes, one request ended and one started", Unit: "bytes both ways", Over: "running requests", Size: runningOnEach}
+// loadReportSeries measures the size of full and of incremental load reports.
+func loadReportSeries(ctx context.Context) ([]Series, error) {
+	full := Series{Name: "one full load report", Unit: "bytes both ways", SizeName: "running requests", DesignSize: runningPerServer}
+	incremental := Series{Name: "one incremental load report, one request ended and one started", Unit: "bytes both ways", SizeName: "running requests", DesignSize: runningPerServer}
 	for _, n := range runningSizes {
 		for _, s := range []struct {
 			series *Series
 			tagged bool
-		}{{&full, false}, {&changes, true}} {
-			b, err := reportBytes(ctx, n, s.tagged)
+		}{{&full, false}, {&incremental, true}} {
+			b, err := loadReportBytes(ctx, n, s.tagged)
 			if err != nil {
 				return nil, err
 			}
 			s.series.Points = append(s.series.Points, Point{float64(n), b})
 		}
 	}
-	return []Series{full, changes}, nil
+	return []Series{full, incremental}, nil
 }
 
-// loadAt returns the report of an engine that runs n requests, at round i: in
-// each round one ends and one starts, and all others get some tokens.
-func loadAt(i, n int) engine.LoadReport {
+// loadReportAt returns the load report of an engine that runs n requests. In each round one
+// request ends and one starts, and all others produce some tokens.
+func loadReportAt(round, n int) engine.LoadReport {
 	report := engine.LoadReport{
 		Incarnation: "engine-0001-5f2c", MeasuredMillisAgo: 180, State: engine.LoadWarm, MemoryTokens: 160000,
-		UsedTokens: 9120 + 100*i, CachedTokens: 2000 + i, TokenIntervalMillis: 31.25 + float64(i)/64, Preemptions: 3,
-		AcceptedTotal: int64(812345 + i), FinishedTotal: int64(790123 + i), RefusedTotal: 4,
+		UsedTokens: 9120 + 100*round, CachedTokens: 2000 + round, TokenIntervalMillis: 31.25 + float64(round)/64, Preemptions: 3,
+		AcceptedTotal: int64(812345 + round), FinishedTotal: int64(790123 + round), RefusedTotal: 4,
 	}
-	for k := i; k < i+n; k++ {
+	for k := round; k < round+n; k++ {
 		report.Running = append(report.Running, engine.RunningSequence{
-			ID: fmt.Sprintf("gen-0b0e5f5e-8f0e-4d8c-a2f7-%012d", k), PromptTokens: 300, OutputTokens: 1000 + 20*(i+n-k),
+			ID: fmt.Sprintf("gen-0b0e5f5e-8f0e-4d8c-a2f7-%012d", k), PromptTokens: 300, OutputTokens: 1000 + 20*(round+n-k),
 		})
 	}
 	return report
 }
 
-// reportBytes returns the bytes of one load report that names n requests, from
-// an engine with tags or without; the first, in full, isn't counted.
-func reportBytes(ctx context.Context, n int, tagged bool) (float64, error) {
-	var round atomic.Int64
-	s, count := serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		i := int(round.Add(1))
-		report := loadAt(i, n)
+// loadReportBytes returns the bytes of one load report with n requests, from an engine that
+// sends incremental reports (tagged) or full ones. The first report, which is always full,
+// isn't counted.
+func loadReportBytes(ctx context.Context, n int, tagged bool) (float64, error) {
+	var requests atomic.Int64
+	s, counter := serveCounted(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		i := int(requests.Add(1))
+		report := loadReportAt(i, n)
 		w.Header().Set("Content-Type", "application/json")
 		if !tagged {
 			_ = json.NewEncoder(w).Encode(report)
@@ -67,9 +68,9 @@
 			_ = json.NewEncoder(w).Encode(report)
 			return
 		}
-		before := loadAt(i-1, n)
-		before.Tag = "5f2c1b3a-1." + strconv.Itoa(i-1)
-		_ = json.NewEncoder(w).Encode(standin.DiffLoadReports(before, report))
+		previous := loadReportAt(i-1, n)
+		previous.Tag = "5f2c1b3a-1." + strconv.Itoa(i-1)
+		_ = json.NewEncoder(w).Encode(standin.DiffLoadReports(previous, report))
 	}))
 	defer s.Close()
 	c := engine.NewClient(engine.Options{})
@@ -77,11 +78,11 @@
 	const calls = 50
 	for i := range calls + 1 {
 		if i == 1 {
-			count.bytes.Store(0)
+			counter.total.Store(0)
 		}
 		if _, err := c.Load(ctx, strings.TrimPrefix(s.URL, "http://")); err != nil {
 			return 0, merry.Wrap(ErrMeasure, merry.WithCause(err))
 		}
 	}
-	return float64(count.bytes.Load()) / calls, nil
+	return float64(counter.total.Load()) / calls, nil
 }
--- a/internal/slopes/poll_rates.go
+++ b/internal/slopes/poll_rates.go
@@ -22,54 +22,55 @@
 )
 
 const (
-	// calmSettle is the time until the owner takes a server for calm.
-	calmSettle = 12 * time.Second
-	pollsFor   = 20 * time.Second
+	// stableSettleTime is the time until the owner counts a server as stable and polls it less
+	// often.
+	stableSettleTime = 12 * time.Second
+	pollMeasureTime  = 20 * time.Second
 )
 
-// askRates are asks a second for each of so many servers of one owner. At the
-// size designed for, 1,000 requests a second ask 2,000 servers.
-var askRates = []float64{0, 0.25, 0.5, 1, 2}
+// acquireRates are the permit requests per second of each server; there is one server per rate.
+// At the design size, 1,000 requests per second are spread over 2,000 servers.
+var acquireRates = []float64{0, 0.25, 0.5, 1, 2}
 
-// countedLoads answers load polls of servers that run as many requests as the
-// mean, and counts them by address.
-type countedLoads struct {
+// countingLoads responds to load polls of servers with the mean number of running requests and
+// counts the polls by address.
+type countingLoads struct {
 	mu    sync.Mutex
 	polls map[string]int
 }
 
 // Load implements owner.Loads.
-func (l *countedLoads) Load(_ context.Context, asked time.Time, _ pollenspindle.ServiceKind, address string) (admission.Report, error) {
+func (l *countingLoads) Load(_ context.Context, asked time.Time, _ pollenspindle.ServiceKind, address string) (admission.Report, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.polls[address]++
-	r := engineReport(runningOnEach)
+	r := engineReport(runningPerServer)
 	r.MeasuredAt = asked
 	return r, nil
 }
 
-func (l *countedLoads) reset() {
+func (l *countingLoads) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.polls)
 }
 
-// pollRates measures how often an owner reads the load of calm servers, which
-// asks for permits come to in a Poisson process each.
-func pollRates(ctx context.Context) (Series, error) {
-	out := Series{What: "load polls of a calm server", Unit: "calls/s", Over: "asks/s to it", Size: 0.5}
-	cfg := pollenspindle.Config{Zones: fleet(1, 1).Zones, Services: fleet(1, 1).Services}
-	for i := range askRates {
-		s := server(i)
+// pollRateSeries measures how often an owner polls stable servers, for which permits are
+// requested in a Poisson process each.
+func pollRateSeries(ctx context.Context) (Series, error) {
+	out := Series{Name: "load polls of a stable server", Unit: "calls/s", SizeName: "permit requests/s to it", DesignSize: 0.5}
+	cfg := pollenspindle.Config{Zones: fleetConfig(1, 1).Zones, Services: fleetConfig(1, 1).Services}
+	for i := range acquireRates {
+		s := serverConfig(i)
 		s.ColdLimit = s.WarmLimit
 		cfg.Servers = append(cfg.Servers, s)
 	}
-	self := instances(1)[0]
-	r := &rights{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})}
-	r.lease.Adopt(time.Now(), roster.New(epoch, firstRoster([]roster.Instance{self})))
-	snap, loads := config.NewSnapshot(1, cfg), &countedLoads{polls: map[string]int{}}
+	self := rosterInstances(1)[0]
+	lease := &confirmedLease{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})}
+	lease.lease.Adopt(time.Now(), roster.New(epoch, initialRoster([]roster.Instance{self})))
+	snap, loads := config.NewSnapshot(1, cfg), &countingLoads{polls: map[string]int{}}
 	o, err := owner.New(owner.Options{
-		Self: self.ID, Incarnation: self.Incarnation, Rights: r, Config: func() *config.Snapshot { return snap },
+		Self: self.ID, Incarnation: self.Incarnation, Rights: lease, Config: func() *config.Snapshot { return snap },
 		Loads: loads, Policy: admission.Predicted{}, Suspects: owner.NewSuspects(),
 		PermitValidity: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
@@ -77,30 +78,30 @@
 		return out, merry.Wrap(ErrMeasure, merry.WithCause(err))
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	var duties sync.WaitGroup
-	defer duties.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	defer cancel()
-	duties.Go(func() { o.Run(ctx) })
+	running.Go(func() { o.Run(ctx) })
 	for i, s := range cfg.Servers {
-		duties.Go(func() { askOften(ctx, o, s.Name, askRates[i], uint64(i)) })
+		running.Go(func() { acquireRepeatedly(ctx, o, s.Name, acquireRates[i], uint64(i)) })
 	}
-	if err := objectapi.Pause(ctx, calmSettle); err != nil {
+	if err := objectapi.Pause(ctx, stableSettleTime); err != nil {
 		return out, merry.Wrap(err)
 	}
 	loads.reset()
-	if err := objectapi.Pause(ctx, pollsFor); err != nil {
+	if err := objectapi.Pause(ctx, pollMeasureTime); err != nil {
 		return out, merry.Wrap(err)
 	}
 	loads.mu.Lock()
 	defer loads.mu.Unlock()
 	for i, s := range cfg.Servers {
-		out.Points = append(out.Points, Point{askRates[i], float64(loads.polls[s.Address]) / pollsFor.Seconds()})
+		out.Points = append(out.Points, Point{acquireRates[i], float64(loads.polls[s.Address]) / pollMeasureTime.Seconds()})
 	}
 	return out, nil
 }
 
-// askOften asks for permits and gives each back at once.
-func askOften(ctx context.Context, o *owner.Owner, server string, rate float64, seed uint64) {
+// acquireRepeatedly acquires permits and releases each immediately.
+func acquireRepeatedly(ctx context.Context, o *owner.Owner, server string, rate float64, seed uint64) {
 	if rate == 0 {
 		return
 	}
@@ -110,7 +111,7 @@
 			return
 		}
 		res := o.Acquire(ctx, &peerv1.AcquireRequest{
-			Epoch: epoch, Server: server, Id: fmt.Sprint(server, i), Service: service, Model: modelName(0),
+			Epoch: epoch, Server: server, Id: fmt.Sprint(server, i), Service: serviceName, Model: modelName(0),
 			Workspace: "workspace-001", PromptTokens: 300, MaxTokens: 1000, DeadlineMillis: 5000,
 		})
 		if g := res.GetGranted(); g != nil {
--- a/internal/slopes/processes.go
+++ b/internal/slopes/processes.go
@@ -28,31 +28,31 @@
 
 const (
 	processServers = 200
-	// processSettle is the time for all to be in the roster, processFor that
-	// for which they are measured.
-	processSettle = 8 * time.Second
-	processFor    = 6 * time.Second
-	startLimit    = 30 * time.Second
-	outageFor     = 6 * time.Second
+	// processSettleTime is the time until all instances are in the roster, processMeasureTime
+	// how long they are measured.
+	processSettleTime  = 8 * time.Second
+	processMeasureTime = 6 * time.Second
+	startTimeout       = 30 * time.Second
+	outageTime         = 6 * time.Second
 )
 
 var processSizes = []int{3, 7, 14, 28, 48}
 
-// processes measures idle entry instances as real processes on loopback. They
-// have 200 declared backend servers, which don't exist: the load polls fail
-// and cost little.
-func processes(ctx context.Context, opts Options) ([]Series, error) {
+// processSeries measures idle entry instances as real processes on loopback. Their
+// configuration declares 200 backend servers that don't exist, so the load polls fail and cost
+// little.
+func processSeries(ctx context.Context, opts Options) ([]Series, error) {
 	out := []Series{
-		{What: "idle entry instance", Unit: "% of a core", Over: "instances", Size: fullInstances},
-		{What: "idle entry instance, resident memory", Unit: "MB", Over: "instances", Size: fullInstances},
-		{What: "of it anonymous, without the program's own pages", Unit: "MB", Over: "instances", Size: fullInstances},
-		{What: "idle entry instance, bytes sent to peers", Unit: "bytes/s", Over: "instances", Size: fullInstances},
-		{What: "calls to the platform of all instances", Unit: "calls/s", Over: "instances", Size: fullInstances},
-		{What: "metrics of one instance", Unit: "series", Over: "instances", Size: fullInstances},
-		{What: "instances that take new work, 6 s into an outage of the platform", Unit: "% of them", Over: "instances", Size: fullInstances},
+		{Name: "idle entry instance", Unit: "% of a core", SizeName: "instances", DesignSize: designInstances},
+		{Name: "idle entry instance, resident memory", Unit: "MB", SizeName: "instances", DesignSize: designInstances},
+		{Name: "idle entry instance, resident memory not backed by files", Unit: "MB", SizeName: "instances", DesignSize: designInstances},
+		{Name: "idle entry instance, bytes sent to peers", Unit: "bytes/s", SizeName: "instances", DesignSize: designInstances},
+		{Name: "platform calls of all instances", Unit: "calls/s", SizeName: "instances", DesignSize: designInstances},
+		{Name: "metrics of one instance", Unit: "series", SizeName: "instances", DesignSize: designInstances},
+		{Name: "instances that accept new work, 6 s into a platform outage", Unit: "% of them", SizeName: "instances", DesignSize: designInstances},
 	}
 	for _, n := range processSizes {
-		values, err := runProcesses(ctx, opts.Binaries, n)
+		values, err := measureProcesses(ctx, opts.Binaries, n)
 		if err != nil {
 			return nil, err
 		}
@@ -63,16 +63,16 @@
 	return out, nil
 }
 
-// deployment is a platform and entry instances as processes.
+// deployment is a platform stand-in and entry instances that run as processes.
 type deployment struct {
-	dir      string
-	binaries string
-	platform string
-	started  []*exec.Cmd
-	// instances are those of started that are entry instances.
-	instances []*exec.Cmd
-	operators []string
-	callers   []string
+	dir       string
+	binaries  string
+	platform  string
+	processes []*exec.Cmd
+	// instances are the elements of processes that are entry instances.
+	instances         []*exec.Cmd
+	operatorAddresses []string
+	callerAddresses   []string
 }
 
 func newDeployment(binaries string) (*deployment, error) {
@@ -83,38 +83,38 @@
 	return &deployment{dir: dir, binaries: binaries}, nil
 }
 
-func runProcesses(ctx context.Context, binaries string, n int) ([]float64, error) {
+func measureProcesses(ctx context.Context, binaries string, n int) ([]float64, error) {
 	d, err := newDeployment(binaries)
 	if err != nil {
 		return nil, err
 	}
 	defer d.stop()
-	if err := d.start(ctx, n, fleet(processServers, fullWorkspaces)); err != nil {
+	if err := d.startInstances(ctx, n, fleetConfig(processServers, designWorkspaces)); err != nil {
 		return nil, err
 	}
-	if err := objectapi.Pause(ctx, processSettle); err != nil {
+	if err := objectapi.Pause(ctx, processSettleTime); err != nil {
 		return nil, merry.Wrap(err)
 	}
-	values, err := d.measure(ctx, processFor)
+	values, err := d.measureUsage(ctx, processMeasureTime)
 	if err != nil {
 		return nil, err
 	}
-	ready, err := d.withoutPlatform(ctx)
+	ready, err := d.readyPercentInOutage(ctx)
 	return append(values, ready), err
 }
 
-// withoutPlatform ends the platform and returns which share of the instances
-// is ready for new work when twice the time has passed after which an instance
-// that can't confirm its configuration takes none.
-func (d *deployment) withoutPlatform(ctx context.Context) (float64, error) {
-	if err := d.started[0].Process.Kill(); err != nil {
+// readyPercentInOutage kills the platform and returns the percentage of instances that are
+// ready for new work after outageTime. That is twice the time after which an instance that
+// can't confirm its configuration accepts no new work.
+func (d *deployment) readyPercentInOutage(ctx context.Context) (float64, error) {
+	if err := d.processes[0].Process.Kill(); err != nil {
 		return 0, merry.Wrap(ErrMeasure, merry.WithCause(err))
 	}
-	if err := objectapi.Pause(ctx, outageFor); err != nil {
+	if err := objectapi.Pause(ctx, outageTime); err != nil {
 		return 0, merry.Wrap(err)
 	}
 	ready := 0
-	for _, address := range d.callers {
+	for _, address := range d.callerAddresses {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/readyz", http.NoBody)
 		if err != nil {
 			return 0, merry.Wrap(ErrMeasure, merry.WithCause(err))
@@ -128,29 +128,29 @@
 			ready++
 		}
 	}
-	return 100 * float64(ready) / float64(len(d.callers)), nil
+	return 100 * float64(ready) / float64(len(d.callerAddresses)), nil
 }
 
-// start starts the platform with a configuration, and n instances.
-func (d *deployment) start(ctx context.Context, n int, cfg pollenspindle.Config) error {
-	free, err := addresses(ctx, 1+3*n)
+// startInstances starts the platform with a configuration, and n instances.
+func (d *deployment) startInstances(ctx context.Context, n int, cfg pollenspindle.Config) error {
+	addresses, err := freeAddresses(ctx, 1+3*n)
 	if err != nil {
 		return err
 	}
-	d.platform = "http://" + free[0]
-	if err := d.run(ctx, "standin", "platform", "--address", free[0], "--lag-millis", "300"); err != nil {
+	d.platform = "http://" + addresses[0]
+	if err := d.startProcess(ctx, "standin", "platform", "--address", addresses[0], "--lag-millis", "300"); err != nil {
 		return err
 	}
 	client := newClient(d.platform, nil)
 	defer client.Close()
-	ready, cancel := context.WithTimeout(ctx, startLimit)
+	readyCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
-		_, err := config.Apply(ready, client, config.Change{Config: cfg, Author: "slopes", Summary: "all"})
+		_, err := config.Apply(readyCtx, client, config.Change{Config: cfg, Author: "slopes", Summary: "all"})
 		if err == nil {
 			break
 		}
-		if objectapi.Pause(ready, 100*time.Millisecond) != nil {
+		if objectapi.Pause(readyCtx, 100*time.Millisecond) != nil {
 			return merry.Wrap(ErrMeasure, merry.WithCause(err))
 		}
 	}
@@ -159,14 +159,14 @@
 	for i := range n {
 		s := settings.Settings{
 			Instance: fmt.Sprintf("entry-%03d", i), Zone: zoneName(i), Region: regionName(i),
-			CallerAddress: free[1+3*i], PeerAddress: free[2+3*i], OperatorAddress: free[3+3*i],
+			CallerAddress: addresses[1+3*i], PeerAddress: addresses[2+3*i], OperatorAddress: addresses[3+3*i],
 			PlatformURL: d.platform, PeerKey: key, GenerationKey: key,
 			OperatorTokenSHA256: strings.Repeat("0", 64), Log: settings.Log{Level: "error"},
 		}
 		list = append(list, instancelist.Instance{
 			ID: s.Instance, Address: s.CallerAddress, PeerAddress: s.PeerAddress, Zone: s.Zone, State: instancelist.StateLive,
 		})
-		d.operators, d.callers = append(d.operators, s.OperatorAddress), append(d.callers, s.CallerAddress)
+		d.operatorAddresses, d.callerAddresses = append(d.operatorAddresses, s.OperatorAddress), append(d.callerAddresses, s.CallerAddress)
 		if err := d.startInstance(ctx, s); err != nil {
 			return err
 		}
@@ -183,10 +183,10 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		return merry.Wrap(ErrMeasure, merry.WithCause(err))
 	}
-	if err := d.run(ctx, "pollenspindle", "serve", "--settings", path); err != nil {
+	if err := d.startProcess(ctx, "pollenspindle", "serve", "--settings", path); err != nil {
 		return err
 	}
-	d.instances = append(d.instances, d.started[len(d.started)-1])
+	d.instances = append(d.instances, d.processes[len(d.processes)-1])
 	return nil
 }
 
@@ -206,59 +206,60 @@
 	return resp.Body.Close()
 }
 
-func (d *deployment) run(ctx context.Context, program string, args ...string) error {
+func (d *deployment) startProcess(ctx context.Context, program string, args ...string) error {
 	cmd := exec.CommandContext(ctx, filepath.Join(d.binaries, program), args...)
 	if err := cmd.Start(); err != nil {
 		return merry.Wrap(ErrMeasure, merry.WithCause(err))
 	}
-	d.started = append(d.started, cmd)
+	d.processes = append(d.processes, cmd)
 	return nil
 }
 
-// stop ends what was started. Nothing of it keeps anything.
+// stop kills all processes and removes their directory. No data is kept.
 func (d *deployment) stop() {
-	for _, cmd := range d.started {
+	for _, cmd := range d.processes {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 	}
 	_ = os.RemoveAll(d.dir)
 }
 
-// reading is what was used up to a moment by all instances together.
-type reading struct {
-	cpu    time.Duration
-	rss    int64
-	anon   float64
-	sent   float64
-	calls  float64
-	series float64
+// usage is what all instances together have used so far.
+type usage struct {
+	cpu            time.Duration
+	rssBytes       int64
+	anonymousBytes float64
+	bytesSent      float64
+	platformCalls  float64
+	metricSeries   float64
 }
 
-func (d *deployment) read(ctx context.Context) (reading, error) {
-	var r reading
+func (d *deployment) readUsage(ctx context.Context) (usage, error) {
+	var total usage
 	for _, cmd := range d.instances {
 		stat, err := procstat.Read(cmd.Process.Pid)
 		if err != nil {
-			return r, merry.Wrap(ErrMeasure, merry.WithCause(err))
+			return total, merry.Wrap(ErrMeasure, merry.WithCause(err))
 		}
-		r.cpu += stat.CPU
-		r.rss += stat.RSSBytes
-		anon, err := anonymous(cmd.Process.Pid)
+		total.cpu += stat.CPU
+		total.rssBytes += stat.RSSBytes
+		anon, err := anonymousMemory(cmd.Process.Pid)
 		if err != nil {
-			return r, err
+			return total, err
 		}
-		r.anon += anon
+		total.anonymousBytes += anon
 	}
-	for _, address := range d.operators {
-		if err := r.scrape(ctx, address); err != nil {
-			return r, err
+	for _, address := range d.operatorAddresses {
+		if err := total.scrapeMetrics(ctx, address); err != nil {
+			return total, err
 		}
 	}
-	return r, nil
+	return total, nil
 }
 
-// anonymous returns the resident bytes of a process that no file backs.
-func anonymous(pid int) (float64, error) {
+// anonymousMemory returns the resident memory of a process that isn't backed by a file, in
+// bytes.
+func anonymousMemory(pid int) (float64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, merry.Wrap(ErrMeasure, merry.WithCause(err))
@@ -270,11 +271,11 @@
 			return kilobytes * 1024, err
 		}
 	}
-	return 0, merry.Wrap(ErrMeasure, merry.AppendMessage("no RssAnon"))
+	return 0, merry.Wrap(ErrMeasure, merry.AppendMessage("no RssAnon in /proc/PID/status"))
 }
 
-// scrape adds the metrics of one instance.
-func (r *reading) scrape(ctx context.Context, address string) error {
+// scrapeMetrics adds the metrics of one instance.
+func (r *usage) scrapeMetrics(ctx context.Context, address string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", http.NoBody)
 	if err != nil {
 		return merry.Wrap(ErrMeasure, merry.WithCause(err))
@@ -290,7 +291,7 @@
 		if strings.HasPrefix(line, "#") {
 			continue
 		}
-		r.series++
+		r.metricSeries++
 		at := strings.LastIndexByte(line, ' ')
 		if at < 0 {
 			continue
@@ -301,49 +302,49 @@
 		}
 		switch {
 		case strings.Contains(line, "peer_bytes_sent"):
-			r.sent += value
+			r.bytesSent += value
 		case strings.Contains(line, "platform_calls"):
-			r.calls += value
+			r.platformCalls += value
 		}
 	}
 	return lines.Err()
 }
 
-// measure returns what one instance used on average during a time, in the order
-// of the series of [processes].
-func (d *deployment) measure(ctx context.Context, during time.Duration) ([]float64, error) {
-	before, err := d.read(ctx)
+// measureUsage returns the mean usage per instance over duration, in the order of the series of
+// [processSeries].
+func (d *deployment) measureUsage(ctx context.Context, duration time.Duration) ([]float64, error) {
+	before, err := d.readUsage(ctx)
 	if err != nil {
 		return nil, err
 	}
 	start := time.Now()
-	if err := objectapi.Pause(ctx, during); err != nil {
+	if err := objectapi.Pause(ctx, duration); err != nil {
 		return nil, merry.Wrap(err)
 	}
-	after, err := d.read(ctx)
+	after, err := d.readUsage(ctx)
 	if err != nil {
 		return nil, err
 	}
-	took, n := time.Since(start).Seconds(), float64(len(d.operators))
+	elapsed, n := time.Since(start).Seconds(), float64(len(d.operatorAddresses))
 	return []float64{
-		100 * (after.cpu - before.cpu).Seconds() / took / n,
-		float64(after.rss) / n / 1e6,
-		after.anon / n / 1e6,
-		(after.sent - before.sent) / took / n,
-		(after.calls - before.calls) / took,
-		after.series / n,
+		100 * (after.cpu - before.cpu).Seconds() / elapsed / n,
+		float64(after.rssBytes) / n / 1e6,
+		after.anonymousBytes / n / 1e6,
+		(after.bytesSent - before.bytesSent) / elapsed / n,
+		(after.platformCalls - before.platformCalls) / elapsed,
+		after.metricSeries / n,
 	}, nil
 }
 
-// addresses returns n free addresses on loopback.
-func addresses(ctx context.Context, n int) ([]string, error) {
+// freeAddresses returns n unused addresses on loopback.
+func freeAddresses(ctx context.Context, n int) ([]string, error) {
 	var out []string
 	for range n {
 		l, err := new(net.ListenConfig).Listen(ctx, "tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, merry.Wrap(ErrMeasure, merry.WithCause(err))
 		}
-		// All stay open until the last is known, so that none comes twice.
+		// All listeners stay open until the end, so that no address is returned twice.
 		defer l.Close()
 		out = append(out, l.Addr().String())
 	}
--- a/internal/slopes/relay.go
+++ b/internal/slopes/relay.go
@@ -18,31 +18,31 @@
 
 const (
 	relayEngines = 4
-	// warmUp lets the streams of a level start before it is measured.
-	warmUp   = 2 * time.Second
-	relayFor = 4 * time.Second
-	// tokensEach is what one instance relays in a second at the size designed
-	// for: 450,000 over 350.
-	tokensEach = 1286
+	// streamWarmUp is the time for the streams to start before they are measured.
+	streamWarmUp     = 2 * time.Second
+	relayMeasureTime = 4 * time.Second
+	// tokensPerInstance is the number of tokens that one instance relays per second at the
+	// design size: 450,000 divided by 350 instances.
+	tokensPerInstance = 1286
 )
 
 var streamCounts = []int{2, 4, 8, 16}
 
-// relay measures one entry instance as a real process, while it relays streams
-// of four stand-in engines on the same machine.
-func relay(ctx context.Context, opts Options) ([]Series, error) {
-	cpu := Series{What: "one instance relays streams", Unit: "% of a core", Over: "tokens/s", Size: tokensEach}
-	rss := Series{What: "one instance relays streams, resident memory", Unit: "MB", Over: "streams", Size: 56}
+// relaySeries measures one entry instance as a real process while it relays streams of four
+// engine stand-ins on the same machine.
+func relaySeries(ctx context.Context, opts Options) ([]Series, error) {
+	cpu := Series{Name: "one instance relays streams", Unit: "% of a core", SizeName: "tokens/s", DesignSize: tokensPerInstance}
+	rss := Series{Name: "one instance relays streams, resident memory", Unit: "MB", SizeName: "streams", DesignSize: 56}
 	d, err := newDeployment(opts.Binaries)
 	if err != nil {
 		return nil, err
 	}
 	defer d.stop()
-	if err := d.startRelay(ctx); err != nil {
+	if err := d.startRelayInstance(ctx); err != nil {
 		return nil, err
 	}
 	for _, n := range streamCounts {
-		rate, used, err := d.relayLevel(ctx, n)
+		rate, used, err := d.measureRelay(ctx, n)
 		if err != nil {
 			return nil, err
 		}
@@ -52,34 +52,34 @@
 	return []Series{cpu, rss}, nil
 }
 
-// startRelay starts one instance before engines that all run all models.
-func (d *deployment) startRelay(ctx context.Context) error {
-	cfg := fleet(relayEngines, 1)
-	free, err := addresses(ctx, relayEngines)
+// startRelayInstance starts one instance and engines that all run all models.
+func (d *deployment) startRelayInstance(ctx context.Context) error {
+	cfg := fleetConfig(relayEngines, 1)
+	addresses, err := freeAddresses(ctx, relayEngines)
 	if err != nil {
 		return err
 	}
-	for i, address := range free {
+	for i, address := range addresses {
 		s := &cfg.Servers[i]
 		s.Address, s.ColdLimit, s.Models = address, 32, nil
-		for m := range fullModels {
+		for m := range designModels {
 			s.Models = append(s.Models, modelName(m))
 		}
-		err := d.run(ctx, "standin", "engine", "--address", address, "--name", s.Name,
+		err := d.startProcess(ctx, "standin", "engine", "--address", address, "--name", s.Name,
 			"--cold-limit", "32", "--memory-tokens", "160000")
 		if err != nil {
 			return err
 		}
 	}
-	if err := d.start(ctx, 1, cfg); err != nil {
+	if err := d.startInstances(ctx, 1, cfg); err != nil {
 		return err
 	}
-	return objectapi.Pause(ctx, processSettle)
+	return objectapi.Pause(ctx, processSettleTime)
 }
 
-// relayLevel keeps n streams open and returns tokens a second and what the
-// instance used.
-func (d *deployment) relayLevel(ctx context.Context, n int) (rate float64, used []float64, err error) {
+// measureRelay keeps n streams open and returns the tokens per second and the usage of the
+// instance.
+func (d *deployment) measureRelay(ctx context.Context, n int) (rate float64, used []float64, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var streams sync.WaitGroup
 	defer streams.Wait()
@@ -88,27 +88,27 @@
 	for i := range n {
 		streams.Go(func() {
 			for ctx.Err() == nil {
-				if err := stream(ctx, d.callers[0], i, &tokens); err != nil {
-					// Refused or cut off: not at once again.
+				if err := readStream(ctx, d.callerAddresses[0], i, &tokens); err != nil {
+					// Refused or interrupted: retry after a pause.
 					_ = objectapi.Pause(ctx, 100*time.Millisecond)
 				}
 			}
 		})
 	}
-	if err := objectapi.Pause(ctx, warmUp); err != nil {
+	if err := objectapi.Pause(ctx, streamWarmUp); err != nil {
 		return 0, nil, merry.Wrap(err)
 	}
 	before, start := tokens.Load(), time.Now()
-	used, err = d.measure(ctx, relayFor)
+	used, err = d.measureUsage(ctx, relayMeasureTime)
 	rate = float64(tokens.Load()-before) / time.Since(start).Seconds()
 	if err == nil && rate == 0 {
-		err = merry.Wrap(ErrMeasure, merry.AppendMessage("no tokens came"))
+		err = merry.Wrap(ErrMeasure, merry.AppendMessage("no tokens received"))
 	}
 	return rate, used, err
 }
 
-// stream asks for one generation and counts its events.
-func stream(ctx context.Context, address string, i int, tokens *atomic.Int64) error {
+// readStream starts one generation and counts its events.
+func readStream(ctx context.Context, address string, i int, tokens *atomic.Int64) error {
 	body := fmt.Sprintf(`{"model":%q,"prompt":"briefing %d for the field","max_tokens":400,"stream":true}`, modelName(i), i)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/completions", bytes.NewBufferString(body))
 	if err != nil {
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -1,11 +1,10 @@
-// Package slopes measures how the cost of each part of an entry instance grows
-// with the size of the deployment: instances, backend servers, workspaces,
-// running requests and changes, one at a time and at several sizes each. A line
-// is fitted to each series, and its value at the size designed for is printed
-// beside it. docs/CAPACITY.md rests on these figures.
+// Package slopes measures how the cost of each part of an entry instance grows with the size of
+// the deployment: instances, backend servers, workspaces, running requests and changes, varied
+// one at a time. A line is fitted to each series, and its value at the design size is printed
+// with it. docs/CAPACITY.md is based on these figures.
 //
-// It runs the product's own code with small fakes at its interfaces, and the
-// platform's stand-in. It simulates no deployment.
+// The measurements run the production code with small fakes of its interfaces, and the platform
+// stand-in. No deployment is simulated.
 //
 // # Usage
 //
@@ -21,31 +20,31 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrMeasure means that a measurement could not be made.
+// ErrMeasure means that a measurement failed.
 var ErrMeasure = merry.Sentinel("measurement failed")
 
-// The size designed for; see docs/CAPACITY.md.
+// The design size; see docs/CAPACITY.md.
 const (
-	fullInstances  = 350
-	fullServers    = 2000
-	fullWorkspaces = 290
-	fullQueued     = 10000
-	fullModels     = 6
+	designInstances  = 350
+	designServers    = 2000
+	designWorkspaces = 290
+	designQueued     = 10000
+	designModels     = 6
 )
 
-// Point is one measurement at size N.
+// Point is the value measured at size N.
 type Point struct{ N, Value float64 }
 
-// Series is one cost over one size.
+// Series is a cost measured at several sizes.
 type Series struct {
-	// What is measured, in Unit, over the size named Over.
-	What, Unit, Over string
-	Points           []Point
-	// Size is where the line is read.
-	Size float64
+	// Name says what is measured in Unit; SizeName says what the size counts.
+	Name, Unit, SizeName string
+	Points               []Point
+	// DesignSize is the size at which the fitted line is evaluated.
+	DesignSize float64
 }
 
-// Fit returns the line of least squares through the points.
+// Fit returns the least-squares line through the points.
 func (s Series) Fit() (slope, base float64) {
 	n := float64(len(s.Points))
 	var x, y, xx, xy float64
@@ -63,13 +62,13 @@
 	return slope, (y - slope*x) / n
 }
 
-// At returns the value of the line at Size.
-func (s Series) At() float64 {
+// DesignValue returns the value of the fitted line at DesignSize.
+func (s Series) DesignValue() float64 {
 	slope, base := s.Fit()
-	return base + slope*s.Size
+	return base + slope*s.DesignSize
 }
 
-// String returns the series on one line.
+// String formats the series with its points and its fitted line.
 func (s Series) String() string {
 	var points []string
 	for _, p := range s.Points {
@@ -77,41 +76,41 @@
 	}
 	slope, base := s.Fit()
 	return fmt.Sprintf("%s [%s] over %s\n    %s\n    slope %.3g, base %.4g; line at %g: %.4g",
-		s.What, s.Unit, s.Over, strings.Join(points, ", "), slope, base, s.Size, s.At())
+		s.Name, s.Unit, s.SizeName, strings.Join(points, ", "), slope, base, s.DesignSize, s.DesignValue())
 }
 
-// Options choose what is measured.
+// Options select what is measured.
 type Options struct {
-	// Only names the one group to measure; empty means all.
+	// Only is the name of the group to measure; empty means all.
 	Only string
-	// Binaries is the folder with the built programs pollenspindle and
-	// standin; without it the groups processes and relay are left out.
+	// Binaries is the directory of the built programs pollenspindle and standin; without it the
+	// groups processes and relay are skipped.
 	Binaries string
 }
 
-// group measures some series.
-type group struct {
+// measurementGroup measures related series.
+type measurementGroup struct {
 	name    string
 	measure func(context.Context, Options) ([]Series, error)
-	// binaries says that it starts processes.
-	binaries bool
+	// needsBinaries is true for a group that starts processes.
+	needsBinaries bool
 }
 
-var groups = []group{
-	{"decisions", decisions, false},
-	{"configuration", configuration, false},
-	{"roster", rosterSize, false},
-	{"messages", messages, false},
-	{"owner", ownerDuty, false},
-	{"member", memberDuty, false},
-	{"processes", processes, true},
-	{"relay", relay, true},
+var groups = []measurementGroup{
+	{"decisions", decisionSeries, false},
+	{"configuration", configurationSeries, false},
+	{"roster", rosterSeries, false},
+	{"messages", messageSeries, false},
+	{"owner", ownerSeries, false},
+	{"member", memberSeries, false},
+	{"processes", processSeries, true},
+	{"relay", relaySeries, true},
 }
 
-// Run measures and prints all series.
+// Run measures and prints all selected groups.
 func Run(ctx context.Context, w io.Writer, opts Options) error {
 	for _, g := range groups {
-		if opts.Only != "" && opts.Only != g.name || g.binaries && opts.Binaries == "" {
+		if opts.Only != "" && opts.Only != g.name || g.needsBinaries && opts.Binaries == "" {
 			continue
 		}
 		fmt.Fprintf(w, "== %s\n", g.name)
