--- a/internal/slopes/processes.go
+++ b/internal/slopes/processes.go
@@ -311,7 +311,7 @@
 }
 
 // measureUsage returns the mean usage per instance over duration, in the order of the series of
-// [processSeries].
+// [processSeries]. Platform calls are those of all instances together.
 func (d *deployment) measureUsage(ctx context.Context, duration time.Duration) ([]float64, error) {
 	before, err := d.readUsage(ctx)
 	if err != nil {
