--- a/internal/relay/attach.go
+++ b/internal/relay/attach.go
@@ -6,27 +6,27 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// attach carries the rest of a generation that another handler started.
-func (l *life) attach(at Attachment) {
-	defer l.detach()
-	l.job = Job{Streamed: true, Permit: permit.Request{Class: at.Class}}
-	l.begun = true
+// attach resumes a generation that another handler started and relays the rest of it.
+func (s *session) attach(at Attachment) {
+	defer s.detach()
+	s.job = Job{Streamed: true, Permit: permit.Request{Class: at.Class}}
+	s.started = true
 	now := time.Now()
-	// Ids are given to callers only once an engine has begun the generation,
-	// so whatever becomes of the resume, the generation has run.
+	// Callers learn the request ID only once an engine has started the generation, so the
+	// generation has run even if resuming it fails.
 	a := &attempt{
-		known: true, life: l, request: at.Request, address: at.Address, incarnation: at.Incarnation,
+		acknowledged: true, session: s, request: at.Request, address: at.Address, incarnation: at.Incarnation,
 		permit:   permit.Permit{Server: at.Server, Address: at.Address},
-		progress: progress{last: at.After, since: now}, sent: now, resumed: true,
+		progress: progress{lastPosition: at.After, lastEventAt: now}, sentAt: now, resumed: true,
 	}
 	if err := a.open(a.resume()); err != nil {
-		l.end(Failed{notSentFailure()})
+		s.end(Failed{notSentFailure()})
 		return
 	}
-	res := a.drive()
+	res := a.eventLoop()
 	if res.failure != nil {
-		l.end(Failed{res.failure})
+		s.end(Failed{res.failure})
 		return
 	}
-	l.end(Finished{})
+	s.end(Finished{})
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -13,71 +13,70 @@
 	"pollenspindle.example/pollenspindle/internal/retry"
 )
 
-// attempt is one run of a generation on one start of one backend server.
+// attempt is one try of a request on one incarnation of one backend server.
 type attempt struct {
-	life        *life
+	session     *session
 	permit      permit.Permit
 	request     string
 	address     string
 	incarnation string
 	progress    progress
 	conn        *connection
-	// known says that the engine has shown that it has the generation.
-	known bool
-	// finished says that the event with the finish reason was delivered.
+	// acknowledged is set once the engine has confirmed that it has the generation.
+	acknowledged bool
+	// finished is set once the event with the finish reason was delivered.
 	finished bool
-	// starting says that the engine hasn't answered the first connection.
+	// starting is set until the engine has answered the first connection.
 	starting bool
-	// resumed says that another handler started the generation and holds its
-	// permit; this one never cancels it.
+	// resumed is set if another handler started the generation and holds its permit. Such an
+	// attempt never cancels the generation.
 	resumed bool
-	// cuts counts connections that broke since the last event, unreached
-	// those that broke or stayed without an answer since the engine last gave
-	// one.
-	cuts      int
-	unreached int
-	// retryAt is when a broken connection is replaced; zero while one is open.
-	retryAt time.Time
+	// disconnects counts the connections that broke since the last event, unanswered those that
+	// broke or got no answer since the engine last answered.
+	disconnects int
+	unanswered  int
+	// reconnectAt is when a broken connection is replaced; zero while one is open.
+	reconnectAt time.Time
 	// probeAt is when a silent stream is probed.
 	probeAt    time.Time
-	sent       time.Time
+	sentAt     time.Time
 	firstToken time.Duration
 	tokens     int
-	// gone says that the caller has gone; until is when the generation is
-	// then cancelled, zero for never.
-	gone  bool
-	until time.Time
+	// callerGone is set once the caller has disconnected; cancelAt is when the generation is then
+	// cancelled, zero for never.
+	callerGone bool
+	cancelAt   time.Time
 }
 
-func newAttempt(l *life, p permit.Permit, request string) *attempt {
-	return &attempt{life: l, permit: p, request: request, address: p.Address, starting: true}
+func newAttempt(s *session, p permit.Permit, request string) *attempt {
+	return &attempt{session: s, permit: p, request: request, address: p.Address, starting: true}
 }
 
 func (a *attempt) outcome(e permit.Ending) permit.Outcome {
 	o := permit.Outcome{Ending: e, OutputTokens: a.tokens, FirstToken: a.firstToken}
-	if !a.sent.IsZero() {
-		o.Duration = time.Since(a.sent)
+	if !a.sentAt.IsZero() {
+		o.Duration = time.Since(a.sentAt)
 	}
 	return o
 }
 
-// run starts the generation and drives it to its end.
+// run starts the generation and relays it until it ends.
 func (a *attempt) run() result {
 	now := time.Now()
-	a.sent, a.progress.since = now, now
+	a.sentAt, a.progress.lastEventAt = now, now
 	if err := a.open(a.start); err != nil {
-		return *a.startFailed(err)
+		return *a.startFailureResult(err)
 	}
-	return a.drive()
+	return a.eventLoop()
 }
 
-// drive handles what happens until the generation has ended.
-func (a *attempt) drive() result {
+// eventLoop handles signals, timeouts and cancellation until the generation has ended.
+func (a *attempt) eventLoop() result {
 	defer func() { a.conn.close() }()
-	a.probeAt = a.progress.since.Add(a.life.relay.opts.Stall)
-	timer := time.NewTimer(a.life.relay.opts.Stall)
+	a.probeAt = a.progress.lastEventAt.Add(a.session.relay.opts.Stall)
+	timer := time.NewTimer(a.session.relay.opts.Stall)
 	defer timer.Stop()
-	gone := a.life.caller.Done()
+	callerGone := a.session.callerCtx.Done()
 	for {
 		var res *result
 		select {
@@ -85,25 +84,25 @@
 			res = a.onSignal(time.Now(), s)
 		case <-timer.C:
 			res = a.onTimer(time.Now())
-		case <-gone:
-			gone = nil
+		case <-callerGone:
+			callerGone = nil
 			res = a.onCallerGone(time.Now())
-		case <-a.life.relay.evicted.Done():
+		case <-a.session.relay.evicted.Done():
 			return *a.onEvicted()
 		}
 		if res != nil {
 			return *res
 		}
-		timer.Reset(a.untilTimer(time.Now()))
+		timer.Reset(a.nextTimeout(time.Now()))
 	}
 }
 
-func (a *attempt) step(now time.Time, what journal.What, count int64) {
-	a.life.steps.Add(journal.Step{At: now, What: what, Server: a.permit.Server, Count: count})
+func (a *attempt) recordStep(now time.Time, what journal.What, count int64) {
+	a.session.entry.Add(journal.Step{At: now, What: what, Server: a.permit.Server, Count: count})
 }
 
 func (a *attempt) open(d dial) error {
-	c, err := connect(a.life.ctx, a.life.relay.pumps, d)
+	c, err := connect(a.session.ctx, a.session.relay.readers, d)
 	if err != nil {
 		return err
 	}
@@ -114,65 +113,65 @@
 	return nil
 }
 
-// start sends the request. Just before the first byte it checks the permit
-// and the configuration: a process that was paused in between would send
-// although its place has gone to another, or to a zone taken out meanwhile.
+// start sends the request. Just before the first byte it checks the permit and the configuration
+// again: after a pause of the process, the slot may have been given to another request or the
+// availability zone may have been drained.
 func (a *attempt) start(ctx context.Context) (Stream, error) {
-	l := a.life
-	_, span := l.span("engine.start", attribute.String("server", a.permit.Server), attribute.String("engine.request", a.request))
+	s := a.session
+	_, span := s.span("engine.start", attribute.String("server", a.permit.Server), attribute.String("engine.request", a.request))
 	defer span.End()
 	now := time.Now()
-	if !l.relay.opts.Permits.MaySend(now, a.permit) || l.caller.Err() != nil || !l.relay.opts.Confirmed(now) {
+	if !s.relay.opts.Permits.MaySend(now, a.permit) || s.callerCtx.Err() != nil || !s.relay.opts.Confirmed(now) {
 		return nil, errPermitExpired
 	}
-	l.steps.Add(journal.Step{At: now, What: journal.Sent, Server: a.permit.Server})
-	return l.relay.opts.Engine.Start(withSpan(ctx, span), a.address, EngineRequest{
-		ID: a.request, Path: l.job.Path, Body: l.job.Body,
+	s.entry.Add(journal.Step{At: now, What: journal.Sent, Server: a.permit.Server})
+	return s.relay.opts.Engine.Start(withSpan(ctx, span), a.address, EngineRequest{
+		ID: a.request, Path: s.job.Path, Body: s.job.Body,
 	})
 }
 
-// resume returns a dial that goes on after the present position.
+// resume returns a dial that continues after the last accepted position.
 func (a *attempt) resume() dial {
-	after := a.progress.last
+	after := a.progress.lastPosition
 	return func(ctx context.Context) (Stream, error) {
-		_, span := a.life.span("engine.resume",
+		_, span := a.session.span("engine.resume",
 			attribute.String("server", a.permit.Server), attribute.String("engine.request", a.request),
 			attribute.Int64("after", after))
 		defer span.End()
-		return a.life.relay.opts.Engine.Resume(withSpan(ctx, span), a.address, a.request, after)
+		return a.session.relay.opts.Engine.Resume(withSpan(ctx, span), a.address, a.request, after)
 	}
 }
 
 func (a *attempt) onSignal(now time.Time, s signal) *result {
 	switch s := s.(type) {
-	case attached:
-		return a.onAttached(s)
-	case arrived:
+	case connected:
+		return a.onConnected(s)
+	case eventReceived:
 		return a.onEvent(now, s.event)
-	case broken:
-		return a.onBroken(now, s.err)
+	case disconnected:
+		return a.onDisconnected(now, s.err)
 	}
 	return nil
 }
 
-// onAttached checks that the connection leads to the same start of the engine.
+// onConnected checks that the connection leads to the same incarnation of the engine.
 //
-// An engine that was replaced at its address may know another generation
-// under any id; its tokens would be spliced into this one's.
-func (a *attempt) onAttached(s attached) *result {
+// An engine that replaced another one at the same address may have a different generation under
+// the same ID, whose tokens must not be mixed into this one.
+func (a *attempt) onConnected(s connected) *result {
 	if a.incarnation == "" {
 		a.incarnation = s.incarnation
 	}
 	if s.incarnation != a.incarnation {
-		return a.lost(permit.EndingCrashed)
+		return a.failLost(permit.EndingCrashed)
 	}
-	a.known, a.starting = true, false
-	a.unreached, a.conn.answered = 0, true
+	a.acknowledged, a.starting = true, false
+	a.unanswered, a.conn.answered = 0, true
 	return nil
 }
 
 func (a *attempt) onEvent(now time.Time, e *Event) *result {
-	silent := a.progress.silent(now)
+	silence := a.progress.silentFor(now)
 	switch a.progress.accept(now, e.Position) {
 	case duplicate:
 		return nil
@@ -180,127 +179,126 @@
 		return a.onGap(now)
 	case deliver:
 	}
-	a.measure(now, silent)
-	a.cuts = 0
-	a.probeAt = now.Add(a.life.relay.opts.Stall)
+	a.recordLatency(now, silence)
+	a.disconnects = 0
+	a.probeAt = now.Add(a.session.relay.opts.Stall)
 	if e.FinishReason != "" {
 		a.finished = true
 	} else {
 		a.tokens++
-		a.life.steps.Tokens(e.Position)
+		a.session.entry.Tokens(e.Position)
 	}
 	return a.deliver(now, e)
 }
 
-func (a *attempt) measure(now time.Time, silent time.Duration) {
-	m := &a.life.relay.metrics
+func (a *attempt) recordLatency(now time.Time, silence time.Duration) {
+	m := &a.session.relay.metrics
 	if a.firstToken == 0 {
-		a.firstToken = now.Sub(a.sent)
+		a.firstToken = now.Sub(a.sentAt)
 		m.firstToken.RecordDuration(a.firstToken)
-		a.step(now, journal.FirstToken, a.firstToken.Milliseconds())
+		a.recordStep(now, journal.FirstToken, a.firstToken.Milliseconds())
 		return
 	}
-	m.betweenTokens.RecordDuration(silent)
-	if stall := a.life.relay.opts.Stall; silent > stall {
-		m.stall.RecordDuration(silent)
-		a.step(now, journal.Stalled, silent.Milliseconds())
+	m.betweenTokens.RecordDuration(silence)
+	if stall := a.session.relay.opts.Stall; silence > stall {
+		m.stall.RecordDuration(silence)
+		a.recordStep(now, journal.Stalled, silence.Milliseconds())
 	}
 }
 
 func (a *attempt) deliver(now time.Time, e *Event) *result {
-	l := a.life
-	if !l.begun || (!l.job.Streamed && e.Position == 1) {
-		l.push(Begun{Permit: a.permit, Request: a.request, Incarnation: a.incarnation})
-		l.begun = true
+	s := a.session
+	if !s.started || (!s.job.Streamed && e.Position == 1) {
+		s.push(Begun{Permit: a.permit, Request: a.request, Incarnation: a.incarnation})
+		s.started = true
 	}
-	if !l.push(Token{e}) && !a.gone {
+	if !s.push(Token{e}) && !a.callerGone {
 		return a.onCallerGone(now)
 	}
 	return nil
 }
 
-// onBroken handles the end of a connection.
-func (a *attempt) onBroken(now time.Time, err error) *result {
-	if a.whole(err) {
+// onDisconnected handles the end of a connection.
+func (a *attempt) onDisconnected(now time.Time, err error) *result {
+	if a.deliveredAll(err) {
 		return &result{ending: permit.EndingFinished}
 	}
 	if a.starting {
 		a.starting = false
-		if res := a.startFailed(err); res != nil {
+		if res := a.startFailureResult(err); res != nil {
 			return res
 		}
 	}
-	a.life.relay.opts.Permits.Broken(now, a.permit)
+	a.session.relay.opts.Permits.Broken(now, a.permit)
 	if errors.Is(err, ErrUnknownStream) {
-		// It restarted, most likely; its owner waits for a report to know.
-		return a.lost(permit.EndingCrashed)
+		// The engine most likely restarted; the server's owner learns that only from the next load
+		// report.
+		return a.failLost(permit.EndingCrashed)
 	}
-	a.cuts++
-	a.unreached++
-	if !a.life.begun && a.unreached > 1 {
-		return a.unreachable()
+	a.disconnects++
+	a.unanswered++
+	if !a.session.started && a.unanswered > 1 {
+		return a.failUnreachable()
 	}
-	a.retryAt = now.Add(reconnectDelay(a.cuts))
+	a.reconnectAt = now.Add(reconnectDelay(a.disconnects))
 	return nil
 }
 
-// whole reports whether all events were delivered when a connection ended. An
-// engine may forget a generation after its last event, so not knowing it any
-// more is then no loss.
-func (a *attempt) whole(err error) bool {
+// deliveredAll reports whether all events were delivered when a connection ended. An engine may
+// drop a generation after its last event, so ErrUnknownStream is then not a failure.
+func (a *attempt) deliveredAll(err error) bool {
 	ended := errors.Is(err, io.EOF) || errors.Is(err, ErrUnknownStream)
 	nothingLeft := a.resumed && a.tokens == 0 && errors.Is(err, io.EOF)
 	return (ended && a.finished) || nothingLeft
 }
 
-// onGap leaves a connection that skipped positions and resumes where it did.
+// onGap replaces a connection that skipped positions and resumes before the gap.
 func (a *attempt) onGap(now time.Time) *result {
 	a.progress.gaps++
-	a.life.relay.metrics.gaps.Inc(1)
-	a.step(now, journal.Reconnected, a.progress.last)
+	a.session.relay.metrics.gaps.Inc(1)
+	a.recordStep(now, journal.Reconnected, a.progress.lastPosition)
 	if a.progress.gaps > maxGaps {
-		return a.gapFailure()
+		return a.failGap()
 	}
 	a.reconnect(now)
 	return nil
 }
 
-// onCallerGone decides about a generation that nobody reads: what has begun
-// streaming may be come back for, anything else is cancelled at once.
+// onCallerGone handles a generation whose caller has disconnected. A stream that has started is
+// kept for the grace period, so that the caller can resume it; anything else is cancelled at once.
 func (a *attempt) onCallerGone(now time.Time) *result {
-	if a.gone {
+	if a.callerGone {
 		return nil
 	}
-	a.gone = true
-	a.step(now, journal.CallerGone, a.progress.last)
-	a.life.detach()
-	if a.resumed || !a.life.job.Streamed || !a.life.begun {
+	a.callerGone = true
+	a.recordStep(now, journal.CallerGone, a.progress.lastPosition)
+	a.session.detach()
+	if a.resumed || !a.session.job.Streamed || !a.session.started {
 		return a.cancel(callerGoneFailure())
 	}
-	a.until = now.Add(a.life.relay.opts.Grace)
+	a.cancelAt = now.Add(a.session.relay.opts.Grace)
 	return nil
 }
 
-// onGraceOver cancels a generation whose caller didn't come back. When
-// another handler has taken it over, this one goes on reading, so that the
-// permit is held until the engine has finished, but never cancels. The limit
-// on the output bounds how long that can be.
-func (a *attempt) onGraceOver() *result {
-	a.until = time.Time{}
-	if a.life.takenOver.Load() {
+// onGraceExpired cancels a generation whose caller didn't come back. If another handler has taken
+// it over, this one keeps reading, so that the permit is held until the engine has finished, and
+// never cancels. The output limit bounds how long that takes.
+func (a *attempt) onGraceExpired() *result {
+	a.cancelAt = time.Time{}
+	if a.session.takenOver.Load() {
 		return nil
 	}
 	return a.cancel(callerGoneFailure())
 }
 
-// startFailed returns the result of a start that surely didn't run, or nil.
-func (a *attempt) startFailed(err error) *result {
+// startFailureResult returns the result of a start that certainly didn't run, or nil.
+func (a *attempt) startFailureResult(err error) *result {
 	var refused *RefusedError
 	switch {
 	case errors.Is(err, errPermitExpired):
-		return &result{ending: permit.EndingNotSent, failure: errExpiredFailure}
+		return &result{ending: permit.EndingNotSent, failure: permitExpiredFailure}
 	case errors.Is(err, ErrNotSent):
-		return &result{ending: permit.EndingNotSent, failure: notSentFailure(), again: true, cause: retry.CauseNotSent}
+		return &result{ending: permit.EndingNotSent, failure: notSentFailure(), retryable: true, cause: retry.CauseNotSent}
 	case errors.As(err, &refused):
 		return refusedResult(refused)
 	}
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -11,7 +11,7 @@
 	"pollenspindle.example/pollenspindle/internal/engine"
 )
 
-// NewEngine returns an [Engine] that speaks to engines through c.
+// NewEngine returns an [Engine] that calls engines through c.
 func NewEngine(c *engine.Client) Engine { return clientEngine{c} }
 
 type clientEngine struct{ client *engine.Client }
@@ -54,8 +54,8 @@
 	return Event{Position: event.Position, Data: event.Data, FinishReason: event.FinishReason}, nil
 }
 
-// engineError turns an error of the client into one of this package. What it
-// doesn't know counts as lost, which claims nothing.
+// engineError converts an error of the client into one of this package. Any other error becomes
+// ErrConnectionLost, which leaves open whether the request ran.
 func engineError(err error) error {
 	var refusal *engine.Refusal
 	switch {
@@ -70,5 +70,5 @@
 	case errors.Is(err, engine.ErrUnknownStream):
 		return merry.Wrap(ErrUnknownStream, merry.WithCause(err))
 	}
-	return merry.Wrap(ErrLost, merry.WithCause(err))
+	return merry.Wrap(ErrConnectionLost, merry.WithCause(err))
 }
--- a/internal/relay/connection.go
+++ b/internal/relay/connection.go
@@ -6,73 +6,72 @@
 	"github.com/panjf2000/ants/v2"
 )
 
-// signalCapacity is how many events a pump may be ahead of the life. When it
-// is full the pump stops reading and the engine's connection fills; engines
-// keep what they couldn't send.
+// signalCapacity is how many signals a reader may be ahead of the session. When the channel is full,
+// the reader stops reading from the engine's connection; engines keep what they couldn't send.
 const signalCapacity = 16
 
-// signal is what a pump tells: attached, arrived or broken.
+// signal is what a reader sends to the session: connected, eventReceived or disconnected.
 type signal interface{ signal() }
 
-type attached struct{ incarnation string }
+type connected struct{ incarnation string }
 
-// arrived has a pointer, as [Token] has: an event by value would be allocated
-// anew for each channel that it passes.
-type arrived struct{ event *Event }
+// eventReceived holds a pointer, as [Token] does: an event by value would be allocated again for each
+// channel that it passes through.
+type eventReceived struct{ event *Event }
 
-// broken ends a connection; err is io.EOF after the whole generation.
-type broken struct{ err error }
+// disconnected is a connection's last signal; err is io.EOF if the generation was complete.
+type disconnected struct{ err error }
 
-func (attached) signal() {}
-func (arrived) signal()  {}
-func (broken) signal()   {}
+func (connected) signal()     {}
+func (eventReceived) signal() {}
+func (disconnected) signal()  {}
 
 // dial opens one connection to the engine.
 type dial func(ctx context.Context) (Stream, error)
 
-// connection is one connection to the engine and the pump that reads it. Each
-// has its own channel, so an event that comes late on a connection left
-// behind is never taken for one of the present connection.
+// connection is one connection to the engine with the goroutine that reads it. Each has its own
+// channel, so a late event on a replaced connection can't be mistaken for one of the current
+// connection.
 type connection struct {
 	signals chan signal
 	close   context.CancelFunc
-	// answered says that the engine has answered on it; the life's own.
+	// answered is set once the engine has answered; only the session uses it.
 	answered bool
 }
 
-func connect(ctx context.Context, pumps *ants.Pool, d dial) (*connection, error) {
+func connect(ctx context.Context, readers *ants.Pool, d dial) (*connection, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	c := &connection{signals: make(chan signal, signalCapacity), close: cancel}
-	if err := pumps.Submit(func() { c.pump(ctx, d) }); err != nil {
+	if err := readers.Submit(func() { c.read(ctx, d) }); err != nil {
 		cancel()
 		return nil, ErrNotSent
 	}
 	return c, nil
 }
 
-func (c *connection) pump(ctx context.Context, d dial) {
+func (c *connection) read(ctx context.Context, d dial) {
 	stream, err := d(ctx)
 	if err != nil {
-		c.tell(ctx, broken{err})
+		c.send(ctx, disconnected{err})
 		return
 	}
 	defer stream.Close()
-	if !c.tell(ctx, attached{stream.Incarnation()}) {
+	if !c.send(ctx, connected{stream.Incarnation()}) {
 		return
 	}
 	for {
 		event, err := stream.Next()
 		if err != nil {
-			c.tell(ctx, broken{err})
+			c.send(ctx, disconnected{err})
 			return
 		}
-		if !c.tell(ctx, arrived{&event}) {
+		if !c.send(ctx, eventReceived{&event}) {
 			return
 		}
 	}
 }
 
-func (c *connection) tell(ctx context.Context, s signal) bool {
+func (c *connection) send(ctx context.Context, s signal) bool {
 	select {
 	case c.signals <- s:
 		return true
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -10,33 +10,33 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// The errors of an [Engine].
+// The errors that an [Engine] returns.
 var (
-	// ErrNotSent means that no byte of the request left.
+	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = merry.New("not sent to the engine")
-	// ErrLost means that the connection failed and the request may run.
-	ErrLost = merry.New("connection to the engine lost")
+	// ErrConnectionLost means that the connection failed and the request may be running.
+	ErrConnectionLost = merry.New("connection to the engine lost")
 	// ErrUnknownStream means that the engine doesn't have the generation.
 	ErrUnknownStream = merry.New("engine doesn't know the generation")
 )
 
-// RefusedError means that the engine refused before running.
+// RefusedError means that the engine refused the request before running it.
 type RefusedError struct {
 	// Status is the engine's HTTP status.
 	Status int
-	// Overload says that the engine is full.
+	// Overload is set if the engine has no free capacity.
 	Overload   bool
 	RetryAfter time.Duration
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return "engine refused before running" }
+func (e *RefusedError) Error() string { return "engine refused the request before running it" }
 
-// Engine reaches model engines. The end of the context of Start or Resume
-// ends the stream and its connection. Any other error than those above counts as [ErrLost].
+// Engine calls model engines. Cancelling the context of Start or Resume ends the stream and its
+// connection. Any error other than those above is treated as [ErrConnectionLost].
 type Engine interface {
 	Start(ctx context.Context, address string, req EngineRequest) (Stream, error)
-	// Resume uses a new connection: one that went silent is never reused.
+	// Resume opens a new connection: one that stopped responding is never reused.
 	Resume(ctx context.Context, address, requestID string, after int64) (Stream, error)
 	Cancel(ctx context.Context, address, requestID string) error
 }
@@ -48,8 +48,8 @@
 	Body []byte
 }
 
-// Stream is one connection that carries a generation. Next returns io.EOF
-// after the whole generation, and ends when the context of the stream does.
+// Stream is one connection that delivers the events of a generation. Next returns io.EOF after the
+// last event, and an error when the context of the stream ends.
 type Stream interface {
 	Next() (Event, error)
 	Incarnation() string
@@ -58,7 +58,7 @@
 
 // Event is one event of a generation.
 type Event struct {
-	// Position counts from 1, absolute over all connections.
+	// Position counts from 1 over the whole generation, independent of connections.
 	Position int64
 	// Data is the OpenAI chunk as JSON.
 	Data         string
@@ -67,13 +67,12 @@
 
 // Job is a generation to start.
 type Job struct {
-	// Permit is the request for a permit; its ID, exclusions and deadline are
-	// the relay's to fill from the fields here.
+	// Permit is the request for a permit. The relay sets its ID, exclusions and deadline.
 	Permit permit.Request
 	Path   string
 	Body   []byte
-	// Streamed says that tokens reach the caller as they come. If not, the
-	// answer is collected, and the generation may be restarted to its end.
+	// Streamed is set if tokens are sent to the caller as they arrive. Otherwise the answer is
+	// collected, and the generation may be restarted until it is complete.
 	Streamed bool
 }
 
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -15,18 +15,18 @@
 	"pollenspindle.example/pollenspindle/internal/retry"
 )
 
-// behaviour is what one connection does; the zero value delivers everything.
+// behaviour describes one connection; the zero value delivers all events.
 type behaviour struct {
-	err         error
-	incarnation string
-	cutAt       int64
-	silentAt    int64
-	skipAt      int64
-	// back repeats positions before the one asked for.
-	back int64
+	err          error
+	incarnation  string
+	disconnectAt int64
+	silentAt     int64
+	skipAt       int64
+	// repeat is how many positions before the requested one are sent again.
+	repeat int64
 }
 
-// fakeEngine stands for all engines. Connections take behaviours in order.
+// fakeEngine replaces all engines. Each connection uses the next behaviour.
 type fakeEngine struct {
 	mu         sync.Mutex
 	tokens     int64
@@ -73,51 +73,51 @@
 }
 
 type fakeStream struct {
-	ctx     context.Context
-	b       behaviour
-	at, end int64
-	request string
+	ctx            context.Context
+	behaviour      behaviour
+	position, last int64
+	request        string
 }
 
 func newFakeStream(ctx context.Context, b behaviour, after, tokens int64, request string) (Stream, error) {
 	if b.err != nil {
 		return nil, b.err
 	}
-	return &fakeStream{ctx: ctx, b: b, at: max(0, after-b.back), end: tokens + 1, request: request}, nil
+	return &fakeStream{ctx: ctx, behaviour: b, position: max(0, after-b.repeat), last: tokens + 1, request: request}, nil
 }
 
 func (s *fakeStream) Next() (Event, error) {
-	s.at++
-	if s.at == s.b.silentAt {
+	s.position++
+	if s.position == s.behaviour.silentAt {
 		<-s.ctx.Done()
 	}
-	if s.at == s.b.silentAt || s.at == s.b.cutAt {
-		return Event{}, ErrLost
+	if s.position == s.behaviour.silentAt || s.position == s.behaviour.disconnectAt {
+		return Event{}, ErrConnectionLost
 	}
-	if s.at == s.b.skipAt {
-		s.at++
+	if s.position == s.behaviour.skipAt {
+		s.position++
 	}
-	if s.at > s.end {
+	if s.position > s.last {
 		return Event{}, io.EOF
 	}
-	e := Event{Position: s.at, Data: fmt.Sprintf("%s/%d", s.request, s.at)}
-	if s.at == s.end {
+	e := Event{Position: s.position, Data: fmt.Sprintf("%s/%d", s.request, s.position)}
+	if s.position == s.last {
 		e.FinishReason = "stop"
 	}
 	return e, nil
 }
 
-func (s *fakeStream) Incarnation() string { return "one" + s.b.incarnation }
+func (s *fakeStream) Incarnation() string { return "one" + s.behaviour.incarnation }
 func (s *fakeStream) Close()              {}
 
-// fakePermits gives a permit on server-1, server-2, ... and keeps outcomes.
+// fakePermits issues permits for server-1, server-2, ... and records outcomes.
 type fakePermits struct {
 	mu       sync.Mutex
 	requests []permit.Request
 	outcomes []permit.Outcome
 	refusal  *permit.Refusal
 	expired  int
-	// broken counts the servers whose connections broke.
+	// broken counts the reported broken connections by server.
 	broken map[string]int
 }
 
--- a/internal/relay/lag.go
+++ b/internal/relay/lag.go
@@ -4,22 +4,22 @@
 
 // lag measures how long a caller has been behind.
 //
-// A full ring stops the reading from the engine, and each token that a slow caller
-// takes must not start the wait anew. So the time counts from the first full ring until half of it is free: a caller that was
-// only interrupted empties it at once.
+// A full buffer stops the reading from the engine, and a slow caller must not restart the timeout with
+// each token that it reads. So the time counts from when the buffer is first full until half of it is
+// free: a caller that was only interrupted drains it at once.
 type lag struct {
 	since time.Time
 }
 
-// caught ends the lag of a caller that has at most half a ring to read.
-func (l *lag) caught(queued int) {
-	if queued <= RingCapacity/2 {
+// resetIfCaughtUp ends the lag of a caller that has at most half of the buffer left to read.
+func (l *lag) resetIfCaughtUp(queued int) {
+	if queued <= MessageCapacity/2 {
 		l.since = time.Time{}
 	}
 }
 
-// left is how much longer a caller with a full ring is waited for.
-func (l *lag) left(now time.Time, limit time.Duration) time.Duration {
+// remaining returns how much longer to wait for a caller whose buffer is full.
+func (l *lag) remaining(now time.Time, limit time.Duration) time.Duration {
 	if l.since.IsZero() {
 		l.since = now
 	}
--- a/internal/relay/lag_test.go
+++ b/internal/relay/lag_test.go
@@ -7,23 +7,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller takes a token now and then. Its ring is full whenever the engine
-// gives the next one, so each token waits for the caller; together they must
-// not wait longer than for a caller that takes none.
+// A caller that reads a token now and then keeps its buffer full, so each new token waits for it. The
+// waits together must not take longer than for a caller that reads nothing.
 func TestLag(t *testing.T) {
 	const limit = 10 * time.Second
 	tests := map[string]struct {
-		// queued is what the caller has still to read before each push.
+		// queued is the number of unread messages before each push.
 		queued []int
 		every  time.Duration
 		left   time.Duration
 	}{
-		"reads nothing":          {queued: []int{RingCapacity}, left: limit},
-		"reads a token a while":  {queued: []int{RingCapacity, RingCapacity, RingCapacity}, every: 4 * time.Second, left: 2 * time.Second},
-		"is behind for too long": {queued: []int{RingCapacity, RingCapacity, RingCapacity}, every: 6 * time.Second},
-		"has caught up between":  {queued: []int{RingCapacity, RingCapacity / 2, RingCapacity}, every: 4 * time.Second, left: limit},
-		"has caught up too little": {
-			queued: []int{RingCapacity, RingCapacity/2 + 1, RingCapacity}, every: 4 * time.Second, left: 2 * time.Second,
+		"reads nothing":              {queued: []int{MessageCapacity}, left: limit},
+		"reads a token now and then": {queued: []int{MessageCapacity, MessageCapacity, MessageCapacity}, every: 4 * time.Second, left: 2 * time.Second},
+		"is behind for too long":     {queued: []int{MessageCapacity, MessageCapacity, MessageCapacity}, every: 6 * time.Second},
+		"has caught up in between":   {queued: []int{MessageCapacity, MessageCapacity / 2, MessageCapacity}, every: 4 * time.Second, left: limit},
+		"has not caught up enough": {
+			queued: []int{MessageCapacity, MessageCapacity/2 + 1, MessageCapacity}, every: 4 * time.Second, left: 2 * time.Second,
 		},
 	}
 	for name, tt := range tests {
@@ -32,9 +31,9 @@
 			var left time.Duration
 			now := time.Now()
 			for i, queued := range tt.queued {
-				l.caught(queued)
-				if queued == RingCapacity {
-					left = l.left(now.Add(time.Duration(i)*tt.every), limit)
+				l.resetIfCaughtUp(queued)
+				if queued == MessageCapacity {
+					left = l.remaining(now.Add(time.Duration(i)*tt.every), limit)
 				}
 			}
 			require.Equal(t, tt.left, left)
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -5,26 +5,24 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// Message is what a caller's handler gets: [Begun], [Token], [Finished] or
-// [Failed].
+// Message is what a caller's handler receives: [Started], [Token], [Finished] or [Failed].
 type Message interface{ message() }
 
-// Begun says where the generation runs. For a streamed one it comes once,
-// just before the first token. For a collected one it comes again when the
-// generation was restarted; what came before it is void.
+// Begun says where the generation runs. A streamed generation sends it once, just before the first
+// token. A collected one sends it again after each restart; the receiver discards everything before it.
 type Begun struct {
 	Permit      permit.Permit
 	Request     string
 	Incarnation string
 }
 
-// Token is one event of the engine. Nobody changes it.
+// Token is one event of the engine. It is read-only.
 type Token struct{ Event *Event }
 
-// Finished means that the whole generation was delivered.
+// Finished means that the generation was delivered completely.
 type Finished struct{}
 
-// Failed means that the generation ended before it was whole.
+// Failed means that the generation ended before it was complete.
 type Failed struct{ Failure *answer.Failure }
 
 func (Begun) message()    {}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,11 +1,10 @@
-// Package relay carries one generation from an engine to its caller: each
-// token once, in order, from one generation.
+// Package relay delivers a generation from an engine to its caller: each token once, in order, and from
+// a single generation.
 //
-// Two duties work on a generation, joined by a bounded ring of messages. The
-// life holds the permit and the connection to the engine, watches for silence
-// and resumes; the caller's handler takes messages from the ring and writes
-// them. A third, the pump, reads one connection and hands its events to the
-// life, so that a silent connection can be left behind.
+// Three goroutines work on a generation. The session holds the permit and the connection to the
+// engine, detects silent streams and resumes them. The caller's handler receives messages from the
+// session over a bounded channel and writes them. The reader reads one connection and passes its
+// events to the session, so that a silent connection can be abandoned.
 //
 // # Usage
 //
@@ -13,7 +12,7 @@
 //	g, err := r.Generate(ctx, relay.Job{...})
 //	for m := range g.Messages() {
 //		switch m := m.(type) {
-//		case relay.Begun: // the generation's id is known
+//		case relay.Started: // the generation's ID is known
 //		case relay.Token: // m.Event.Data is an OpenAI chunk
 //		case relay.Finished:
 //		case relay.Failed: // m.Failure
@@ -40,73 +39,73 @@
 )
 
 const (
-	// DefaultMaxGenerations bounds the generations of one entry instance. At
-	// the size to design for one has about 60 open; the bound is for the loss
-	// of most instances, and keeps the rings' memory under 64 MiB or so.
+	// DefaultMaxGenerations limits the concurrent generations of one instance. At the design load an
+	// instance has about 60; the limit leaves capacity for the loss of most other instances and keeps
+	// the message buffers under about 64 MiB.
 	DefaultMaxGenerations = 2048
-	// pumpsPerGeneration leaves room for a probe beside a silent connection.
-	pumpsPerGeneration = 2
-	// fullRetryAfter is said when all places are taken: some end each second.
-	fullRetryAfter = time.Second
+	// readersPerGeneration allows a probe in addition to a silent connection.
+	readersPerGeneration = 2
+	// defaultRetryAfter is the Retry-After when there is no free capacity: some generations end each
+	// second.
+	defaultRetryAfter = time.Second
 )
 
-// ErrOptions means that New was given unusable options.
-var ErrOptions = merry.New("unusable relay options")
+// ErrOptions means that the options passed to [New] are invalid.
+var ErrOptions = merry.New("invalid relay options")
 
 // Options configures a [Relay].
 type Options struct {
 	Engine  Engine
 	Permits permit.Acquirer
 	Retries *retry.Budgets
-	// Confirmed reports whether new work may be sent: the configuration was
-	// confirmed a short while ago.
+	// Confirmed reports whether new work may be sent, because the configuration was confirmed
+	// recently.
 	Confirmed func(now time.Time) bool
-	// Stall is how long a stream may be silent before it is probed.
+	// StallTimeout is how long a stream may be silent before it is probed.
 	Stall time.Duration
-	// Grace is how long a generation whose caller has gone is kept for the
-	// caller to come back through any instance; zero takes [DefaultGrace].
+	// GracePeriod is how long a generation is kept after its caller has disconnected, so that the
+	// caller can resume it through any instance; zero means [DefaultGracePeriod].
 	Grace time.Duration
-	// SlowCaller is how long a caller that doesn't read is waited for; zero
-	// takes [DefaultSlowCaller].
+	// SlowCallerTimeout is how long to wait for a caller that doesn't read; zero means
+	// [DefaultSlowCallerTimeout].
 	SlowCaller time.Duration
-	// MaxGenerations bounds the generations at the same time; zero takes
-	// [DefaultMaxGenerations].
+	// MaxGenerations limits the concurrent generations; zero means [DefaultMaxGenerations].
 	MaxGenerations int
 	Logger         zerolog.Logger
 	Scope          tally.Scope
 	Tracer         trace.Tracer
 }
 
-// Relay carries generations. It is safe for concurrent use.
+// Relay delivers generations to callers. It is safe for concurrent use.
 type Relay struct {
-	opts    Options
-	metrics metrics
-	lives   *ants.Pool
-	pumps   *ants.Pool
-	// evicted ends when streams are to be resumed elsewhere.
+	opts     Options
+	metrics  metrics
+	sessions *ants.Pool
+	readers  *ants.Pool
+	// evicted ends when streams must be resumed through another instance.
 	evicted context.Context
 	evict   context.CancelFunc
 
-	mu   sync.Mutex
-	held map[string]*life
+	mu     sync.Mutex
+	active map[string]*session
 }
 
-// New returns a relay. Close frees its pools.
+// New returns a relay. [Relay.Close] frees its pools.
 func New(opts Options) (*Relay, error) {
 	if opts.Engine == nil || opts.Permits == nil || opts.Retries == nil || opts.Stall <= 0 {
 		return nil, ErrOptions
 	}
 	fillOptions(&opts)
-	lives, err := ants.NewPool(opts.MaxGenerations, ants.WithNonblocking(true))
+	sessions, err := ants.NewPool(opts.MaxGenerations, ants.WithNonblocking(true))
 	if err != nil {
-		return nil, merry.Prepend(err, "make pool of generations")
+		return nil, merry.Prepend(err, "create pool of sessions")
 	}
-	pumps, err := ants.NewPool(pumpsPerGeneration*opts.MaxGenerations, ants.WithNonblocking(true))
+	readers, err := ants.NewPool(readersPerGeneration*opts.MaxGenerations, ants.WithNonblocking(true))
 	if err != nil {
-		lives.Release()
-		return nil, merry.Prepend(err, "make pool of connections")
+		sessions.Release()
+		return nil, merry.Prepend(err, "create pool of connection readers")
 	}
-	r := &Relay{opts: opts, metrics: newMetrics(opts.Scope), lives: lives, pumps: pumps, held: map[string]*life{}}
+	r := &Relay{opts: opts, metrics: newMetrics(opts.Scope), sessions: sessions, readers: readers, active: map[string]*session{}}
 	r.evicted, r.evict = context.WithCancel(context.Background())
 	return r, nil
 }
@@ -129,37 +128,37 @@
 	}
 }
 
-// Generation is the caller's end of one generation.
+// Generation is a generation as the caller's handler sees it.
 type Generation struct {
 	messages chan Message
 }
 
-// Messages ends after [Finished] or [Failed]. When it ends without either,
-// the caller was too slow; the generation may be resumed.
+// Messages returns the channel of messages, which is closed after [Finished] or [Failed]. If it is
+// closed without either, the caller was too slow and may resume the generation.
 func (g *Generation) Messages() <-chan Message { return g.messages }
 
-// Generate starts a generation. It goes on until ctx, the caller's, ends, and
-// for a streamed one that has begun a grace period longer. The error is an
-// *answer.Failure: all places are taken.
+// Generate starts a generation. It is cancelled when ctx, the caller's context, ends; a stream that has
+// started is kept for the grace period first. The error is an *answer.Failure and means that the relay
+// is at its limit.
 func (r *Relay) Generate(ctx context.Context, job Job) (*Generation, error) {
-	l := newLife(ctx, r)
-	l.job = job
-	return r.submit(l, l.generate)
+	s := newSession(ctx, r)
+	s.job = job
+	return r.submit(s, s.generate)
 }
 
-// Attach resumes a generation after a position. It holds no permit: the entry
-// instance that started the generation accounts for it to its end.
+// Attach resumes a generation after a position. It holds no permit: the instance that started the
+// generation holds the permit until the generation ends.
 func (r *Relay) Attach(ctx context.Context, a Attachment) (*Generation, error) {
-	l := newLife(ctx, r)
-	return r.submit(l, func() { l.attach(a) })
+	s := newSession(ctx, r)
+	return r.submit(s, func() { s.attach(a) })
 }
 
-func (r *Relay) submit(l *life, duty func()) (*Generation, error) {
-	g := &Generation{messages: l.ring}
-	if err := r.lives.Submit(duty); err != nil {
+func (r *Relay) submit(s *session, work func()) (*Generation, error) {
+	g := &Generation{messages: s.messages}
+	if err := r.sessions.Submit(work); err != nil {
 		f := answer.NotRun(http.StatusServiceUnavailable, answer.CodeTooManyStreams,
-			"this entry instance carries as many generations as it can")
-		f.RetryAfter = fullRetryAfter
+			"this instance is at its limit of concurrent generations")
+		f.RetryAfter = defaultRetryAfter
 		return nil, f
 	}
 	return g, nil
@@ -167,9 +166,9 @@
 
 // Cancel ends a generation on its engine and frees its memory.
 func (r *Relay) Cancel(ctx context.Context, address, requestID string) error {
-	if l := r.find(requestID); l != nil {
-		l.cancelled.Store(true)
-		l.steps.Add(journal.Step{At: time.Now(), What: journal.Cancelled})
+	if s := r.find(requestID); s != nil {
+		s.cancelled.Store(true)
+		s.entry.Add(journal.Step{At: time.Now(), What: journal.Cancelled})
 	}
 	if err := r.opts.Engine.Cancel(ctx, address, requestID); err != nil {
 		return &answer.Failure{
@@ -180,45 +179,46 @@
 	return nil
 }
 
-// TakeOver tells that the caller of a generation held here has come back,
-// perhaps through another instance, so that its grace period doesn't end it.
+// TakeOver records that the caller of a generation of this relay has come back, possibly through
+// another instance, so that the end of the grace period doesn't cancel it. It reports whether the relay
+// has the generation.
 func (r *Relay) TakeOver(requestID string) bool {
-	l := r.find(requestID)
-	if l == nil {
+	s := r.find(requestID)
+	if s == nil {
 		return false
 	}
-	l.takenOver.Store(true)
-	l.steps.Add(journal.Step{At: time.Now(), What: journal.TakenOver})
+	s.takenOver.Store(true)
+	s.entry.Add(journal.Step{At: time.Now(), What: journal.TakenOver})
 	return true
 }
 
-// Evict ends all streams with a failure that tells callers to resume through
-// another instance; generations that haven't begun are cancelled.
+// Evict ends all streams with a failure that tells callers to resume through another instance.
+// Generations that haven't started are cancelled.
 func (r *Relay) Evict() { r.evict() }
 
-// Running counts the generations held, also those whose callers have gone.
-func (r *Relay) Running() int { return r.lives.Running() }
+// Running returns the number of running generations, including those whose callers have disconnected.
+func (r *Relay) Running() int { return r.sessions.Running() }
 
-// Close frees the pools. Call it when no generation is running.
+// Close frees the pools. It must be called only when no generation is running.
 func (r *Relay) Close() {
-	r.lives.Release()
-	r.pumps.Release()
+	r.sessions.Release()
+	r.readers.Release()
 }
 
-func (r *Relay) hold(requestID string, l *life) {
+func (r *Relay) register(requestID string, s *session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.held[requestID] = l
+	r.active[requestID] = s
 }
 
-func (r *Relay) drop(requestID string) {
+func (r *Relay) unregister(requestID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.held, requestID)
+	delete(r.active, requestID)
 }
 
-func (r *Relay) find(requestID string) *life {
+func (r *Relay) find(requestID string) *session {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.held[requestID]
+	return r.active[requestID]
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -12,11 +12,11 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// received is what a caller has after the last message.
+// received is what a caller has received after the last message.
 type received struct {
 	positions []int64
 	requests  map[string]bool
-	begun     int
+	started   int
 	failure   *answer.Failure
 	finished  bool
 }
@@ -26,8 +26,8 @@
 	for m := range g.Messages() {
 		switch m := m.(type) {
 		case Begun:
-			// As the collector does: what came before is void.
-			got.begun++
+			// Discard the earlier tokens, as the collector does.
+			got.started++
 			got.positions, got.requests = nil, map[string]bool{}
 		case Token:
 			got.positions = append(got.positions, m.Event.Position)
@@ -44,13 +44,12 @@
 	return got
 }
 
-// The caller sees every token once, in order, from one generation, or a
-// failure that says how far it got. The engine's connections break, fall
-// silent, repeat and skip. A begun stream is only ever resumed on the engine
-// that began it; what the caller has nothing of is started again elsewhere.
+// The engine's connections break, go silent, and repeat or skip events. The caller must still receive
+// each token once, in order and from one generation, or a failure with the position reached. A started
+// stream is only resumed on its own engine; before the first token the request is retried elsewhere.
 func TestGenerate(t *testing.T) {
 	const tokens = 6
-	cut, silent := behaviour{cutAt: 4}, behaviour{silentAt: 4}
+	disconnect, silent := behaviour{disconnectAt: 4}, behaviour{silentAt: 4}
 	unknown := behaviour{err: ErrUnknownStream}
 	tests := map[string]struct {
 		collected  bool
@@ -62,47 +61,47 @@
 		code       answer.Code
 		outcome    answer.Outcome
 		delivered  int
-		// broken counts the broken connections that were told, by server.
+		// broken counts the reported broken connections by server.
 		broken map[string]int
 	}{
-		"all at once": {
+		"delivered on one connection": {
 			starts: 1, endings: []permit.Ending{permit.EndingFinished},
 		},
-		"a cut stream is resumed": {
-			behaviours: []behaviour{cut}, starts: 1, endings: []permit.Ending{permit.EndingFinished},
+		"a disconnected stream is resumed": {
+			behaviours: []behaviour{disconnect}, starts: 1, endings: []permit.Ending{permit.EndingFinished},
 		},
 		"a silent stream is resumed on a new connection": {
 			behaviours: []behaviour{silent, silent}, starts: 1, endings: []permit.Ending{permit.EndingFinished},
 		},
 		"repeated positions are dropped": {
-			behaviours: []behaviour{cut, {back: 3}}, starts: 1, endings: []permit.Ending{permit.EndingFinished},
+			behaviours: []behaviour{disconnect, {repeat: 3}}, starts: 1, endings: []permit.Ending{permit.EndingFinished},
 		},
-		"skipped positions are asked for again": {
+		"skipped positions are requested again": {
 			behaviours: []behaviour{{skipAt: 3}}, starts: 1, endings: []permit.Ending{permit.EndingFinished},
 		},
-		"positions that stay missing are a fault": {
+		"positions that stay missing fail the generation": {
 			behaviours: []behaviour{{skipAt: 3}, {skipAt: 3}, {skipAt: 3}}, starts: 1,
 			endings: []permit.Ending{permit.EndingCancelled},
 			code:    answer.CodeGenerationGap, outcome: answer.OutcomeRan, delivered: 2,
 		},
-		"a begun stream that the engine lost isn't spliced": {
-			behaviours: []behaviour{cut, unknown}, starts: 1, endings: []permit.Ending{permit.EndingCrashed},
+		"a started stream that the engine lost isn't restarted": {
+			behaviours: []behaviour{disconnect, unknown}, starts: 1, endings: []permit.Ending{permit.EndingCrashed},
 			code: answer.CodeGenerationLost, outcome: answer.OutcomeRan, delivered: 3,
 		},
-		"a begun stream isn't taken from another start of the engine": {
-			behaviours: []behaviour{cut, {incarnation: "two"}}, starts: 1,
+		"a started stream isn't resumed on another incarnation": {
+			behaviours: []behaviour{disconnect, {incarnation: "two"}}, starts: 1,
 			endings: []permit.Ending{permit.EndingCrashed},
 			code:    answer.CodeGenerationLost, outcome: answer.OutcomeRan, delivered: 3,
 		},
-		"an engine that forgets after its last event lost nothing": {
-			behaviours: []behaviour{{cutAt: tokens + 2}, unknown}, starts: 1,
+		"an engine that drops the generation after the last event": {
+			behaviours: []behaviour{{disconnectAt: tokens + 2}, unknown}, starts: 1,
 			endings: []permit.Ending{permit.EndingFinished},
 		},
-		"not sent goes to another server": {
+		"a request that was not sent is retried on another server": {
 			behaviours: []behaviour{{err: ErrNotSent}}, starts: 2,
 			endings: []permit.Ending{permit.EndingNotSent, permit.EndingFinished},
 		},
-		"a cold server's refusal goes to another server": {
+		"a request refused by a cold server is retried elsewhere": {
 			behaviours: []behaviour{{err: &RefusedError{Status: 503}}}, starts: 2,
 			endings: []permit.Ending{permit.EndingRefused, permit.EndingFinished},
 		},
@@ -111,33 +110,33 @@
 			endings: []permit.Ending{permit.EndingRefused},
 			code:    answer.CodeBackendRefused, outcome: answer.OutcomeNotRun,
 		},
-		"lost before the first token starts elsewhere": {
-			behaviours: []behaviour{{err: ErrLost}, unknown}, starts: 2,
+		"lost before the first token, retried elsewhere": {
+			behaviours: []behaviour{{err: ErrConnectionLost}, unknown}, starts: 2,
 			endings: []permit.Ending{permit.EndingCrashed, permit.EndingFinished},
 			broken:  map[string]int{"server-1": 2},
 		},
-		"lost, then refused elsewhere, may have run": {
-			behaviours: []behaviour{{err: ErrLost}, unknown, {err: &RefusedError{Status: 429, Overload: true}}},
+		"lost, then refused elsewhere, so it may have run": {
+			behaviours: []behaviour{{err: ErrConnectionLost}, unknown, {err: &RefusedError{Status: 429, Overload: true}}},
 			starts:     2, endings: []permit.Ending{permit.EndingCrashed, permit.EndingRefused},
 			code: answer.CodeBackendRefused, outcome: answer.OutcomeUnknown,
 		},
-		"lost on two servers isn't tried on a third": {
-			behaviours: []behaviour{{err: ErrLost}, unknown, {err: ErrLost}, unknown}, starts: 2,
+		"lost on two servers, not retried on a third": {
+			behaviours: []behaviour{{err: ErrConnectionLost}, unknown, {err: ErrConnectionLost}, unknown}, starts: 2,
 			endings: []permit.Ending{permit.EndingCrashed, permit.EndingCrashed},
 			code:    answer.CodeGenerationLost, outcome: answer.OutcomeUnknown,
 		},
-		"lost before the first token is found again": {
-			behaviours: []behaviour{{err: ErrLost}}, starts: 1,
+		"disconnected before the first token, then resumed": {
+			behaviours: []behaviour{{err: ErrConnectionLost}}, starts: 1,
 			endings: []permit.Ending{permit.EndingFinished},
 		},
-		"a collected answer starts again when the engine lost it": {
-			collected: true, behaviours: []behaviour{cut, unknown}, starts: 2,
+		"a collected answer is restarted after the engine lost it": {
+			collected: true, behaviours: []behaviour{disconnect, unknown}, starts: 2,
 			endings: []permit.Ending{permit.EndingCrashed, permit.EndingFinished},
 		},
-		"a lapsed permit is replaced before anything is sent": {
+		"an expired permit is replaced before anything is sent": {
 			expired: 1, starts: 1, endings: []permit.Ending{permit.EndingNotSent, permit.EndingFinished},
 		},
-		"permits that always lapse are a refusal": {
+		"permits that always expire cause a refusal": {
 			expired: 100, starts: 0,
 			endings: []permit.Ending{
 				permit.EndingNotSent, permit.EndingNotSent, permit.EndingNotSent, permit.EndingNotSent,
@@ -186,13 +185,12 @@
 	require.True(t, receive(g).finished)
 	require.Equal(t, []string{"server-1"}, p.requests[1].ExcludeServers)
 	require.Equal(t, []string{"zone-1"}, p.requests[1].AvoidZones)
-	require.NotEqual(t, p.requests[0].ID, p.requests[1].ID, "a late start must not meet the second under one id")
+	require.NotEqual(t, p.requests[0].ID, p.requests[1].ID, "a delayed start and the retry must have different IDs")
 }
 
-// A caller's connection ends in the middle of an answer. Nobody may ever ask
-// for the rest; then the engine's memory is freed. A streaming caller may come
-// back through another instance within the grace period; cancelling then
-// would cut off the answer that it reads there.
+// A caller disconnects in the middle of an answer. If it doesn't come back, the engine's memory must be
+// freed. If it resumes the stream through another instance within the grace period, the generation must
+// not be cancelled.
 func TestCallerGone(t *testing.T) {
 	tests := map[string]struct {
 		collected bool
@@ -202,7 +200,7 @@
 		cancels   int
 	}{
 		"a stream is cancelled after the grace period": {grace: time.Millisecond, ending: permit.EndingCancelled, cancels: 1},
-		"a stream taken over is read to its end":       {grace: time.Millisecond, takenOver: true, ending: permit.EndingFinished},
+		"a stream taken over is read until it ends":    {grace: time.Millisecond, takenOver: true, ending: permit.EndingFinished},
 		"a collected answer is cancelled at once":      {collected: true, grace: time.Hour, ending: permit.EndingCancelled, cancels: 1},
 	}
 	for name, tt := range tests {
@@ -231,12 +229,12 @@
 			require.Eventually(t, func() bool { return len(p.endings()) == 1 }, time.Minute, time.Millisecond)
 			require.Equal(t, tt.ending, p.endings()[0])
 			require.Equal(t, tt.cancels, e.cancels())
-			require.False(t, r.TakeOver(p.requests[0].ID), "no longer held")
+			require.False(t, r.TakeOver(p.requests[0].ID), "the generation is still registered")
 		})
 	}
 }
 
-// gatedEngine holds every connection before one position until released.
+// gatedEngine blocks every connection before one position until release is closed.
 type gatedEngine struct {
 	fakeEngine
 	gateAt  int64
@@ -259,18 +257,18 @@
 }
 
 func (s *gatedStream) Next() (Event, error) {
-	if s.at+1 == s.engine.gateAt {
+	if s.position+1 == s.engine.gateAt {
 		select {
 		case <-s.engine.release:
 		case <-s.ctx.Done():
-			return Event{}, ErrLost
+			return Event{}, ErrConnectionLost
 		}
 	}
 	return s.fakeStream.Next()
 }
 
-// The process stops while a stream runs. The caller is told its position and
-// to resume elsewhere; the engine goes on, so the resumed stream is whole.
+// The process shuts down during a stream. The caller gets its position and is told to resume through
+// another instance; the engine continues, so the resumed stream is complete.
 func TestEvict(t *testing.T) {
 	release := make(chan struct{})
 	e := &gatedEngine{fakeEngine: fakeEngine{tokens: 6}, gateAt: 3, release: release}
@@ -297,7 +295,7 @@
 	require.True(t, got.finished)
 	require.Equal(t, []int64{3, 4, 5, 6, 7}, got.positions)
 
-	// The engine was replaced since: what the caller has of it did run.
+	// If the engine was replaced since, the outcome must say that the generation did run.
 	g, err = other.Attach(t.Context(), Attachment{Incarnation: "before", Request: p.requests[0].ID, After: 2})
 	require.NoError(t, err)
 	got = receive(g)
@@ -321,7 +319,7 @@
 	require.Equal(t, answer.OutcomeNotRun, f.Outcome)
 }
 
-// BenchmarkToken gives the time that the relay adds for each token.
+// BenchmarkToken measures the time that the relay adds to each token.
 func BenchmarkToken(b *testing.B) {
 	e := &fakeEngine{tokens: int64(b.N)}
 	r := newTestRelay(b, e, &fakePermits{}, time.Hour)
