--- a/internal/relay/connection.go
+++ b/internal/relay/connection.go
@@ -6,8 +6,9 @@
 	"github.com/panjf2000/ants/v2"
 )
 
-// signalCapacity is how many signals a reader may be ahead of the session. When the channel is full,
-// the reader stops reading from the engine's connection; engines keep what they couldn't send.
+// signalCapacity is how many signals a reader may be ahead of the session. When the channel is
+// full, the reader stops reading from the engine's connection; engines keep what they couldn't
+// send.
 const signalCapacity = 16
 
 // signal is what a reader sends to the session: connected, eventReceived or disconnected.
@@ -15,8 +16,8 @@
 
 type connected struct{ incarnation string }
 
-// eventReceived holds a pointer, as [Token] does: an event by value would be allocated again for each
-// channel that it passes through.
+// eventReceived holds a pointer, as [Token] does: an event by value would be allocated again for
+// each channel that it passes through.
 type eventReceived struct{ event *Event }
 
 // disconnected is a connection's last signal; err is io.EOF if the generation was complete.
--- a/internal/relay/lag.go
+++ b/internal/relay/lag.go
@@ -4,9 +4,9 @@
 
 // lag measures how long a caller has been behind.
 //
-// A full buffer stops the reading from the engine, and a slow caller must not restart the timeout with
-// each token that it reads. So the time counts from when the buffer is first full until half of it is
-// free: a caller that was only interrupted drains it at once.
+// A full buffer stops the reading from the engine, and a slow caller must not restart the timeout
+// with each token that it reads. So the time counts from when the buffer is first full until half
+// of it is free: a caller that was only interrupted drains it at once.
 type lag struct {
 	since time.Time
 }
--- a/internal/relay/lag_test.go
+++ b/internal/relay/lag_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller that reads a token now and then keeps its buffer full, so each new token waits for it. The
-// waits together must not take longer than for a caller that reads nothing.
+// A caller that reads a token now and then keeps its buffer full, so each new token waits for it.
+// The waits together must not take longer than for a caller that reads nothing.
 func TestLag(t *testing.T) {
 	const limit = 10 * time.Second
 	tests := map[string]struct {
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -9,7 +9,8 @@
 type Message interface{ message() }
 
 // Begun says where the generation runs. A streamed generation sends it once, just before the first
-// token. A collected one sends it again after each restart; the receiver discards everything before it.
+// token. A collected one sends it again after each restart; the receiver discards everything before
+// it.
 type Begun struct {
 	Permit      permit.Permit
 	Request     string
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -6,8 +6,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics holds the relay's metrics. They are created once: looking one up takes a lock, and some are
-// recorded for each token.
+// metrics holds the relay's metrics. They are created once: looking one up takes a lock, and some
+// are recorded for each token.
 type metrics struct {
 	firstToken    tally.Histogram
 	betweenTokens tally.Histogram
--- a/internal/relay/progress.go
+++ b/internal/relay/progress.go
@@ -6,16 +6,16 @@
 	// DefaultGrace is how long a caller may take to come back. Clients reconnect within
 	// seconds, and generations of callers that don't come back fill engine memory.
 	DefaultGrace = 20 * time.Second
-	// silenceLimit ends a generation that sends no events although the engine has it. It is well over
-	// the time that a preempted generation waits for memory.
+	// silenceLimit ends a generation that sends no events although the engine has it. It is well
+	// over the time that a preempted generation waits for memory.
 	silenceLimit = 2 * time.Minute
 	// patientSilenceLimit applies to the patient class, which is preempted first.
 	patientSilenceLimit = 10 * time.Minute
 	// unreachableLimit ends a started stream whose engine can't be reached: a link that is down for
 	// longer rarely recovers while callers wait.
 	unreachableLimit = 10 * time.Second
-	// maxProbeFactor limits the growth of the probe interval. The interval grows so that a slow engine
-	// isn't loaded by connections from all its silent streams.
+	// maxProbeFactor limits the growth of the probe interval. The interval grows so that a slow
+	// engine isn't loaded by connections from all its silent streams.
 	maxProbeFactor = 8
 	// maxGaps is how often a stream is resumed because positions were missing. If they are still
 	// missing after that, the engine doesn't have them.
@@ -33,7 +33,7 @@
 
 // progress tracks the position of one generation and the time since its last event.
 type progress struct {
-	// lastPosition is the lastPosition position accepted.
+	// lastPosition is the last position accepted.
 	lastPosition int64
 	// lastEventAt is when the last event arrived, or when the first was requested.
 	lastEventAt time.Time
@@ -44,9 +44,9 @@
 
 // accept decides what to do with an event at a position.
 //
-// After a resume the engine may repeat events that an earlier connection delivered, and events of an
-// earlier connection may be lost. Without the check the caller would receive tokens twice, or an answer
-// with a gap that looks complete.
+// After a resume the engine may repeat events that an earlier connection delivered, and events of
+// an earlier connection may be lost. Without the check the caller would receive tokens twice, or an
+// answer with a gap that looks complete.
 func (p *progress) accept(now time.Time, position int64) verdict {
 	switch {
 	case position <= p.lastPosition:
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay delivers a generation from an engine to its caller: each token once, in order, and from
-// a single generation.
+// Package relay delivers a generation from an engine to its caller: each token once, in order, and
+// from a single generation.
 //
 // Three goroutines work on a generation. The session holds the permit and the connection to the
 // engine, detects silent streams and resumes them. The caller's handler receives messages from the
@@ -39,14 +39,14 @@
 )
 
 const (
-	// DefaultMaxGenerations limits the concurrent generations of one instance. At the design load an
-	// instance has about 60; the limit leaves capacity for the loss of most other instances and keeps
-	// the message buffers under about 64 MiB.
+	// DefaultMaxGenerations limits the concurrent generations of one instance. At the design load
+	// an instance has about 60; the limit leaves capacity for the loss of most other instances and
+	// keeps the message buffers under about 64 MiB.
 	DefaultMaxGenerations = 2048
 	// readersPerGeneration allows a probe in addition to a silent connection.
 	readersPerGeneration = 2
-	// defaultRetryAfter is the Retry-After when there is no free capacity: some generations end each
-	// second.
+	// defaultRetryAfter is the Retry-After when there is no free capacity: some generations end
+	// each second.
 	defaultRetryAfter = time.Second
 )
 
@@ -137,9 +137,9 @@
 // closed without either, the caller was too slow and may resume the generation.
 func (g *Generation) Messages() <-chan Message { return g.messages }
 
-// Generate starts a generation. It is cancelled when ctx, the caller's context, ends; a stream that has
-// started is kept for the grace period first. The error is an *answer.Failure and means that the relay
-// is at its limit.
+// Generate starts a generation. It is cancelled when ctx, the caller's context, ends; a stream that
+// has started is kept for the grace period first. The error is an *answer.Failure and means that
+// the relay is at its limit.
 func (r *Relay) Generate(ctx context.Context, job Job) (*Generation, error) {
 	s := newSession(ctx, r)
 	s.job = job
@@ -180,8 +180,8 @@
 }
 
 // TakeOver records that the caller of a generation of this relay has come back, possibly through
-// another instance, so that the end of the grace period doesn't cancel it. It reports whether the relay
-// has the generation.
+// another instance, so that the end of the grace period doesn't cancel it. It reports whether the
+// relay has the generation.
 func (r *Relay) TakeOver(requestID string) bool {
 	s := r.find(requestID)
 	if s == nil {
@@ -196,7 +196,8 @@
 // Generations that haven't started are cancelled.
 func (r *Relay) Evict() { r.evict() }
 
-// Running returns the number of running generations, including those whose callers have disconnected.
+// Running returns the number of running generations, including those whose callers have
+// disconnected.
 func (r *Relay) Running() int { return r.sessions.Running() }
 
 // Close frees the pools. It must be called only when no generation is running.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -44,9 +44,10 @@
 	return got
 }
 
-// The engine's connections break, go silent, and repeat or skip events. The caller must still receive
-// each token once, in order and from one generation, or a failure with the position reached. A started
-// stream is only resumed on its own engine; before the first token the request is retried elsewhere.
+// The engine's connections break, go silent, and repeat or skip events. The caller must still
+// receive each token once, in order and from one generation, or a failure with the position
+// reached. A started stream is only resumed on its own engine; before the first token the request
+// is retried elsewhere.
 func TestGenerate(t *testing.T) {
 	const tokens = 6
 	disconnect, silent := behaviour{disconnectAt: 4}, behaviour{silentAt: 4}
@@ -188,9 +189,9 @@
 	require.NotEqual(t, p.requests[0].ID, p.requests[1].ID, "a delayed start and the retry must have different IDs")
 }
 
-// A caller disconnects in the middle of an answer. If it doesn't come back, the engine's memory must be
-// freed. If it resumes the stream through another instance within the grace period, the generation must
-// not be cancelled.
+// A caller disconnects in the middle of an answer. If it doesn't come back, the engine's memory
+// must be freed. If it resumes the stream through another instance within the grace period, the
+// generation must not be cancelled.
 func TestCallerGone(t *testing.T) {
 	tests := map[string]struct {
 		collected bool
@@ -267,8 +268,8 @@
 	return s.fakeStream.Next()
 }
 
-// The process shuts down during a stream. The caller gets its position and is told to resume through
-// another instance; the engine continues, so the resumed stream is complete.
+// The process shuts down during a stream. The caller gets its position and is told to resume
+// through another instance; the engine continues, so the resumed stream is complete.
 func TestEvict(t *testing.T) {
 	release := make(chan struct{})
 	e := &gatedEngine{fakeEngine: fakeEngine{tokens: 6}, gateAt: 3, release: release}
--- a/internal/relay/result.go
+++ b/internal/relay/result.go
@@ -18,8 +18,8 @@
 // canRestart reports whether the caller has received nothing of this attempt.
 func (a *attempt) canRestart() bool { return !a.session.started || !a.session.job.Streamed }
 
-// failLost ends an attempt whose engine no longer has the generation. A stream that has started isn't
-// retried: a second generation would continue with different tokens.
+// failLost ends an attempt whose engine no longer has the generation. A stream that has started
+// isn't retried: a second generation would continue with different tokens.
 func (a *attempt) failLost(e permit.Ending) *result {
 	res := a.failureResult(answer.CodeGenerationLost, "the backend server lost the generation")
 	res.ending, res.retryable, res.cause = e, a.canRestart(), retry.CauseLost
@@ -31,9 +31,9 @@
 }
 
 // failUnreachable ends an attempt whose engine can't be connected to. The generation may still be
-// running there. A retry can't be mixed with it: the caller has received nothing yet, and each attempt
-// has its own connections. A collected answer that has started is retried only if the old generation
-// was certainly cancelled, since it may hold memory for a long time.
+// running there. A retry can't be mixed with it: the caller has received nothing yet, and each
+// attempt has its own connections. A collected answer that has started is retried only if the old
+// generation was certainly cancelled, since it may hold memory for a long time.
 func (a *attempt) failUnreachable() *result {
 	res := a.failureResult(answer.CodeBackendLost, "the connection to the backend server was lost")
 	stopped := a.tryCancel()
@@ -87,8 +87,8 @@
 }
 
 // tryCancel cancels the generation and reports whether it certainly ended on the engine. An engine
-// that never answered the start may confirm the cancellation and receive the start only afterwards, so
-// that confirmation must not free the permit's slot for another request.
+// that never answered the start may confirm the cancellation and receive the start only afterwards,
+// so that confirmation must not free the permit's slot for another request.
 func (a *attempt) tryCancel() bool {
 	if a.resumed {
 		return false
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// MessageCapacity is how many messages a caller may be behind. A caller that is 256 tokens behind
-	// has probably lost its connection.
+	// MessageCapacity is how many messages a caller may be behind. A caller that is 256 tokens
+	// behind has probably lost its connection.
 	MessageCapacity = 256
 	// DefaultSlowCaller is how long a caller may stay behind by more than half of the message
 	// buffer once that was full. Then the caller is disconnected and may resume: events aren't
@@ -33,8 +33,8 @@
 	cancelTimeout = 2 * time.Second
 )
 
-// errPermitExpired means that the permit expired, or the configuration was no longer confirmed, just
-// before the first byte would have been sent.
+// errPermitExpired means that the permit expired, or the configuration was no longer confirmed,
+// just before the first byte would have been sent.
 var errPermitExpired = merry.New("permit no longer valid")
 
 // session handles one generation on this instance: it acquires permits, makes attempts and passes
@@ -43,8 +43,8 @@
 	relay    *Relay
 	job      Job
 	messages chan Message
-	// callerCtx ends when the callerCtx disconnects. Work continues in ctx, which keeps the callerCtx's span
-	// but not its cancellation.
+	// callerCtx ends when the caller disconnects. Work continues in ctx, which keeps the caller's
+	// span but not its cancellation.
 	callerCtx context.Context
 	ctx       context.Context
 	entry     *journal.Entry
@@ -56,7 +56,7 @@
 	lag       lag
 	takenOver atomic.Bool
 	cancelled atomic.Bool
-	// earlierOutcome is the outcome of an earlierOutcome attempt that may have run, or empty.
+	// earlierOutcome is the outcome of an earlier attempt that may have run, or empty.
 	earlierOutcome  answer.Outcome
 	excludedServers []string
 	avoidedZones    []string
@@ -127,8 +127,8 @@
 	return false
 }
 
-// runAttempt acquires a permit and runs the generation under it. The permit is released exactly once,
-// whatever happens in between.
+// runAttempt acquires a permit and runs the generation under it. The permit is released exactly
+// once, whatever happens in between.
 func (s *session) runAttempt() result {
 	req := s.job.Permit
 	req.ID = uuid.NewString()
@@ -200,8 +200,8 @@
 	s.push(m)
 }
 
-// push sends a message to the caller's handler and reports whether it was accepted. When the buffer is
-// full, it waits for the caller until the slow-caller timeout and then detaches it.
+// push sends a message to the caller's handler and reports whether it was accepted. When the buffer
+// is full, it waits for the caller until the slow-caller timeout and then detaches it.
 func (s *session) push(m Message) bool {
 	if s.detached {
 		return false
--- a/internal/relay/timeout.go
+++ b/internal/relay/timeout.go
@@ -43,12 +43,12 @@
 
 // probe resumes a silent stream on a new connection.
 //
-// An open connection can stop delivering data for good while new ones work, which looks like a stalled
-// engine. A new connection distinguishes the two: either tokens arrive, or the engine itself is slow. No
-// token is lost in either case, because positions are absolute.
+// An open connection can stop delivering data for good while new ones work, which looks like a
+// stalled engine. A new connection distinguishes the two: either tokens arrive, or the engine
+// itself is slow. No token is lost in either case, because positions are absolute.
 //
-// If the engine doesn't answer new connections either, it counts as unreachable. The limit for that is
-// shorter than for an engine that has the generation and is slow.
+// If the engine doesn't answer new connections either, it counts as unreachable. The limit for that
+// is shorter than for an engine that has the generation and is slow.
 func (a *attempt) probe(now time.Time) {
 	if a.conn != nil && !a.conn.answered {
 		a.unanswered++
--- a/internal/relay/timeout_test.go
+++ b/internal/relay/timeout_test.go
@@ -11,8 +11,9 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// A stream sends no more events. The engine either still has it and is probed at growing intervals, or
-// can't be reached. In both cases the attempt must end within a limit and report the position reached.
+// A stream sends no more events. The engine either still has it and is probed at growing intervals,
+// or can't be reached. In both cases the attempt must end within a limit and report the position
+// reached.
 func TestSilenceIsBounded(t *testing.T) {
 	tests := map[string]struct {
 		class      pollenspindle.Class
@@ -64,8 +65,8 @@
 	}
 }
 
-// The engine never answers. The caller has received nothing yet, so the request is retried elsewhere
-// instead of failing.
+// The engine never answers. The caller has received nothing yet, so the request is retried
+// elsewhere instead of failing.
 func TestSilentBeforeTheFirstToken(t *testing.T) {
 	s := newSession(t.Context(), newTestRelay(t, &fakeEngine{}, &fakePermits{}, time.Hour))
 	s.job.Streamed = true
@@ -104,8 +105,9 @@
 	}
 }
 
-// A caller stops reading. The message buffer must stay bounded and the engine must not be blocked: the
-// caller is disconnected after the timeout, and the generation is cancelled as it doesn't come back.
+// A caller stops reading. The message buffer must stay bounded and the engine must not be blocked:
+// the caller is disconnected after the timeout, and the generation is cancelled as it doesn't come
+// back.
 func TestSlowCallerIsCutOff(t *testing.T) {
 	e, p := &fakeEngine{tokens: 10 * MessageCapacity}, &fakePermits{}
 	r := newTestRelay(t, e, p, time.Millisecond)
