--- a/internal/member/configuration.go
+++ b/internal/member/configuration.go
@@ -8,7 +8,8 @@
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 )
 
-// fetchConfig pulls a newer configuration from a peer. It confirms nothing.
+// fetchConfig fetches a newer configuration from a peer. It doesn't confirm the configuration, as
+// the peer may be cut off from the platform.
 func (m *Member) fetchConfig(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), fetchTimeout)
 	defer cancel()
@@ -27,6 +28,6 @@
 		return
 	}
 	if _, err := m.opts.Config.Merge(time.Now(), objects); err != nil {
-		m.opts.Log.Warn().Err(err).Int64("version", res.GetVersion()).Msg("configuration of a peer not taken")
+		m.opts.Log.Warn().Err(err).Int64("version", res.GetVersion()).Msg("configuration of a peer not applied")
 	}
 }
--- a/internal/member/handler.go
+++ b/internal/member/handler.go
@@ -12,16 +12,16 @@
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1/peerv1connect"
 )
 
-// Permits answers the asks of peers; it is the owner.
+// Permits issues permits to peers for the servers that this instance owns.
 type Permits interface {
 	Acquire(ctx context.Context, req *peerv1.AcquireRequest) *peerv1.AcquireResponse
 	Release(released []*peerv1.Released)
 }
 
-// maxReleased bounds the permits in one release call.
+// maxReleased limits the permits in one Release call.
 const maxReleased = 1024
 
-// Handler returns what answers the calls of peers.
+// Handler returns the handler of the calls of peers.
 func (m *Member) Handler(permits Permits) peerv1connect.PeerServiceHandler {
 	return &handler{m: m, permits: permits}
 }
@@ -31,29 +31,29 @@
 	permits Permits
 }
 
-// Heartbeat implements the service. The answer is a promise to the sender; see
+// Heartbeat implements the service. The answer is a promise to the sender, as described at
 // [roster.Lease].
 func (h *handler) Heartbeat(ctx context.Context, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
 	if err := fromSender(ctx, req.GetInstance()); err != nil {
 		return nil, err
 	}
-	return h.m.answer(time.Now(), req), nil
+	return h.m.handleHeartbeat(time.Now(), req), nil
 }
 
-// answer takes in a heartbeat and returns the answer to it. The ages in it are
-// of this moment or earlier, which is after the heartbeat was sent.
-func (m *Member) answer(now time.Time, req *peerv1.HeartbeatRequest) *peerv1.HeartbeatResponse {
-	suspects := m.newest(now)
+// handleHeartbeat applies a heartbeat and returns the answer to it. The ages in the answer are as
+// of now or earlier; now is after the heartbeat was sent.
+func (m *Member) handleHeartbeat(now time.Time, req *peerv1.HeartbeatRequest) *peerv1.HeartbeatResponse {
+	suspects := m.newestSuspects(now)
 	m.mu.Lock()
 	if m.lease.Roster().Has(req.GetInstance(), req.GetIncarnation()) {
 		m.lease.Promise(now, req.GetInstance(), req.GetEpoch())
 		m.lease.Stopped(now, req.GetInstance(), req.GetEpoch())
 	}
-	if p, ok := m.known[req.GetInstance()]; ok {
+	if p, ok := m.peerStates[req.GetInstance()]; ok {
 		p.configVersion, p.epoch = req.GetConfigVersion(), req.GetEpoch()
 	}
-	m.silences(now, req.GetSilences())
-	m.adopters(now, req.GetEpoch(), req.GetAdopters())
+	m.mergeSilences(now, req.GetSilences())
+	m.mergeAdopters(now, req.GetEpoch(), req.GetAdopters())
 	version := m.opts.Config.Version()
 	res := &peerv1.HeartbeatResponse{
 		Instance:      m.opts.Self.ID,
@@ -62,8 +62,8 @@
 		ConfigVersion: version,
 		Leaving:       m.leaving,
 		Suspects:      suspects,
-		Silences:      m.missed(now),
-		Adopters:      m.adopterBits(),
+		Silences:      m.recentSilences(now),
+		Adopters:      m.adopterBitmap(),
 	}
 	if req.GetWantAges() && req.GetEpoch() == res.GetEpoch() {
 		res.Ages = m.lease.Ages(now, version)
@@ -77,7 +77,7 @@
 		}
 	}
 	m.mu.Unlock()
-	m.opts.Suspects.Merge(now, entries(now, req.GetSuspects()))
+	m.opts.Suspects.Merge(now, suspectEntries(now, req.GetSuspects()))
 	return res
 }
 
@@ -131,11 +131,11 @@
 	if err := fromSender(ctx, req.GetInstance()); err != nil {
 		return nil, err
 	}
-	h.m.handedOver(time.Now(), req)
+	h.m.receiveHandoff(time.Now(), req)
 	return &peerv1.HandOverResponse{}, nil
 }
 
-// fromSender rejects a call in the name of another instance.
+// fromSender returns an error if a call names another instance than its authenticated sender.
 func fromSender(ctx context.Context, claimed string) error {
 	if peer.Sender(ctx) != claimed {
 		return connect.NewError(connect.CodePermissionDenied, errSender)
--- a/internal/member/handoff.go
+++ b/internal/member/handoff.go
@@ -9,19 +9,19 @@
 	"pollenspindle.example/pollenspindle/internal/roster"
 )
 
-// handOver tells the new owners of this instance's old servers that it gives
-// no permits under the old epoch any more. They then wait for its last permit
-// only, and not for its lease. Nothing is lost when a message is: heartbeats
-// say the same later, and without any word the whole wait passes.
-func (m *Member) handOver(ctx context.Context, old, next *roster.Roster) {
-	// The call that brought the roster may end before these do.
+// sendHandoff tells the new owners of this instance's previous servers that it no longer issues
+// permits under the old epoch. They then wait only for its last permit to expire, and not for its
+// lease. A lost message does no harm: later heartbeats carry the same information, and without any
+// of them the new owners wait for the lease.
+func (m *Member) sendHandoff(ctx context.Context, old, next *roster.Roster) {
+	// These calls must not be cancelled with the call that delivered the roster.
 	ctx = context.WithoutCancel(ctx)
-	for id, servers := range heirs(m.opts.Config.Snapshot(), old, next, m.opts.Self.ID) {
+	for id, servers := range newOwners(m.opts.Config.Snapshot(), old, next, m.opts.Self.ID) {
 		to, ok := next.Find(id)
 		if !ok {
 			continue
 		}
-		err := m.beats.Submit(func() {
+		err := m.senders.Submit(func() {
 			ctx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
 			_, _ = m.opts.Peers.Client(to.PeerAddress).HandOver(ctx, &peerv1.HandOverRequest{
@@ -34,23 +34,23 @@
 	}
 }
 
-// heirs returns, by new owner, the servers of which self was owner or deputy.
-func heirs(snap *config.Snapshot, old, next *roster.Roster, self string) map[string][]string {
+// newOwners returns, by new owner, the servers of which self was owner or deputy.
+func newOwners(snap *config.Snapshot, old, next *roster.Roster, self string) map[string][]string {
 	to := map[string][]string{}
 	for i := range snap.Config.Servers {
-		name, region := place(snap, &snap.Config.Servers[i])
+		name, region := ownerKey(snap, &snap.Config.Servers[i])
 		owner, _ := old.Owner(name, region)
 		deputy, _ := old.Deputy(name, region)
-		heir, ok := next.Owner(name, region)
-		if ok && heir.ID != self && (owner.ID == self || deputy.ID == self) {
-			to[heir.ID] = append(to[heir.ID], name)
+		newOwner, ok := next.Owner(name, region)
+		if ok && newOwner.ID != self && (owner.ID == self || deputy.ID == self) {
+			to[newOwner.ID] = append(to[newOwner.ID], name)
 		}
 	}
 	return to
 }
 
-// handedOver takes in the word of an instance that it stopped.
-func (m *Member) handedOver(now time.Time, req *peerv1.HandOverRequest) {
+// receiveHandoff records that an instance stopped issuing permits under the old epoch.
+func (m *Member) receiveHandoff(now time.Time, req *peerv1.HandOverRequest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.lease.Roster().Has(req.GetInstance(), req.GetIncarnation()) {
--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// callTimeout bounds a heartbeat or a fetch of a roster: hundreds of times
-	// the way between zones, and a fraction of a lease.
+	// callTimeout limits a heartbeat or a fetch of a roster. It is hundreds of times the latency
+	// between availability zones and a fraction of a lease.
 	callTimeout = 500 * time.Millisecond
-	// fetchTimeout bounds a fetch of the configuration, up to megabytes.
+	// fetchTimeout limits a fetch of the configuration, which may have megabytes.
 	fetchTimeout = 2 * time.Second
-	// everyRounds is how often each needed peer gets a heartbeat: every second
-	// round. With two rounds a second a lease outlives two lost ones.
-	everyRounds = 2
-	// maxSuspects and maxSilences bound what a heartbeat carries. Both are
-	// news, and the newest come first.
+	// roundsPerHeartbeat is the number of rounds in which each required peer gets one heartbeat.
+	// With two rounds per second a lease outlasts two lost heartbeats.
+	roundsPerHeartbeat = 2
+	// maxSuspects and maxSilences limit the crash suspects, newest first, and the missed answers
+	// that a heartbeat carries.
 	maxSuspects = 8
 	maxSilences = 16
-	// maxConcurrent bounds the heartbeats without an answer. When as many are
-	// out, most of the roster is cut off, and more would show nothing new.
-	maxConcurrent = 64
-	// maxStrangers bounds those to instances that the roster doesn't name.
-	maxStrangers = maxConcurrent / 2
+	// maxInFlight limits the heartbeats without an answer. When it is reached, most of the roster
+	// is unreachable, and more heartbeats would give no new information.
+	maxInFlight = 64
+	// maxNonMembersInFlight limits the heartbeats to instances that aren't in the roster.
+	maxNonMembersInFlight = maxInFlight / 2
 )
 
-// heartbeats sends a round in each period, and at once when woken.
-func (m *Member) heartbeats(ctx context.Context) {
+// runHeartbeats sends a round of heartbeats in each period, and at once when woken.
+func (m *Member) runHeartbeats(ctx context.Context) {
 	for round := 0; ctx.Err() == nil; round++ {
-		for _, to := range m.targets(time.Now(), round) {
-			if err := m.beats.Submit(func() { m.beat(ctx, to) }); err != nil {
-				m.passOver(to.ID)
+		for _, to := range m.heartbeatTargets(time.Now(), round) {
+			if err := m.senders.Submit(func() { m.sendHeartbeat(ctx, to) }); err != nil {
+				m.skipHeartbeat(to.ID)
 			}
 		}
 		now := time.Now()
 		m.confirmByPeers(now)
-		period := m.period(now)
+		period := m.nextPeriod(now)
 		jitter := period / 10
 		pause(ctx, period-jitter/2+time.Duration(m.random(int64(jitter)+1)), m.wake)
 	}
 }
 
-func (m *Member) passOver(id string) {
+func (m *Member) skipHeartbeat(id string) {
 	m.opts.Metrics.Counter("heartbeats_put_off").Inc(1)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -58,47 +58,47 @@
 	return m.rng.Int64N(n)
 }
 
-// beat sends one heartbeat and takes in the answer.
-func (m *Member) beat(ctx context.Context, to roster.Instance) {
+// sendHeartbeat sends one heartbeat and applies the answer.
+func (m *Member) sendHeartbeat(ctx context.Context, to roster.Instance) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	sent := time.Now()
-	req := m.heartbeat(sent, to.ID)
+	sentAt := time.Now()
+	req := m.newHeartbeat(sentAt, to.ID)
 	res, err := m.opts.Peers.Client(to.PeerAddress).Heartbeat(ctx, req)
 	now := time.Now()
 	if err != nil || res.GetInstance() != to.ID {
-		m.missedAnswer(now, to.ID)
+		m.recordMissedAnswer(now, to.ID)
 		return
 	}
-	m.takeAnswer(now, sent, req, res)
-	m.news(ctx, now, to.PeerAddress, res.GetEpoch(), res.GetConfigVersion(), res.GetSuspects())
+	m.applyAnswer(now, sentAt, req, res)
+	m.applyUpdates(ctx, now, to.PeerAddress, res.GetEpoch(), res.GetConfigVersion(), res.GetSuspects())
 }
 
-func (m *Member) missedAnswer(now time.Time, id string) {
+func (m *Member) recordMissedAnswer(now time.Time, id string) {
 	m.opts.Metrics.Counter("heartbeats_missed").Inc(1)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peerState(id)
 	p.inFlight = false
-	p.silent[m.opts.Self.ID] = now
+	p.missedBy[m.opts.Self.ID] = now
 }
 
-// takeAnswer takes in the answer to a heartbeat sent at sent.
-func (m *Member) takeAnswer(now, sent time.Time, req *peerv1.HeartbeatRequest, res *peerv1.HeartbeatResponse) {
+// applyAnswer applies the answer to a heartbeat sent at sentAt.
+func (m *Member) applyAnswer(now, sentAt time.Time, req *peerv1.HeartbeatRequest, res *peerv1.HeartbeatResponse) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peerState(res.GetInstance())
 	p.inFlight = false
-	p.silent = map[string]time.Time{}
+	p.missedBy = map[string]time.Time{}
 	p.answeredAt = now
-	m.answered(now, sent, p, req, res)
+	m.applyAnswerLocked(now, sentAt, p, req, res)
 }
 
-// answered takes in who answered, and the promise that is in it.
-func (m *Member) answered(now, sent time.Time, p *peerState, req *peerv1.HeartbeatRequest, res *peerv1.HeartbeatResponse) {
+// applyAnswerLocked applies the identity of the answering instance and the promise in its answer.
+func (m *Member) applyAnswerLocked(now, sentAt time.Time, p *peerState, req *peerv1.HeartbeatRequest, res *peerv1.HeartbeatResponse) {
 	p.configVersion, p.epoch = res.GetConfigVersion(), res.GetEpoch()
 	if p.instance.Incarnation != res.GetIncarnation() {
-		// Another start may have other addresses: ask who it is.
+		// A new incarnation may have other addresses; the next heartbeat asks for its identity.
 		p.instance = roster.Instance{ID: p.instance.ID, Incarnation: res.GetIncarnation()}
 	}
 	p.instance.Leaving = res.GetLeaving()
@@ -106,23 +106,23 @@
 		p.instance.PeerAddress, p.instance.CallerAddress = id.GetPeerAddress(), id.GetCallerAddress()
 		p.instance.Zone, p.instance.Region = id.GetZone(), id.GetRegion()
 	}
-	m.silences(now, res.GetSilences())
-	m.adopters(now, res.GetEpoch(), res.GetAdopters())
+	m.mergeSilences(now, res.GetSilences())
+	m.mergeAdopters(now, res.GetEpoch(), res.GetAdopters())
 	if !m.lease.Roster().Has(p.instance.ID, res.GetIncarnation()) {
 		return
 	}
 	if req.GetEpoch() == res.GetEpoch() {
-		m.lease.Acked(now, sent, p.instance.ID, res.GetEpoch(), res.GetConfigVersion())
-		m.lease.PassedOn(sent, res.GetEpoch(), res.GetConfigVersion(), res.GetAges())
+		m.lease.Acked(now, sentAt, p.instance.ID, res.GetEpoch(), res.GetConfigVersion())
+		m.lease.PassedOn(sentAt, res.GetEpoch(), res.GetConfigVersion(), res.GetAges())
 	}
 	m.lease.Stopped(now, p.instance.ID, res.GetEpoch())
 }
 
-// adopters takes in who is known to have adopted the epoch: bit i is instance
-// i of the roster. Spread from each to a few, it reaches all of 350 instances
-// in a time that grows with the logarithm of their number; a takeover that had
-// to ask half of them itself would take most of a minute.
-func (m *Member) adopters(now time.Time, epoch int64, bits []byte) {
+// mergeAdopters records which instances are known to have adopted the epoch: bit i is instance i of
+// the roster. As each instance passes it to a few others, it reaches all instances in a time that
+// grows with the logarithm of their number. If the new owner had to ask half of 350 instances
+// itself, a takeover would take most of a minute.
+func (m *Member) mergeAdopters(now time.Time, epoch int64, bits []byte) {
 	r := m.lease.Roster()
 	if epoch != r.Epoch {
 		return
@@ -134,7 +134,7 @@
 	}
 }
 
-func (m *Member) adopterBits() []byte {
+func (m *Member) adopterBitmap() []byte {
 	r := m.lease.Roster()
 	bits := make([]byte, (len(r.Instances)+7)/8)
 	for i, in := range r.Instances {
@@ -145,22 +145,22 @@
 	return bits
 }
 
-// silences takes in which instances others miss.
-func (m *Member) silences(now time.Time, silences []*peerv1.Silence) {
+// mergeSilences records which instances others got no answer from.
+func (m *Member) mergeSilences(now time.Time, silences []*peerv1.Silence) {
 	for _, s := range silences {
-		p, ok := m.known[s.GetInstance()]
+		p, ok := m.peerStates[s.GetInstance()]
 		if !ok || s.GetObserver() == m.opts.Self.ID {
 			continue
 		}
 		at := now.Add(-time.Duration(s.GetAgeMillis()) * time.Millisecond)
-		if at.After(p.silent[s.GetObserver()]) && at.After(p.answeredAt) {
-			p.silent[s.GetObserver()] = at
+		if at.After(p.missedBy[s.GetObserver()]) && at.After(p.answeredAt) {
+			p.missedBy[s.GetObserver()] = at
 		}
 	}
 }
 
-func (m *Member) heartbeat(now time.Time, to string) *peerv1.HeartbeatRequest {
-	suspects := m.newest(now)
+func (m *Member) newHeartbeat(now time.Time, to string) *peerv1.HeartbeatRequest {
+	suspects := m.newestSuspects(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return &peerv1.HeartbeatRequest{
@@ -170,28 +170,28 @@
 		ConfigVersion: m.opts.Config.Version(),
 		Leaving:       m.leaving,
 		Suspects:      suspects,
-		Silences:      m.missed(now),
+		Silences:      m.recentSilences(now),
 		WantIdentity:  m.peerState(to).instance.PeerAddress == "",
-		Adopters:      m.adopterBits(),
+		Adopters:      m.adopterBitmap(),
 		WantAges:      m.unconfirmed(now),
 	}
 }
 
-// missed lists the newest silences.
-func (m *Member) missed(now time.Time) []*peerv1.Silence {
+// recentSilences returns the recent missed answers, up to maxSilences.
+func (m *Member) recentSilences(now time.Time) []*peerv1.Silence {
 	var ids []string
-	for id, p := range m.known {
-		if len(p.silent) > 0 {
+	for id, p := range m.peerStates {
+		if len(p.missedBy) > 0 {
 			ids = append(ids, id)
 		}
 	}
-	// Rounds are the same for the same state.
+	// The result must be the same for the same state.
 	slices.Sort(ids)
 	var out []*peerv1.Silence
 	for _, id := range ids {
-		for observer, at := range m.known[id].silent {
+		for observer, at := range m.peerStates[id].missedBy {
 			age := now.Sub(at)
-			if age > silentFor || len(out) >= maxSilences {
+			if age > silenceMaxAge || len(out) >= maxSilences {
 				continue
 			}
 			out = append(out, &peerv1.Silence{Instance: id, Observer: observer, AgeMillis: age.Milliseconds()})
@@ -200,5 +200,5 @@
 	return out
 }
 
-// silentFor is how long a missed answer is told to others.
-const silentFor = 3 * time.Second
+// silenceMaxAge is how long a missed answer is reported to others.
+const silenceMaxAge = 3 * time.Second
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,13 +1,13 @@
-// Package member keeps one entry instance in agreement with the others: it
-// follows and proposes rosters, exchanges heartbeats, spreads configuration
-// and suspects, and watches for pauses of its own process.
+// Package member implements the membership of one instance in the cluster: it watches and proposes
+// rosters, exchanges heartbeats, distributes configuration and crash suspects, and detects pauses
+// of its own process.
 //
 // # Usage
 //
 //	m, err := member.New(member.Options{Self: self, Objects: objects, List: list, Config: store, Peers: pool})
 //	server := peer.NewServer(m.Handler(owner), key, scope)
 //	go m.Run(ctx)
-//	right := m.Right(now, server)
+//	authority := m.Right(now, server)
 package member
 
 import (
@@ -30,7 +30,7 @@
 	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
-// Objects is the part of the platform's object API that holds the roster.
+// Objects is the part of the platform's object API that stores the roster.
 type Objects interface {
 	Get(ctx context.Context, kind, name string) (objectapi.Object, error)
 	Create(ctx context.Context, kind, name string, value []byte) (objectapi.Object, error)
@@ -38,12 +38,12 @@
 	Watch(ctx context.Context, kind string, after int64, wait time.Duration) (objectapi.Changes, error)
 }
 
-// List is the platform's lagging list of instances.
+// List is the platform's list of instances, which lags behind.
 type List interface {
 	List(ctx context.Context) ([]instancelist.Instance, error)
 }
 
-// Config is the configuration in force on this instance.
+// Config is the current configuration of this instance.
 type Config interface {
 	Snapshot() *config.Snapshot
 	Version() int64
@@ -53,13 +53,13 @@
 	Merge(now time.Time, objects []config.Object) (bool, error)
 }
 
-// Suspects spread between instances with the heartbeats.
+// Suspects is the table of crash suspects, which instances exchange in heartbeats.
 type Suspects interface {
 	Newest(now time.Time, n int) []suspect.Entry
 	Merge(now time.Time, entries []suspect.Entry)
 }
 
-// Options is what a [Member] needs.
+// Options configures a [Member].
 type Options struct {
 	Self     roster.Instance
 	Timing   roster.Timing
@@ -75,34 +75,33 @@
 	Seed      uint64
 }
 
-// Member is safe for concurrent use.
+// Member is the membership of this instance. It is safe for concurrent use.
 type Member struct {
 	opts Options
-	// beats carries heartbeats; when it is full a peer is passed over until
-	// the next round.
-	beats *ants.Pool
+	// senders runs the heartbeat calls; when it is full, a peer is skipped until the next round.
+	senders *ants.Pool
 
-	// wake asks the heartbeat duty for a round at once. It has room for one;
-	// when full, a round is due already.
+	// wake triggers a heartbeat round at once. Its capacity is one; when it is full, a round is
+	// already pending.
 	wake chan struct{}
-	// reread asks the roster duty to read at once, in the same way.
+	// reread triggers a read of the roster in the same way.
 	reread chan struct{}
 
-	mu      sync.Mutex
-	lease   *roster.Lease
-	guard   roster.Guard
-	known   map[string]*peerState
-	leaving bool
-	listed  []roster.Listed
-	rng     *rand.Rand
-	// peers are those that need heartbeats at peersEpoch and peersVersion.
-	peers        []roster.Instance
-	peersEpoch   int64
-	peersVersion int64
-	// differs is since when the roster should change.
-	differs time.Time
-	// platformFailed says that the last call for the roster had no answer, and
-	// unconfirmedSince since when the platform hasn't confirmed it.
+	mu         sync.Mutex
+	lease      *roster.Lease
+	guard      roster.Guard
+	peerStates map[string]*peerState
+	leaving    bool
+	listed     []roster.Listed
+	rng        *rand.Rand
+	// required are the peers that need heartbeats, as of requiredEpoch and requiredVersion.
+	required        []roster.Instance
+	requiredEpoch   int64
+	requiredVersion int64
+	// changeDueSince is since when the roster should change; zero if it shouldn't.
+	changeDueSince time.Time
+	// platformFailed is set if the last call for the roster got no answer. unconfirmedSince is
+	// since when the platform hasn't confirmed the roster.
 	platformFailed   bool
 	unconfirmedSince time.Time
 }
@@ -111,43 +110,44 @@
 type peerState struct {
 	instance      roster.Instance
 	answeredAt    time.Time
-	askedAt       time.Time
+	lastSentAt    time.Time
 	configVersion int64
 	epoch         int64
-	// silent says by observer when an answer was last missed.
-	silent map[string]time.Time
-	// inFlight is set while a heartbeat to it has no answer.
+	// missedBy has the last time of a missed answer, by observer.
+	missedBy map[string]time.Time
+	// inFlight is set while a heartbeat to the instance has no answer.
 	inFlight bool
 }
 
-// New returns a member without a roster.
+// New returns a member that has no roster yet.
 func New(opts Options) (*Member, error) {
-	beats, err := ants.NewPool(maxConcurrent, ants.WithNonblocking(true))
+	beats, err := ants.NewPool(maxInFlight, ants.WithNonblocking(true))
 	if err != nil {
 		return nil, merry.Wrap(ErrPool, merry.WithCause(err))
 	}
 	return &Member{
-		opts:   opts,
-		beats:  beats,
-		wake:   make(chan struct{}, 1),
-		reread: make(chan struct{}, 1),
-		lease:  roster.NewLease(opts.Self, opts.Timing),
-		known:  map[string]*peerState{},
-		rng:    rand.New(rand.NewPCG(opts.Seed, 1)),
+		opts:       opts,
+		senders:    beats,
+		wake:       make(chan struct{}, 1),
+		reread:     make(chan struct{}, 1),
+		lease:      roster.NewLease(opts.Self, opts.Timing),
+		peerStates: map[string]*peerState{},
+		rng:        rand.New(rand.NewPCG(opts.Seed, 1)),
 	}, nil
 }
 
-// Run does all duties until ctx ends.
+// Run runs the member until ctx ends.
 func (m *Member) Run(ctx context.Context) {
-	defer m.beats.Release()
-	var duties sync.WaitGroup
-	for _, duty := range []func(context.Context){m.watchPauses, m.followRoster, m.heartbeats, m.propose} {
-		duties.Go(func() { duty(ctx) })
+	defer m.senders.Release()
+	var loops sync.WaitGroup
+	for _, loop := range []func(context.Context){m.watchPauses, m.followRoster, m.runHeartbeats, m.runProposer} {
+		loops.Go(func() { loop(ctx) })
 	}
-	duties.Wait()
+	loops.Wait()
 }
 
-// Right implements owner.Rights. A paused process has none.
+// Right implements owner.Rights. After a pause of the process there is none until it is confirmed
+// again.
 func (m *Member) Right(now time.Time, s roster.Server) permit.Right {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -157,48 +157,48 @@
 	return m.lease.Right(now, s)
 }
 
-// Roster returns the roster in force here; its epoch is 0 before the first.
+// Roster returns the current roster. Its epoch is 0 before the first one was adopted.
 func (m *Member) Roster() *roster.Roster {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lease.Roster()
 }
 
-// Allowed reports whether new work may be sent at now. It is false after a
-// pause of the process until configuration and roster are confirmed again.
+// Allowed reports whether new work may be sent at now. It is false after a pause of the process
+// until the configuration and the roster are confirmed again.
 func (m *Member) Allowed(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.guard.Allowed(now)
 }
 
-// Live returns the instances that callers may use, without those that leave.
+// Live returns the instances that callers may use, without those that are leaving.
 func (m *Member) Live() []roster.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var live []roster.Instance
 	for _, in := range m.lease.Roster().Instances {
-		if !in.Leaving && !m.saysLeaving(in) {
+		if !in.Leaving && !m.announcedLeaving(in) {
 			live = append(live, in)
 		}
 	}
 	return live
 }
 
-// saysLeaving reports whether an instance has said itself that it leaves. With
-// the platform down no roster can say so; its callers would go on being sent
-// to it and meet a closed listener. What it said holds until it starts anew,
-// also when its process has ended.
-func (m *Member) saysLeaving(in roster.Instance) bool {
+// announcedLeaving reports whether an instance has announced that it is leaving. During a platform
+// outage no roster can say so, and callers would still be sent to the instance and find its
+// listener closed. The announcement holds until the instance has a new incarnation, even after its
+// process has ended.
+func (m *Member) announcedLeaving(in roster.Instance) bool {
 	if in.ID == m.opts.Self.ID {
 		return m.leaving
 	}
-	p, ok := m.known[in.ID]
+	p, ok := m.peerStates[in.ID]
 	return ok && p.instance.Leaving && p.instance.Incarnation == in.Incarnation
 }
 
-// Leave marks this instance as leaving: it owns nothing in the next roster,
-// and is named to no caller.
+// Leave marks this instance as leaving: it owns no servers in the next roster, and callers aren't
+// sent to it.
 func (m *Member) Leave() {
 	m.mu.Lock()
 	m.leaving = true
@@ -207,18 +207,18 @@
 	signal(m.wake)
 }
 
-// Left reports whether a roster is in force in which this instance owns
-// nothing.
+// Left reports whether this instance is leaving or absent in the current roster, and so owns no
+// servers.
 func (m *Member) Left() bool {
 	in, ok := m.Roster().Find(m.opts.Self.ID)
 	return !ok || in.Leaving
 }
 
-// LeftEverywhere reports whether the others know that this instance leaves:
-// each that answers heartbeats has the roster that says so. Until then they
-// name this instance to callers, who keep that answer for its time. In a large
-// fleet only those are asked that exchange heartbeats with this instance; the
-// rest learn of a roster at the same time, by their own watches.
+// LeftEverywhere reports whether the other instances know that this one is leaving: each that
+// answers heartbeats has the roster that says so. Until then they still return this instance to
+// callers, which cache that answer. In a large cluster this covers only the instances that exchange
+// heartbeats with this one; the others learn of a roster at the same time through their own
+// watches.
 func (m *Member) LeftEverywhere(now time.Time) bool {
 	if !m.Left() {
 		return false
@@ -227,17 +227,16 @@
 	defer m.mu.Unlock()
 	r := m.lease.Roster()
 	for _, in := range r.Instances {
-		p, ok := m.known[in.ID]
-		if ok && in.ID != m.opts.Self.ID && now.Sub(p.answeredAt) < answeredFor && p.epoch < r.Epoch {
+		p, ok := m.peerStates[in.ID]
+		if ok && in.ID != m.opts.Self.ID && now.Sub(p.answeredAt) < answerMaxAge && p.epoch < r.Epoch {
 			return false
 		}
 	}
 	return true
 }
 
-// ConfigVersions returns the version of the configuration that each instance
-// of the roster is known to have. What is known is as old as the last
-// heartbeat exchanged with it; 0 means that nothing is known.
+// ConfigVersions returns the known configuration version of each instance in the roster, as of the
+// last heartbeat exchanged with it; 0 means that the version is unknown.
 func (m *Member) ConfigVersions() map[string]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -246,14 +245,14 @@
 		versions[in.ID] = 0
 		if in.ID == m.opts.Self.ID {
 			versions[in.ID] = m.opts.Config.Version()
-		} else if p, ok := m.known[in.ID]; ok {
+		} else if p, ok := m.peerStates[in.ID]; ok {
 			versions[in.ID] = p.configVersion
 		}
 	}
 	return versions
 }
 
-// watchPauses is the watch on the monotonic clock.
+// watchPauses detects pauses of the process with the monotonic clock.
 func (m *Member) watchPauses(ctx context.Context) {
 	tick := time.NewTicker(roster.BeatEvery)
 	defer tick.Stop()
@@ -262,11 +261,11 @@
 		m.mu.Lock()
 		paused := m.guard.Beat(now)
 		if m.opts.Config.Confirmed(now, m.opts.Timing.Lease) {
-			m.guard.ConfigConfirmed(m.configAskedAt(now))
+			m.guard.ConfigConfirmed(m.configConfirmedAt(now))
 		}
 		m.mu.Unlock()
 		if paused {
-			m.opts.Log.Warn().Msg("process was paused, nothing new until confirmed")
+			m.opts.Log.Warn().Msg("process was paused, no new work until the roster and configuration are confirmed")
 			m.opts.Metrics.Counter("pauses").Inc(1)
 			signal(m.reread)
 		}
@@ -278,9 +277,9 @@
 	}
 }
 
-// configAskedAt returns the latest moment, of those that matter to the guard,
-// since which the configuration is confirmed.
-func (m *Member) configAskedAt(now time.Time) time.Time {
+// configConfirmedAt returns a time at which the configuration was up to date, to the precision of
+// confirmAges.
+func (m *Member) configConfirmedAt(now time.Time) time.Time {
 	for _, age := range confirmAges {
 		if m.opts.Config.Confirmed(now, age) {
 			return now.Add(-age)
@@ -289,8 +288,8 @@
 	return time.Time{}
 }
 
-// confirmAges are tried from the youngest. The store says only whether it was
-// confirmed within an age.
+// confirmAges are tried in ascending order, because the store reports only whether it was confirmed
+// within a given age.
 var confirmAges = []time.Duration{0, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second}
 
 func signal(c chan struct{}) {
@@ -300,7 +299,7 @@
 	}
 }
 
-// pause waits for d, a signal, or the end of ctx.
+// pause waits for d, a signal on early, or the end of ctx.
 func pause(ctx context.Context, d time.Duration, early <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -311,7 +310,7 @@
 	}
 }
 
-// self describes this instance as it is now.
+// self returns the current description of this instance.
 func (m *Member) self() roster.Instance {
 	self := m.opts.Self
 	self.Leaving = m.leaving
@@ -319,16 +318,16 @@
 }
 
 func (m *Member) peerState(id string) *peerState {
-	p, ok := m.known[id]
+	p, ok := m.peerStates[id]
 	if !ok {
-		p = &peerState{instance: roster.Instance{ID: id}, silent: map[string]time.Time{}}
-		m.known[id] = p
+		p = &peerState{instance: roster.Instance{ID: id}, missedBy: map[string]time.Time{}}
+		m.peerStates[id] = p
 	}
 	return p
 }
 
-// forget drops the instances that neither roster nor list names any more.
-func (m *Member) forget() {
+// pruneInstances removes the state of instances that are in neither the roster nor the list.
+func (m *Member) pruneInstances() {
 	keep := map[string]bool{}
 	addresses := map[string]bool{}
 	for _, in := range m.lease.Roster().Instances {
@@ -339,9 +338,9 @@
 		keep[l.ID] = true
 		addresses[l.PeerAddress] = true
 	}
-	for id := range m.known {
+	for id := range m.peerStates {
 		if !keep[id] {
-			delete(m.known, id)
+			delete(m.peerStates, id)
 		}
 	}
 	m.opts.Peers.Keep(addresses)
--- a/internal/member/outage.go
+++ b/internal/member/outage.go
@@ -3,19 +3,18 @@
 import "time"
 
 const (
-	// outagePeers is how many instances drawn at random are asked in each round
-	// of a large roster while the platform doesn't confirm it. With
-	// fewer, some of 350 instances are without a majority at times.
-	outagePeers = 6
-	// hurry divides the period of the heartbeats when an outage begins. A
-	// platform that goes silent is noticed three quarters of a lease after it
-	// last confirmed; in the last quarter the ages have to come in, which takes
-	// three rounds at 350 instances.
-	hurry = 4
+	// outageRandomTargets is the number of random instances that get a heartbeat in each round of a
+	// large roster while the platform doesn't confirm it. With fewer, some of 350 instances
+	// temporarily have no majority.
+	outageRandomTargets = 6
+	// outagePeriodDivisor divides the heartbeat period when an outage begins. A platform that stops
+	// responding is detected three quarters of a lease after its last confirmation. The ages must
+	// arrive in the last quarter, which takes three rounds with 350 instances.
+	outagePeriodDivisor = 4
 )
 
-// platformAnswered notes whether the platform answered the last call.
-func (m *Member) platformAnswered(ok bool) {
+// recordPlatformCall records whether the platform answered the last call.
+func (m *Member) recordPlatformCall(ok bool) {
 	m.mu.Lock()
 	first := !ok && !m.platformFailed
 	m.platformFailed = !ok
@@ -25,37 +24,37 @@
 	}
 }
 
-// unconfirmed reports whether this instance has to ask others whom they heard.
+// unconfirmed reports whether the platform doesn't confirm the roster and the configuration, so
+// that this instance has to ask the others for ages.
 //
-// The ages of 350 instances are 350 bytes in each answer, more than all else in
-// it, so they are only asked for while the platform confirms nothing: after a
-// call that failed, or three quarters of a lease after the last confirmation.
-// A watch that waits makes a confirmation two thirds of a lease old.
+// The ages of 350 instances are 350 bytes in each answer, more than the rest of it. So they are
+// requested only after a failed call, or three quarters of a lease after the last confirmation.
+// With a watch waiting, a confirmation can normally be two thirds of a lease old.
 func (m *Member) unconfirmed(now time.Time) bool {
 	within := m.opts.Timing.Lease * 3 / 4
 	return m.platformFailed || !m.lease.ConfirmedByPlatform(now, within) || !m.opts.Config.Confirmed(now, within)
 }
 
-// drawn returns how many instances drawn at random get a heartbeat in a round.
-// News spread by them to all in a time that grows with the logarithm of their
-// number. A small roster needs none: all get one.
-func (m *Member) drawn(now time.Time, round, instances int) int {
+// randomTargetCount returns how many random instances get a heartbeat in a round. Through them
+// information reaches all instances in a time that grows with the logarithm of their number. A
+// small roster needs none, since all of its instances get heartbeats.
+func (m *Member) randomTargetCount(now time.Time, round, instances int) int {
 	switch {
-	case instances <= smallRoster:
+	case instances <= smallRosterSize:
 		return 0
 	case m.unconfirmed(now):
-		return outagePeers
-	case round%everyRounds == 0:
+		return outageRandomTargets
+	case round%roundsPerHeartbeat == 0:
 		return 1
 	default:
 		return 0
 	}
 }
 
-// period returns the time until the next round of heartbeats. Rounds follow
-// faster for at most a lease after an outage began, and only until most of the
-// roster is known to be there. A cut that lasts doesn't raise the load.
-func (m *Member) period(now time.Time) time.Duration {
+// nextPeriod returns the time until the next round of heartbeats. It is shorter for at most a lease
+// after the beginning of an outage, and only until a majority of the roster is known to be alive.
+// So a long network partition doesn't increase the load.
+func (m *Member) nextPeriod(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.unconfirmed(now) {
@@ -66,23 +65,23 @@
 		m.unconfirmedSince = now
 	}
 	since, ok := m.lease.MajoritySince(now, m.opts.Config.Version())
-	known := ok && now.Sub(since) < m.opts.Timing.Lease/2
-	if known || now.Sub(m.unconfirmedSince) > m.opts.Timing.Lease {
+	majority := ok && now.Sub(since) < m.opts.Timing.Lease/2
+	if majority || now.Sub(m.unconfirmedSince) > m.opts.Timing.Lease {
 		return m.opts.Heartbeat
 	}
-	return m.opts.Heartbeat / hurry
+	return m.opts.Heartbeat / outagePeriodDivisor
 }
 
-// confirmByPeers confirms the configuration and, for the guard, the roster
-// when more than half of the roster was lately at this epoch and none known had
-// newer ones. This keeps all going while the platform is down; a few that are
-// cut off together are no majority, and stop.
+// confirmByPeers confirms the configuration and, for the guard, the roster if more than half of the
+// roster was recently at this epoch and no instance is known to have a newer epoch or
+// configuration. So instances keep working during a platform outage, while a minority that is cut
+// off together stops.
 func (m *Member) confirmByPeers(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r, version := m.lease.Roster(), m.opts.Config.Version()
 	for _, in := range r.Instances {
-		p, ok := m.known[in.ID]
+		p, ok := m.peerStates[in.ID]
 		if ok && (p.epoch > r.Epoch || p.configVersion > version) {
 			return
 		}
--- a/internal/member/outage_test.go
+++ b/internal/member/outage_test.go
@@ -41,7 +41,7 @@
 func (noSuspects) Newest(time.Time, int) []suspect.Entry { return nil }
 func (noSuspects) Merge(time.Time, []suspect.Entry)      {}
 
-// action is something that happens at a moment of the made-up time.
+// action is a function that runs at a point in simulated time.
 type action struct {
 	at  time.Time
 	seq int
@@ -62,8 +62,8 @@
 	return last
 }
 
-// fleet runs members on a made-up clock: their own rounds, questions and
-// answers, over links with seeded delays and losses.
+// fleet runs members on a simulated clock, with their heartbeat rounds, requests and answers over
+// links with seeded delays and losses.
 type fleet struct {
 	now     time.Time
 	start   time.Time
@@ -74,28 +74,28 @@
 	members []*Member
 	configs []*timedConfig
 	rounds  []int
-	// turn counts the rounds that were scheduled; a wake makes older ones void.
-	turn []int
-	// loses and cut say what happens to a message from i to j.
-	loses float64
-	cut   func(i, j int) bool
-	// up says whether the platform answers.
-	up       bool
-	messages int
-	ageBytes int
+	// wakes counts the wake-ups by member; a round that was scheduled before a wake-up is dropped.
+	wakes []int
+	// lossRate and partitioned decide whether a message from i to j is lost.
+	lossRate    float64
+	partitioned func(i, j int) bool
+	// platformUp is set while the platform answers.
+	platformUp bool
+	messages   int
+	ageBytes   int
 }
 
 const (
 	fleetLease     = 3 * time.Second
 	fleetHeartbeat = 500 * time.Millisecond
-	// fleetDelay bounds the way of a message: that between regions.
-	fleetDelay = 40 * time.Millisecond
+	// fleetMaxDelay is the maximum delay of a message, as between regions.
+	fleetMaxDelay = 40 * time.Millisecond
 )
 
 func newFleet(t *testing.T, n int, seed uint64) *fleet {
 	f := &fleet{
 		start: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), ids: map[string]int{},
-		rounds: make([]int, n), turn: make([]int, n), up: true, cut: func(int, int) bool { return false },
+		rounds: make([]int, n), wakes: make([]int, n), platformUp: true, partitioned: func(int, int) bool { return false },
 	}
 	f.now = f.start
 	var all []roster.Instance
@@ -115,11 +115,11 @@
 			Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: seed + uint64(i),
 		})
 		require.NoError(t, err)
-		t.Cleanup(m.beats.Release)
+		t.Cleanup(m.senders.Release)
 		m.lease.Adopt(f.now, r)
 		f.members, f.configs = append(f.members, m), append(f.configs, cfg)
 		f.confirm(i, f.now)
-		f.watch(i, f.now.Add(f.random(watchWait)))
+		f.watch(i, f.now.Add(f.random(longPollTimeout)))
 		f.after(f.random(fleetHeartbeat), func() { f.round(i) })
 	}
 	return f
@@ -132,7 +132,7 @@
 	heap.Push(&f.queue, action{f.now.Add(d), f.seq, do})
 }
 
-// runFor runs for d, and calls each at every step of 50 ms.
+// runFor advances the clock by d and calls each after every step of 50 ms.
 func (f *fleet) runFor(d time.Duration, each func()) {
 	const step = 50 * time.Millisecond
 	for end := f.now.Add(d); f.now.Before(end); {
@@ -147,37 +147,38 @@
 	}
 }
 
-// watch is a watch of the platform that i begins at asked.
-func (f *fleet) watch(i int, asked time.Time) {
-	f.after(asked.Add(watchWait).Sub(f.now), func() {
-		if f.up {
-			f.confirm(i, asked)
-			f.members[i].platformAnswered(true)
+// watch simulates a watch of the platform that member i starts at sentAt.
+func (f *fleet) watch(i int, sentAt time.Time) {
+	f.after(sentAt.Add(longPollTimeout).Sub(f.now), func() {
+		if f.platformUp {
+			f.confirm(i, sentAt)
+			f.members[i].recordPlatformCall(true)
 			f.watch(i, f.now)
 			return
 		}
-		f.after(asked.Add(watchWait+readTimeout).Sub(f.now), func() { f.platformFailed(i) })
+		f.after(sentAt.Add(longPollTimeout+readTimeout).Sub(f.now), func() { f.platformFailed(i) })
 	})
 }
 
-func (f *fleet) confirm(i int, asked time.Time) {
-	f.members[i].confirm(asked)
-	f.configs[i].Confirm(asked)
+func (f *fleet) confirm(i int, sentAt time.Time) {
+	f.members[i].confirm(sentAt)
+	f.configs[i].Confirm(sentAt)
 }
 
 func (f *fleet) platformFailed(i int) {
-	f.members[i].platformAnswered(false)
+	f.members[i].recordPlatformCall(false)
 	select {
 	case <-f.members[i].wake:
-		f.turn[i]++
+		f.wakes[i]++
 		f.round(i)
 	default:
 	}
 }
 
-// platformDown ends the platform. If it refuses calls, those that wait fail.
+// platformDown starts a platform outage. If the platform refuses calls, waiting watches fail at
+// once.
 func (f *fleet) platformDown(refuses bool) {
-	f.up = false
+	f.platformUp = false
 	for i := range f.members {
 		if refuses {
 			f.platformFailed(i)
@@ -187,39 +188,39 @@
 
 func (f *fleet) round(i int) {
 	m := f.members[i]
-	targets := m.targets(f.now, f.rounds[i])
+	targets := m.heartbeatTargets(f.now, f.rounds[i])
 	f.rounds[i]++
 	slices.SortFunc(targets, func(a, b roster.Instance) int { return cmp.Compare(a.ID, b.ID) })
 	for _, to := range targets {
-		f.beat(i, f.ids[to.ID])
+		f.sendHeartbeat(i, f.ids[to.ID])
 	}
 	m.confirmByPeers(f.now)
-	period := m.period(f.now)
-	turn := f.turn[i]
+	period := m.nextPeriod(f.now)
+	wakes := f.wakes[i]
 	f.after(period*95/100+f.random(period/10), func() {
-		if f.turn[i] == turn {
+		if f.wakes[i] == wakes {
 			f.round(i)
 		}
 	})
 }
 
-func (f *fleet) beat(i, j int) {
-	sent, req := f.now, f.members[i].heartbeat(f.now, f.members[j].opts.Self.ID)
-	lost := f.cut(i, j) || f.rng.Float64() < f.loses
+func (f *fleet) sendHeartbeat(i, j int) {
+	sentAt, req := f.now, f.members[i].newHeartbeat(f.now, f.members[j].opts.Self.ID)
+	lost := f.partitioned(i, j) || f.rng.Float64() < f.lossRate
 	if lost {
-		f.after(callTimeout, func() { f.members[i].missedAnswer(f.now, f.members[j].opts.Self.ID) })
+		f.after(callTimeout, func() { f.members[i].recordMissedAnswer(f.now, f.members[j].opts.Self.ID) })
 		return
 	}
-	f.after(f.random(fleetDelay), func() {
-		res := f.members[j].answer(f.now, req)
+	f.after(f.random(fleetMaxDelay), func() {
+		res := f.members[j].handleHeartbeat(f.now, req)
 		f.messages++
 		f.ageBytes += len(res.GetAges())
-		f.after(f.random(fleetDelay), func() { f.members[i].takeAnswer(f.now, sent, req, res) })
+		f.after(f.random(fleetMaxDelay), func() { f.members[i].applyAnswer(f.now, sentAt, req, res) })
 	})
 }
 
-// ready counts those of from up to below to that would take new work.
-func (f *fleet) ready(from, to int) int {
+// countReady counts the members in [from, to) that accept new work.
+func (f *fleet) countReady(from, to int) int {
 	n := 0
 	for i := from; i < to; i++ {
 		if f.members[i].lease.Confirmed(f.now) && f.configs[i].Confirmed(f.now, fleetLease) {
@@ -229,14 +230,13 @@
 	return n
 }
 
-// up is for how long the platform confirms all before an outage.
-const up = 2 * time.Second
+// upBeforeOutage is how long the platform answers before an outage.
+const upBeforeOutage = 2 * time.Second
 
-// Callers notice nothing of an outage. The platform goes down, at once or by
-// going silent, and confirms nothing from then on; a tenth of all heartbeats is
-// lost. No instance hears more than half of the roster itself, but each asks
-// others whom they heard, before its last confirmation is too old.
-func TestOutageOfThePlatform(t *testing.T) {
+// The platform goes down, refusing calls or silently, and a tenth of all heartbeats is lost. No
+// instance hears from more than half of the roster itself. It must learn the rest from the ages in
+// other answers before its last confirmation expires, so that it always accepts new work.
+func TestPlatformOutage(t *testing.T) {
 	tests := map[string]struct {
 		instances int
 		refuses   bool
@@ -249,69 +249,67 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, tt.instances, 1)
-			f.loses = 0.1
-			f.runFor(up, func() {})
-			require.Zero(t, f.ageBytes, "ages are sent while the platform confirms")
+			f.lossRate = 0.1
+			f.runFor(upBeforeOutage, func() {})
+			require.Zero(t, f.ageBytes, "ages were sent while the platform was up")
 			f.platformDown(tt.refuses)
-			before := f.messages
+			messages := f.messages
 			f.runFor(2*fleetLease, func() {
-				require.Equal(t, tt.instances, f.ready(0, tt.instances), "after %v", f.now.Sub(f.start)-up)
+				require.Equal(t, tt.instances, f.countReady(0, tt.instances), "after %v", f.now.Sub(f.start)-upBeforeOutage)
 			})
 			perSecond := 2 * fleetLease.Seconds() * float64(tt.instances)
 			t.Logf("each answered %.1f heartbeats a second, with %.0f bytes of ages",
-				float64(f.messages-before)/perSecond, float64(f.ageBytes)/perSecond)
+				float64(f.messages-messages)/perSecond, float64(f.ageBytes)/perSecond)
 		})
 	}
 }
 
-// Callers get refusals that are true from the smaller side of a cut, and from
-// both when they are equal. The platform is down and then the instances are cut
-// in two. What each side knows of the other ages on its way from one to the
-// next, so that one lease later no instance counts any of it. When the cut is
-// over, all go on.
-func TestCutDuringAnOutage(t *testing.T) {
+// During a platform outage a network partition splits the instances in two. Only a majority side
+// may keep accepting new work: what a side knows of the other expires within one lease, also if it
+// is passed on between instances. When the partition ends, all instances accept work again.
+func TestPartitionDuringPlatformOutage(t *testing.T) {
 	tests := map[string]struct {
-		instances, left int
-		rightGoesOn     bool
+		instances, leftSize int
+		rightMajority       bool
 	}{
-		"halves of 64":       {instances: 64, left: 32},
-		"a third of 64":      {instances: 64, left: 21, rightGoesOn: true},
-		"halves of 128":      {instances: 128, left: 64},
-		"two fifths of 128":  {instances: 128, left: 51, rightGoesOn: true},
-		"a quarter of 128":   {instances: 128, left: 32, rightGoesOn: true},
-		"all but one of 128": {instances: 128, left: 127},
+		"halves of 64":       {instances: 64, leftSize: 32},
+		"a third of 64":      {instances: 64, leftSize: 21, rightMajority: true},
+		"halves of 128":      {instances: 128, leftSize: 64},
+		"two fifths of 128":  {instances: 128, leftSize: 51, rightMajority: true},
+		"a quarter of 128":   {instances: 128, leftSize: 32, rightMajority: true},
+		"all but one of 128": {instances: 128, leftSize: 127},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, tt.instances, 2)
-			f.runFor(up, func() {})
+			f.runFor(upBeforeOutage, func() {})
 			f.platformDown(true)
 			f.runFor(time.Second, func() {})
-			f.cut = func(i, j int) bool { return (i < tt.left) != (j < tt.left) }
-			cutAt := f.now
+			f.partitioned = func(i, j int) bool { return (i < tt.leftSize) != (j < tt.leftSize) }
+			partitionedAt := f.now
 			f.runFor(fleetLease+time.Second, func() {
-				if tt.rightGoesOn {
-					require.Equal(t, tt.instances-tt.left, f.ready(tt.left, tt.instances), "after %v", f.now.Sub(cutAt))
+				if tt.rightMajority {
+					require.Equal(t, tt.instances-tt.leftSize, f.countReady(tt.leftSize, tt.instances), "after %v", f.now.Sub(partitionedAt))
 				}
-				if f.now.Sub(cutAt) > fleetLease {
-					require.Zero(t, f.minority(tt.left), "after %v", f.now.Sub(cutAt))
+				if f.now.Sub(partitionedAt) > fleetLease {
+					require.Zero(t, f.readyInMinority(tt.leftSize), "after %v", f.now.Sub(partitionedAt))
 				}
 			})
-			f.cut = func(int, int) bool { return false }
+			f.partitioned = func(int, int) bool { return false }
 			f.runFor(2*time.Second, func() {})
-			require.Equal(t, tt.instances, f.ready(0, tt.instances))
+			require.Equal(t, tt.instances, f.countReady(0, tt.instances))
 		})
 	}
 }
 
-// minority counts the ready on the sides of a cut that are no majority.
-func (f *fleet) minority(left int) int {
+// readyInMinority counts the ready members on the sides of a partition that have no majority.
+func (f *fleet) readyInMinority(leftSize int) int {
 	n, ready := len(f.members), 0
-	if 2*left <= n {
-		ready += f.ready(0, left)
+	if 2*leftSize <= n {
+		ready += f.countReady(0, leftSize)
 	}
-	if 2*(n-left) <= n {
-		ready += f.ready(left, n)
+	if 2*(n-leftSize) <= n {
+		ready += f.countReady(leftSize, n)
 	}
 	return ready
 }
--- a/internal/member/propose.go
+++ b/internal/member/propose.go
@@ -12,67 +12,65 @@
 )
 
 const (
-	// listEvery is how often the list is looked at. It lags by more than that.
-	listEvery = time.Second
-	// listedByAll is the size of a roster up to which each instance reads the
-	// list at each look.
-	listedByAll = 12
-	// listReaders is how many instances of a large roster read the list each
-	// time: it is some 50 KB at 350 instances, and its readers are those that
-	// propose first. The others read it once in spareEvery looks on average,
-	// in case all of the first are gone; in a larger roster more rarely, so
-	// that spareReads a second are made of it in all. By random, since all may
-	// have started together.
-	listReaders = 3
-	spareEvery  = 15
-	spareReads  = 6
-	// proposeStep is the time between two proposers: a write and its way to
-	// the next by watch or heartbeat.
-	proposeStep = 300 * time.Millisecond
-	// answeredFor is how long an answered heartbeat shows that an instance
-	// runs, and missedAfter how old the last answer of a silent one is.
-	answeredFor = 3 * time.Second
-	missedAfter = 1500 * time.Millisecond
-	// writeTimeout bounds the write of a roster, for a platform that isn't slow.
+	// listInterval is the interval of checks of the list, which lags by more than that.
+	listInterval = time.Second
+	// allReadMaxRoster is the roster size up to which all instances read the list at each check.
+	allReadMaxRoster = 12
+	// listReaders is the number of instances of a large roster that read the list at each check: it
+	// has about 50 KB with 350 instances. They are the ones that propose first. The others read it
+	// once in spareReadInterval checks on average, in case all of the first are gone. In larger
+	// rosters they read it less often, so that they make spareReadsPerSecond reads in total. Which
+	// check reads it is random, since all instances may have started at the same time.
+	listReaders         = 3
+	spareReadInterval   = 15
+	spareReadsPerSecond = 6
+	// proposeDelayStep is the delay between two proposers: time for a write and for its propagation
+	// to the next one by watch or heartbeat.
+	proposeDelayStep = 300 * time.Millisecond
+	// answerMaxAge is how long an answered heartbeat shows that an instance is running. missedAfter
+	// is how long ago the last answer of a silent instance must be.
+	answerMaxAge = 3 * time.Second
+	missedAfter  = 1500 * time.Millisecond
+	// writeTimeout is the first limit of a write of the roster; see readTimeout.
 	writeTimeout = 2 * time.Second
 )
 
-// propose looks at list and heartbeats, and writes the next roster when it is
-// this instance's turn.
-func (m *Member) propose(ctx context.Context) {
-	lists := objectapi.Patience{Min: readTimeout, Max: maxPatience}
-	writes := objectapi.Patience{Min: writeTimeout, Max: maxPatience}
-	for look := 0; ctx.Err() == nil; look++ {
-		if look == 0 || m.readsList() {
-			m.readList(ctx, &lists)
+// runProposer checks the list and the heartbeats, and writes the next roster when its delay is
+// over.
+func (m *Member) runProposer(ctx context.Context) {
+	listTimeout := objectapi.Patience{Min: readTimeout, Max: maxCallTimeout}
+	writeTimeouts := objectapi.Patience{Min: writeTimeout, Max: maxCallTimeout}
+	for n := 0; ctx.Err() == nil; n++ {
+		if n == 0 || m.shouldReadList() {
+			m.readList(ctx, &listTimeout)
 		}
 		now := time.Now()
-		if epoch, next, due := m.due(now); due {
-			m.write(ctx, epoch, next, &writes)
+		if epoch, next, due := m.nextRoster(now); due {
+			m.writeRoster(ctx, epoch, next, &writeTimeouts)
 		}
-		pause(ctx, listEvery, nil)
+		pause(ctx, listInterval, nil)
 	}
 }
 
-func (m *Member) readsList() bool {
+func (m *Member) shouldReadList() bool {
 	r := m.Roster()
 	n := len(r.Instances)
-	if n <= listedByAll || roster.ProposeDelay(r, m.opts.Self.ID, 1) < listReaders {
+	if n <= allReadMaxRoster || roster.ProposeDelay(r, m.opts.Self.ID, 1) < listReaders {
 		return true
 	}
-	return m.random(int64(max(spareEvery, n/spareReads))) == 0
+	return m.random(int64(max(spareReadInterval, n/spareReadsPerSecond))) == 0
 }
 
-func (m *Member) readList(ctx context.Context, patience *objectapi.Patience) {
-	ctx, cancel := context.WithTimeout(ctx, patience.Timeout())
+func (m *Member) readList(ctx context.Context, timeout *objectapi.Patience) {
+	ctx, cancel := context.WithTimeout(ctx, timeout.Timeout())
 	defer cancel()
-	asked := time.Now()
+	sentAt := time.Now()
 	instances, err := m.opts.List.List(ctx)
 	if err != nil {
-		patience.Fail(time.Since(asked))
+		timeout.Fail(time.Since(sentAt))
 		return
 	}
-	patience.Answered(time.Since(asked))
+	timeout.Answered(time.Since(sentAt))
 	listed := make([]roster.Listed, 0, len(instances))
 	for _, in := range instances {
 		listed = append(listed, roster.Listed{
@@ -81,56 +79,57 @@
 	}
 	m.mu.Lock()
 	m.listed = listed
-	m.forget()
+	m.pruneInstances()
 	m.mu.Unlock()
 }
 
-// due returns the epoch in force and the roster to follow it when one is needed and the wait that lets others
-// go first is over.
-func (m *Member) due(now time.Time) (epoch int64, next roster.Object, due bool) {
+// nextRoster returns the current epoch and the roster that should follow it, and whether to write
+// it now: whether a change is needed and the delay that lets other instances go first is over.
+func (m *Member) nextRoster(now time.Time) (epoch int64, next roster.Object, due bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	current := m.lease.Roster()
 	next, differs := roster.Propose(now, current, m.listed, m.observation(now))
 	if !differs {
-		m.differs = time.Time{}
+		m.changeDueSince = time.Time{}
 		return 0, next, false
 	}
-	if m.differs.IsZero() {
-		m.differs = now
+	if m.changeDueSince.IsZero() {
+		m.changeDueSince = now
 	}
-	return current.Epoch, next, now.Sub(m.differs) >= roster.ProposeDelay(current, m.opts.Self.ID, proposeStep)
+	return current.Epoch, next, now.Sub(m.changeDueSince) >= roster.ProposeDelay(current, m.opts.Self.ID, proposeDelayStep)
 }
 
 func (m *Member) observation(now time.Time) roster.Observation {
-	seen := roster.Observation{
+	observed := roster.Observation{
 		Answered: map[string]roster.Instance{},
 		Silent:   map[string]map[string]time.Time{},
 		Settled:  m.lease.Settled(),
 	}
-	for id, p := range m.known {
-		if now.Sub(p.answeredAt) < answeredFor && p.instance.PeerAddress != "" {
-			seen.Answered[id] = p.instance
+	for id, p := range m.peerStates {
+		if now.Sub(p.answeredAt) < answerMaxAge && p.instance.PeerAddress != "" {
+			observed.Answered[id] = p.instance
 		}
 		if now.Sub(p.answeredAt) >= missedAfter {
-			seen.Silent[id] = p.silent
+			observed.Silent[id] = p.missedBy
 		}
 	}
-	seen.Answered[m.opts.Self.ID] = m.self()
-	return seen
+	observed.Answered[m.opts.Self.ID] = m.self()
+	return observed
 }
 
-// write stores a roster by conditional update. Losing the race is ordinary;
-// the watch brings the winner's. After a lost answer the watch brings ours.
-func (m *Member) write(ctx context.Context, epoch int64, next roster.Object, patience *objectapi.Patience) {
-	ctx, cancel := context.WithTimeout(objectapi.WithTimeout(ctx, patience.Timeout()), patience.Timeout())
+// writeRoster stores a roster by conditional update. Losing the race to another instance is normal;
+// the conflict or the watch returns the winner's roster. After a lost answer the watch returns the
+// roster that was written, if it was.
+func (m *Member) writeRoster(ctx context.Context, epoch int64, next roster.Object, timeout *objectapi.Patience) {
+	ctx, cancel := context.WithTimeout(objectapi.WithTimeout(ctx, timeout.Timeout()), timeout.Timeout())
 	defer cancel()
 	value, err := json.Marshal(next)
 	if err != nil {
 		m.opts.Log.Error().Err(err).Msg("roster not written")
 		return
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	var o objectapi.Object
 	if epoch == 0 {
 		o, err = m.opts.Objects.Create(ctx, rosterKind, rosterName, value)
@@ -138,13 +137,13 @@
 		o, err = m.opts.Objects.Update(ctx, rosterKind, rosterName, epoch, value)
 	}
 	var conflict *objectapi.ConflictError
-	notePatience(patience, err, time.Since(asked))
+	recordCall(timeout, err, time.Since(sentAt))
 	switch {
 	case err == nil:
 		m.opts.Log.Info().Int64("epoch", o.Version).Int("instances", len(next.Instances)).Msg("roster proposed")
-		m.adopt(ctx, asked, o.Version, value, true)
+		m.adopt(ctx, sentAt, o.Version, value, true)
 	case errors.As(err, &conflict) && conflict.Current.Version > 0:
-		m.adopt(ctx, asked, conflict.Current.Version, conflict.Current.Value, true)
+		m.adopt(ctx, sentAt, conflict.Current.Version, conflict.Current.Value, true)
 	default:
 		m.opts.Log.Warn().Err(err).Msg("roster not written")
 		signal(m.reread)
--- a/internal/member/targets_test.go
+++ b/internal/member/targets_test.go
@@ -14,15 +14,15 @@
 	"pollenspindle.example/pollenspindle/internal/roster"
 )
 
-// emptyConfig has nothing in force.
+// emptyConfig is an empty configuration.
 type emptyConfig struct{ Config }
 
 func (emptyConfig) Snapshot() *config.Snapshot {
 	return config.NewSnapshot(0, config.NewStore(config.StoreOptions{}).Snapshot().Config)
 }
 
-// inRoster returns the first of n instances, which have adopted epoch 5.
-func inRoster(t *testing.T, now time.Time, n int) *Member {
+// newMemberInRoster returns the first of n instances, which have adopted epoch 5.
+func newMemberInRoster(t *testing.T, now time.Time, n int) *Member {
 	t.Helper()
 	var all []roster.Instance
 	for i := range n {
@@ -36,55 +36,54 @@
 		Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
 	require.NoError(t, err)
-	t.Cleanup(m.beats.Release)
+	t.Cleanup(m.senders.Release)
 	m.lease.Adopt(now, roster.New(5, roster.Object{Number: 1, Instances: all}))
 	return m
 }
 
-// Callers see no refusal when another region dies. Its 150 instances leave the
-// roster while the list, which lags, still names them, and no heartbeat to them
-// is answered before its timeout. The heartbeats on which this instance's leases
-// rest go out in each round all the same, since strangers may take no more than
-// half of the places; and within ten rounds every stranger gets its turn, so
-// that a live one among them is found.
-func TestDeadStrangersDoNotKeepLeasesFromBeingRenewed(t *testing.T) {
+// Another region fails: its 150 instances leave the roster, but the list still has them, and
+// heartbeats to them end by timeout. The heartbeats that leases depend on must still go out in each
+// round, as non-members may use only half of the capacity. Within ten rounds every non-member must
+// get a heartbeat.
+func TestUnreachableNonMembersDoNotBlockLeaseRenewal(t *testing.T) {
 	const members, dead = 200, 150
 	now := time.Unix(1_000_000, 0)
-	m := inRoster(t, now, members)
+	m := newMemberInRoster(t, now, members)
 	for i := range dead {
 		m.listed = append(m.listed, roster.Listed{ID: fmt.Sprintf("dead-%03d", i), PeerAddress: fmt.Sprintf("10.0.1.%d:9080", i)})
 	}
-	needed := m.needed(m.lease.Roster())
+	needed := m.requiredPeers(m.lease.Roster())
 	require.NotEmpty(t, needed)
 
-	greeted := map[string]bool{}
+	contacted := map[string]bool{}
 	inFlight := map[string]int{}
 	for round := range 10 {
 		now = now.Add(500 * time.Millisecond)
-		// Each heartbeat to a dead instance lasts for two rounds; members answer.
+		// A heartbeat to a dead instance takes two rounds until its timeout; members answer at
+		// once.
 		for id, sent := range inFlight {
 			if round-sent >= 2 {
-				m.known[id].inFlight = false
+				m.peerStates[id].inFlight = false
 				delete(inFlight, id)
 			}
 		}
 		sent := map[string]bool{}
-		for _, in := range m.targets(now, round) {
+		for _, in := range m.heartbeatTargets(now, round) {
 			sent[in.ID] = true
 			if _, member := m.lease.Roster().Find(in.ID); member {
-				m.known[in.ID].inFlight = false
-				m.known[in.ID].epoch = 5
+				m.peerStates[in.ID].inFlight = false
+				m.peerStates[in.ID].epoch = 5
 				continue
 			}
-			greeted[in.ID] = true
+			contacted[in.ID] = true
 			inFlight[in.ID] = round
 		}
-		require.LessOrEqual(t, len(inFlight), maxConcurrent/2)
+		require.LessOrEqual(t, len(inFlight), maxInFlight/2)
 		for i, in := range needed {
-			if (i+round)%everyRounds == 0 {
+			if (i+round)%roundsPerHeartbeat == 0 {
 				require.True(t, sent[in.ID], "round %d: no heartbeat to %s", round, in.ID)
 			}
 		}
 	}
-	require.Len(t, greeted, dead)
+	require.Len(t, contacted, dead)
 }
--- a/internal/member/updates.go
+++ b/internal/member/updates.go
@@ -8,7 +8,7 @@
 	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
-func (m *Member) newest(now time.Time) []*peerv1.Suspect {
+func (m *Member) newestSuspects(now time.Time) []*peerv1.Suspect {
 	var out []*peerv1.Suspect
 	for _, e := range m.opts.Suspects.Newest(now, maxSuspects) {
 		s := &peerv1.Suspect{Fingerprint: e.Fingerprint}
@@ -24,7 +24,7 @@
 	return out
 }
 
-func entries(now time.Time, suspects []*peerv1.Suspect) []suspect.Entry {
+func suspectEntries(now time.Time, suspects []*peerv1.Suspect) []suspect.Entry {
 	var out []suspect.Entry
 	ago := func(millis int64) time.Time { return now.Add(-time.Duration(millis) * time.Millisecond) }
 	for _, s := range suspects[:min(len(suspects), maxSuspects)] {
@@ -40,10 +40,10 @@
 	return out
 }
 
-// news takes in what a peer has that is newer: suspects, configuration and
-// roster. Only the side that is behind fetches.
-func (m *Member) news(ctx context.Context, now time.Time, address string, epoch, version int64, suspects []*peerv1.Suspect) {
-	m.opts.Suspects.Merge(now, entries(now, suspects))
+// applyUpdates merges a peer's suspects and fetches its roster and configuration if they are newer.
+// Only the side that is out of date fetches.
+func (m *Member) applyUpdates(ctx context.Context, now time.Time, address string, epoch, version int64, suspects []*peerv1.Suspect) {
+	m.opts.Suspects.Merge(now, suspectEntries(now, suspects))
 	if epoch > m.Roster().Epoch {
 		m.CatchUp(ctx, address)
 	}
--- a/internal/member/versions.go
+++ b/internal/member/versions.go
@@ -9,40 +9,39 @@
 	"pollenspindle.example/pollenspindle/internal/roster"
 )
 
-// maxAskedVersions bounds the instances that one question of an operator asks.
-// Half of the heartbeats that may be without an answer are left to those on
-// which leases rest. At 350 instances eleven questions, a second, reach all.
-const maxAskedVersions = maxConcurrent / 2
+// maxVersionQueries limits the heartbeats that one query of an operator sends. Half of the
+// heartbeats that may be in flight are reserved for the peers that leases depend on. With 350
+// instances eleven queries, which take a second, reach all.
+const maxVersionQueries = maxInFlight / 2
 
-// AskVersions sends a heartbeat to instances that aren't known to have version,
-// and waits for the answers, half a second at the most.
+// AskVersions sends a heartbeat to instances that aren't known to have version, and waits for the
+// answers for up to half a second.
 //
-// It is for an operator who waits for a change to be in force. In a large
-// roster most instances exchange a heartbeat with this one by chance only, once
-// in some minutes at 350; the change would long be in force everywhere, and the
-// operator be told that it is not.
+// It serves an operator who waits for a change to be applied everywhere. In a large roster most
+// instances exchange heartbeats with this one only by chance, once in some minutes with 350
+// instances. Without AskVersions the operator would be told that the change isn't applied long
+// after it is.
 func (m *Member) AskVersions(ctx context.Context, version int64) {
-	// An operator who goes away must not look like instances that are silent.
+	// If the operator disconnects, the instances must not be recorded as silent.
 	ctx = context.WithoutCancel(ctx)
-	var asked sync.WaitGroup
-	for _, in := range m.behind(time.Now(), version) {
-		asked.Add(1)
-		err := m.beats.Submit(func() {
-			defer asked.Done()
-			m.beat(ctx, in)
+	var pending sync.WaitGroup
+	for _, in := range m.outdatedInstances(time.Now(), version) {
+		pending.Add(1)
+		err := m.senders.Submit(func() {
+			defer pending.Done()
+			m.sendHeartbeat(ctx, in)
 		})
 		if err != nil {
-			asked.Done()
-			m.passOver(in.ID)
+			pending.Done()
+			m.skipHeartbeat(in.ID)
 		}
 	}
-	asked.Wait()
+	pending.Wait()
 }
 
-// behind returns the instances that aren't known to have version and have no
-// heartbeat in flight, those first that were not asked for longest. Each is
-// marked as in flight.
-func (m *Member) behind(now time.Time, version int64) []roster.Instance {
+// outdatedInstances returns instances that aren't known to have version and have no heartbeat in
+// flight, those first that got no heartbeat for the longest time. Each is marked as in flight.
+func (m *Member) outdatedInstances(now time.Time, version int64) []roster.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var all []roster.Instance
@@ -52,11 +51,11 @@
 		}
 	}
 	slices.SortStableFunc(all, func(a, b roster.Instance) int {
-		return m.peerState(a.ID).askedAt.Compare(m.peerState(b.ID).askedAt)
+		return m.peerState(a.ID).lastSentAt.Compare(m.peerState(b.ID).lastSentAt)
 	})
 	var out []roster.Instance
 	for _, in := range all {
-		if len(out) < maxAskedVersions && m.begin(now, in.ID) {
+		if len(out) < maxVersionQueries && m.markInFlight(now, in.ID) {
 			out = append(out, in)
 		}
 	}
--- a/internal/member/versions_test.go
+++ b/internal/member/versions_test.go
@@ -7,32 +7,32 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An operator waits for version 7 to be in force on 350 instances, and asks each
-// tenth of a second. All but one have it and answer; that one never does. After
-// a dozen questions all others are known to have it, no question took more than
-// half of the places for heartbeats, and who is known to have it isn't asked.
-func TestOperatorsQuestionsReachAllInstances(t *testing.T) {
+// An operator waits until 350 instances have version 7, with a query every 100 ms. One instance
+// never answers. After 12 queries all others must be known to have the version, no query may use
+// more than half of the heartbeat capacity, and instances known to have the version must not be
+// asked again.
+func TestVersionQueriesReachAllInstances(t *testing.T) {
 	const members, version, silent = 350, 7, "entry-100"
 	now := time.Unix(1_000_000, 0)
-	m := inRoster(t, now, members)
+	m := newMemberInRoster(t, now, members)
 	for range 12 {
 		now = now.Add(100 * time.Millisecond)
-		asked := m.behind(now, version)
-		require.LessOrEqual(t, len(asked), maxConcurrent/2)
+		asked := m.outdatedInstances(now, version)
+		require.LessOrEqual(t, len(asked), maxInFlight/2)
 		for _, in := range asked {
 			require.NotEqual(t, m.opts.Self.ID, in.ID)
-			require.Less(t, m.known[in.ID].configVersion, int64(version))
+			require.Less(t, m.peerStates[in.ID].configVersion, int64(version))
 			if in.ID != silent {
-				m.known[in.ID].inFlight, m.known[in.ID].configVersion = false, version
+				m.peerStates[in.ID].inFlight, m.peerStates[in.ID].configVersion = false, version
 			}
 		}
 	}
-	require.Empty(t, m.behind(now, version), "the heartbeat to the silent one has no answer yet")
-	require.Len(t, m.known, members-1)
-	for id, p := range m.known {
+	require.Empty(t, m.outdatedInstances(now, version), "the heartbeat to the silent instance is still in flight")
+	require.Len(t, m.peerStates, members-1)
+	for id, p := range m.peerStates {
 		require.Equal(t, id != silent, p.configVersion == version, id)
 	}
-	m.known[silent].inFlight = false
-	require.Len(t, m.behind(now, version), 1)
-	require.Empty(t, m.behind(now, 0))
+	m.peerStates[silent].inFlight = false
+	require.Len(t, m.outdatedInstances(now, version), 1)
+	require.Empty(t, m.outdatedInstances(now, 0))
 }
--- a/internal/member/watch.go
+++ b/internal/member/watch.go
@@ -12,104 +12,104 @@
 )
 
 const (
-	// rosterKind and rosterName name the roster's object.
+	// rosterKind and rosterName are the kind and name of the platform object that holds the roster.
 	rosterKind = "roster"
 	rosterName = "roster"
-	// watchWait is how long a watch waits. Each answer confirms the roster,
-	// and a lease is three seconds: one lost watch is tolerated. At 350 instances
-	// it is 350 of the platform's two thousand reads a second.
-	watchWait = time.Second
-	// readTimeout bounds a read on top of its wait. It doubles with each that
-	// fails, up to maxPatience, for a platform that is slow.
-	readTimeout = time.Second
-	maxPatience = 8 * time.Second
-	firstRetry  = 200 * time.Millisecond
-	maxRetry    = 3 * time.Second
+	// longPollTimeout is how long a watch waits for a change. Each answer confirms the roster; as a
+	// lease is three seconds, one lost watch is tolerated. With 350 instances the watches use 350
+	// of the platform's 2,000 reads per second.
+	longPollTimeout = time.Second
+	// readTimeout limits a read, in addition to the time that a watch waits. It doubles with each
+	// failed call, up to maxCallTimeout, in case the platform is slow.
+	readTimeout    = time.Second
+	maxCallTimeout = 8 * time.Second
+	minBackoff     = 200 * time.Millisecond
+	maxBackoff     = 3 * time.Second
 )
 
-// followRoster reads the roster once and then watches it. Every answer
-// confirms what is in force for the moment of asking: the answer may be read
-// long after it was sent, by a process that was paused meanwhile.
+// followRoster reads the roster once and then watches it. Every answer confirms the roster as of
+// the time of the request: the process may be paused, and read the answer long after it was sent.
 func (m *Member) followRoster(ctx context.Context) {
-	backoff := objectapi.Backoff{Min: firstRetry, Max: maxRetry}
-	patience := objectapi.Patience{Min: readTimeout, Max: maxPatience}
-	after, read := int64(0), false
+	backoff := objectapi.Backoff{Min: minBackoff, Max: maxBackoff}
+	timeout := objectapi.Patience{Min: readTimeout, Max: maxCallTimeout}
+	after, listed := int64(0), false
 	for ctx.Err() == nil {
-		asked := time.Now()
+		sentAt := time.Now()
 		var err error
-		if read {
-			after, err = m.watchRoster(ctx, asked, after, patience.Timeout())
-			notePatience(&patience, err, time.Since(asked)-watchWait)
+		if listed {
+			after, err = m.watchRoster(ctx, sentAt, after, timeout.Timeout())
+			recordCall(&timeout, err, time.Since(sentAt)-longPollTimeout)
 		} else {
-			after, err = m.readRoster(ctx, asked, patience.Timeout())
-			notePatience(&patience, err, time.Since(asked))
+			after, err = m.readRoster(ctx, sentAt, timeout.Timeout())
+			recordCall(&timeout, err, time.Since(sentAt))
 		}
-		m.platformAnswered(err == nil || errors.Is(err, objectapi.ErrNotFound))
+		m.recordPlatformCall(err == nil || errors.Is(err, objectapi.ErrNotFound))
 		if err == nil {
-			read = true
+			listed = true
 			backoff.Reset()
 			continue
 		}
-		read = false
+		listed = false
 		wait := backoff.Fail()
 		if errors.Is(err, objectapi.ErrNotFound) {
-			wait = firstRetry
+			wait = minBackoff
 			backoff.Reset()
 		}
 		pause(ctx, wait, m.reread)
 	}
 }
 
-// notePatience counts how a call ended. A refusal is an answer.
-func notePatience(p *objectapi.Patience, err error, took time.Duration) {
+// recordCall updates the call timeout with the result of a call. An error answer counts as an
+// answer.
+func recordCall(p *objectapi.Patience, err error, elapsed time.Duration) {
 	if errors.Is(err, objectapi.ErrUnavailable) || errors.Is(err, objectapi.ErrUnknownOutcome) {
-		p.Fail(took)
+		p.Fail(elapsed)
 		return
 	}
-	p.Answered(took)
+	p.Answered(elapsed)
 }
 
-func (m *Member) readRoster(ctx context.Context, asked time.Time, patience time.Duration) (int64, error) {
-	ctx, cancel := context.WithTimeout(objectapi.WithTimeout(ctx, patience), patience)
+func (m *Member) readRoster(ctx context.Context, sentAt time.Time, timeout time.Duration) (int64, error) {
+	ctx, cancel := context.WithTimeout(objectapi.WithTimeout(ctx, timeout), timeout)
 	defer cancel()
 	o, err := m.opts.Objects.Get(ctx, rosterKind, rosterName)
 	if err != nil {
 		return 0, err
 	}
-	m.adopt(ctx, asked, o.Version, o.Value, true)
+	m.adopt(ctx, sentAt, o.Version, o.Value, true)
 	return o.Version, nil
 }
 
-func (m *Member) watchRoster(ctx context.Context, asked time.Time, after int64, patience time.Duration) (int64, error) {
-	ctx, cancel := context.WithTimeout(objectapi.WithTimeout(ctx, patience), watchWait+patience)
+func (m *Member) watchRoster(ctx context.Context, sentAt time.Time, after int64, timeout time.Duration) (int64, error) {
+	ctx, cancel := context.WithTimeout(objectapi.WithTimeout(ctx, timeout), longPollTimeout+timeout)
 	defer cancel()
-	changes, err := m.opts.Objects.Watch(ctx, rosterKind, after, watchWait)
+	changes, err := m.opts.Objects.Watch(ctx, rosterKind, after, longPollTimeout)
 	if err != nil {
 		return after, err
 	}
 	for _, e := range changes.Events {
 		if e.Type == objectapi.EventPut && e.Object.Name == rosterName {
-			m.adopt(ctx, asked, e.Object.Version, e.Object.Value, false)
+			m.adopt(ctx, sentAt, e.Object.Version, e.Object.Value, false)
 		}
 	}
-	m.confirm(asked)
+	m.confirm(sentAt)
 	return max(after, changes.Version), nil
 }
 
-// confirm notes that the roster in force here was current at asked.
-func (m *Member) confirm(asked time.Time) {
+// confirm records that the current roster was up to date at sentAt.
+func (m *Member) confirm(sentAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lease.Confirm(asked, m.lease.Roster().Epoch)
-	m.guard.RosterConfirmed(asked)
+	m.lease.Confirm(sentAt, m.lease.Roster().Epoch)
+	m.guard.RosterConfirmed(sentAt)
 }
 
-// adopt puts a roster in force if it is newer. One from a peer is adopted as
-// well, but confirms nothing: the peer may be cut off.
-func (m *Member) adopt(ctx context.Context, asked time.Time, epoch int64, value []byte, confirms bool) {
+// adopt replaces the current roster if the given one is newer. A roster from a peer is adopted as
+// well but not confirmed: the peer may be cut off from the platform.
+func (m *Member) adopt(ctx context.Context, sentAt time.Time, epoch int64, value []byte, confirms bool) {
 	var o roster.Object
 	if err := json.Unmarshal(value, &o); err != nil {
-		m.opts.Log.Error().Int64("epoch", epoch).Err(err).Msg("roster not readable")
+		m.opts.Log.Error().Int64("epoch", epoch).Err(err).Msg("roster is invalid")
 		return
 	}
 	now := time.Now()
@@ -118,33 +118,33 @@
 	next := roster.New(epoch, o)
 	changed := m.lease.Adopt(now, next)
 	if confirms && epoch == m.lease.Roster().Epoch {
-		m.lease.Confirm(asked, epoch)
-		m.guard.RosterConfirmed(asked)
+		m.lease.Confirm(sentAt, epoch)
+		m.guard.RosterConfirmed(sentAt)
 	}
 	if changed {
-		m.differs = time.Time{}
-		m.forget()
+		m.changeDueSince = time.Time{}
+		m.pruneInstances()
 	}
 	m.mu.Unlock()
 	if changed {
-		m.opts.Log.Info().Int64("epoch", epoch).Int64("number", o.Number).Int("instances", len(o.Instances)).Msg("roster in force")
+		m.opts.Log.Info().Int64("epoch", epoch).Int64("number", o.Number).Int("instances", len(o.Instances)).Msg("roster adopted")
 		m.opts.Metrics.Gauge("epoch").Update(float64(epoch))
-		// Who takes over waits for the word of those that stopped.
-		m.handOver(ctx, old, next)
+		// The new owners wait for this message from the previous ones.
+		m.sendHandoff(ctx, old, next)
 		signal(m.wake)
 	}
 }
 
-// CatchUp fetches a newer roster from a peer that has one. It is for an asker
-// whose roster is behind: the platform may not be readable from here.
+// CatchUp fetches a newer roster from a peer and reports whether it was adopted. An instance whose
+// roster is out of date calls it, since it may be unable to reach the platform.
 func (m *Member) CatchUp(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	before := m.Roster().Epoch
-	res, err := m.opts.Peers.Client(address).FetchRoster(ctx, &peerv1.FetchRosterRequest{AfterEpoch: before})
-	if err != nil || res.GetEpoch() <= before {
+	epoch := m.Roster().Epoch
+	res, err := m.opts.Peers.Client(address).FetchRoster(ctx, &peerv1.FetchRosterRequest{AfterEpoch: epoch})
+	if err != nil || res.GetEpoch() <= epoch {
 		return false
 	}
 	m.adopt(ctx, time.Time{}, res.GetEpoch(), res.GetObject(), false)
-	return m.Roster().Epoch > before
+	return m.Roster().Epoch > epoch
 }
