--- a/internal/forward/claim.go
+++ b/internal/forward/claim.go
@@ -15,63 +15,65 @@
 )
 
 const (
-	// beginTimeout bounds a claim: an unavailable platform is said soon. The
-	// end of the caller doesn't end it, or the claim could stay behind.
-	beginTimeout = 3 * time.Second
-	// storeTimeout bounds the storing of a result while its caller waits, so
-	// that one who repeats at once finds it. The claims keep what the platform
-	// didn't take by then and store it later.
+	// claimTimeout limits a claim, so that callers soon learn that the platform is unavailable. A
+	// claim isn't cancelled when the caller disconnects, since it could then be left behind.
+	claimTimeout = 3 * time.Second
+	// storeTimeout limits the storing of a result while its caller waits. Storing it first lets a
+	// caller that repeats the request at once find it. Claims stores later what the platform didn't
+	// accept by then.
 	storeTimeout = time.Second
-	// unavailableRetryAfter is said while the platform is down; it spreads the
-	// repeats of callers that are refused at once.
+	// unavailableRetryAfter is the Retry-After while the platform is down. It spreads the retries
+	// of callers, which are refused immediately.
 	unavailableRetryAfter = time.Second
 )
 
-// Claims makes sure that one key runs once; *claim.Store does.
+// Claims ensures that a request with an idempotency key runs once. It is implemented by
+// *claim.Store.
 type Claims interface {
 	Begin(ctx context.Context, now time.Time, key claim.Key, fingerprint string) claim.Answer
 	Finish(ctx context.Context, c claim.Claim, r claim.Result) error
 	Abandon(ctx context.Context, c claim.Claim) error
 }
 
-// doOnce runs a non-idempotent call under its key.
+// doOnce runs a non-idempotent call under its idempotency key.
 //
-// The claim comes before the permit: a repeat gets its stored answer without
-// waiting for a place. A refusal then costs a second write, to abandon.
+// The key is claimed before a permit is acquired, so that a repeated request gets its stored answer
+// without waiting for a backend server. The drawback is that a refused call needs a second write,
+// to abandon the claim.
 func (f *Forwarder) doOnce(caller context.Context, call Call) (Answer, error) {
 	if f.opts.Claims == nil {
-		return Answer{}, platformDown()
+		return Answer{}, platformDownFailure()
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(caller), beginTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(caller), claimTimeout)
 	defer cancel()
 	key := claim.Key{Workspace: call.Workspace, Key: call.Key}
 	switch a := f.opts.Claims.Begin(ctx, time.Now(), key, claimFingerprint(call)).(type) {
 	case claim.Won:
-		return f.runWon(caller, call, a.Claim)
+		return f.runClaimed(caller, call, a.Claim)
 	case claim.Stored:
 		return replay(a.Result)
 	case claim.InProgress:
 		return Answer{}, &answer.Failure{
 			Status: http.StatusConflict, Code: answer.CodeKeyInProgress, Outcome: answer.OutcomeUnknown,
-			Message: "Idempotency-Key: a request with this key is running", RetryAfter: a.RetryAfter,
+			Message: "Idempotency-Key: a request with this key is still running", RetryAfter: a.RetryAfter,
 		}
 	case claim.Mismatch:
 		return Answer{}, answer.NotRun(http.StatusUnprocessableEntity, answer.CodeKeyMismatch,
-			"Idempotency-Key: was used for another request")
+			"Idempotency-Key: the key was used for a different request")
 	case claim.Unavailable:
-		f.opts.Logger.Debug().Err(a.Err).Msg("key could not be claimed")
-		return Answer{}, platformDown()
+		f.opts.Logger.Debug().Err(a.Err).Msg("idempotency key could not be claimed")
+		return Answer{}, platformDownFailure()
 	case claim.Unknown:
 	}
 	return Answer{}, &answer.Failure{
 		Status: http.StatusConflict, Code: answer.CodeKeyUnknown, Outcome: answer.OutcomeUnknown,
-		Message: "Idempotency-Key: the request with this key may have run; it is not run again",
+		Message: "Idempotency-Key: the request with this key may have run; it will not be run again",
 	}
 }
 
-// runWon runs the call that won its claim. Only a call that surely wasn't run
-// gives its claim up; otherwise a repeat finds the key taken.
-func (f *Forwarder) runWon(caller context.Context, call Call, c claim.Claim) (Answer, error) {
+// runClaimed runs a call whose key it has claimed. The claim is abandoned only if the call
+// certainly wasn't run; otherwise a repeated request finds the key in use.
+func (f *Forwarder) runClaimed(caller context.Context, call Call, c claim.Claim) (Answer, error) {
 	if c.SendBy.Before(call.Deadline) {
 		call.Deadline = c.SendBy
 	}
@@ -79,32 +81,32 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(caller), storeTimeout)
 	defer cancel()
 	if err == nil {
-		f.stored(f.opts.Claims.Finish(ctx, c, resultOf(response)))
+		f.recordStoreError(f.opts.Claims.Finish(ctx, c, toClaimResult(response)))
 		return Answer{Response: response}, nil
 	}
 	if answer.Of(err).Outcome == answer.OutcomeNotRun {
-		f.stored(f.opts.Claims.Abandon(ctx, c))
+		f.recordStoreError(f.opts.Claims.Abandon(ctx, c))
 	}
 	return Answer{}, err
 }
 
-// stored counts what the platform didn't take at once. The caller's answer is
-// true either way.
-func (f *Forwarder) stored(err error) {
+// recordStoreError counts and logs a claim whose end the platform didn't store at once. It doesn't
+// change the caller's answer.
+func (f *Forwarder) recordStoreError(err error) {
 	if err != nil {
 		f.metrics.unstored.Inc(1)
-		f.opts.Logger.Info().Err(err).Msg("end of a claim not stored yet")
+		f.opts.Logger.Info().Err(err).Msg("result of a claim not stored yet")
 	}
 }
 
-func platformDown() *answer.Failure {
+func platformDownFailure() *answer.Failure {
 	f := answer.NotRun(http.StatusServiceUnavailable, answer.CodePlatformDown,
-		"Idempotency-Key: can't be claimed while the platform is unavailable")
+		"Idempotency-Key: the key can't be claimed while the platform is unavailable")
 	f.RetryAfter = unavailableRetryAfter
 	return f
 }
 
-func resultOf(r service.Response) claim.Result {
+func toClaimResult(r service.Response) claim.Result {
 	header := map[string][]string{}
 	for _, h := range r.Header {
 		header[h.Name] = append(header[h.Name], h.Value)
@@ -112,12 +114,12 @@
 	return claim.Result{Status: r.Status, Header: header, Body: r.Body}
 }
 
-// replay answers again what the service answered when the key was first used.
+// replay returns the stored answer of the request that first used the key.
 func replay(r claim.Result) (Answer, error) {
 	if r.Omitted {
 		return Answer{}, &answer.Failure{
 			Status: http.StatusConflict, Code: answer.CodeAnswerTooLarge, Outcome: answer.OutcomeRan,
-			Message: "Idempotency-Key: the request with this key ran; its answer was too large to be kept",
+			Message: "Idempotency-Key: the request with this key has run, but its answer was too large to be stored",
 		}
 	}
 	response := service.Response{Status: r.Status, Body: r.Body}
@@ -129,7 +131,7 @@
 	return Answer{Response: response, Replayed: true}, nil
 }
 
-// claimFingerprint tells two requests with one key apart.
+// claimFingerprint distinguishes different requests with the same key.
 func claimFingerprint(call Call) string {
 	h := sha256.New()
 	for _, part := range []string{call.Service.Name, call.Method, call.Path, call.Query} {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,6 +1,5 @@
-// Package forward carries one call to a plain service: idempotent calls are
-// repeated elsewhere within the retry budget, others reach a backend server at
-// most once.
+// Package forward forwards calls to plain services. Idempotent calls are retried on other backend
+// servers within the retry budget; other calls reach a backend server at most once.
 //
 // # Usage
 //
@@ -29,20 +28,20 @@
 )
 
 const (
-	// DefaultMaxCalls bounds the calls of one entry instance at work.
+	// DefaultMaxCalls limits the concurrent calls of one instance.
 	DefaultMaxCalls = 1024
-	// fullRetryAfter is said when all places are taken.
-	fullRetryAfter = time.Second
-	// defaultTimeout holds when a service sets none.
+	// defaultRetryAfter is the Retry-After when there is no free capacity.
+	defaultRetryAfter = time.Second
+	// defaultTimeout applies to services without a timeout.
 	defaultTimeout = 30 * time.Second
-	// maxReacquires bounds how often an unused permit that ran out is replaced.
+	// maxReacquires limits how often a permit that expired unused is replaced.
 	maxReacquires = 3
 )
 
-// ErrOptions means that New was given unusable options.
-var ErrOptions = merry.New("unusable forward options")
+// ErrOptions means that the options passed to [New] are invalid.
+var ErrOptions = merry.New("invalid forward options")
 
-// Client reaches plain services.
+// Client calls backend servers of plain services.
 type Client interface {
 	Do(ctx context.Context, address string, req service.Request) (service.Response, error)
 }
@@ -51,19 +50,19 @@
 type Options struct {
 	Client  Client
 	Permits permit.Acquirer
-	// Claims may be nil; then calls with a key are refused as not run.
+	// Claims may be nil; calls with an idempotency key are then refused as not run.
 	Claims  Claims
 	Retries *retry.Budgets
 	// Confirmed reports whether new work may be sent.
 	Confirmed func(now time.Time) bool
-	// MaxCalls bounds the calls at work; zero takes [DefaultMaxCalls].
+	// MaxCalls limits the concurrent calls; zero means [DefaultMaxCalls].
 	MaxCalls int
 	Logger   zerolog.Logger
 	Scope    tally.Scope
 	Tracer   trace.Tracer
 }
 
-// Forwarder carries calls. It is safe for concurrent use.
+// Forwarder forwards calls. It is safe for concurrent use.
 type Forwarder struct {
 	opts    Options
 	calls   *ants.Pool
@@ -78,7 +77,7 @@
 	replayed tally.Counter
 }
 
-// New returns a forwarder. Close frees its pool.
+// New returns a forwarder. [Forwarder.Close] frees its pool.
 func New(opts Options) (*Forwarder, error) {
 	if opts.Client == nil || opts.Permits == nil || opts.Retries == nil || opts.Confirmed == nil {
 		return nil, ErrOptions
@@ -94,7 +93,7 @@
 	}
 	calls, err := ants.NewPool(opts.MaxCalls, ants.WithNonblocking(true))
 	if err != nil {
-		return nil, merry.Prepend(err, "make pool of calls")
+		return nil, merry.Prepend(err, "create pool of calls")
 	}
 	f := &Forwarder{opts: opts, calls: calls, metrics: metrics{
 		unstored: opts.Scope.Counter("claims_unstored"),
@@ -105,7 +104,7 @@
 	return f, nil
 }
 
-// Close frees the pool. Call it when no call is running.
+// Close frees the pool. It must be called only when no call is running.
 func (f *Forwarder) Close() {
 	f.close()
 	f.calls.Release()
@@ -118,31 +117,32 @@
 	Workspace   string
 	Class       pollenspindle.Class
 	Fingerprint uint64
-	// Deadline is when the call is refused if no place was found.
+	// Deadline is when the call is refused if it has no permit by then.
 	Deadline time.Time
 	Method   string
-	// Path is escaped; Query is without the question mark.
+	// Path is the escaped path, Query the query without the question mark.
 	Path   string
 	Query  string
 	Header []service.Header
 	Body   []byte
-	// Key is the caller's idempotency key, or empty.
+	// Key is the caller's idempotency key; it may be empty.
 	Key string
 }
 
-// Answer is what the service answered, now or when the key was first used.
+// Answer is the response of the service. Replayed is set if it is the stored response to an earlier
+// request with the same key.
 type Answer struct {
 	Response service.Response
 	Replayed bool
 }
 
-// Do carries a call. An error is an *answer.Failure or a *permit.Refusal.
+// Do forwards a call. An error is an *answer.Failure or a *permit.Refusal.
 func (f *Forwarder) Do(ctx context.Context, call Call) (Answer, error) {
 	type outcome struct {
 		answer Answer
 		err    error
 	}
-	// One place: the duty never waits for a handler that has gone.
+	// Buffered, so that the worker never blocks on a handler that has returned.
 	done := make(chan outcome, 1)
 	err := f.calls.Submit(func() {
 		a, err := f.do(ctx, call)
@@ -150,8 +150,8 @@
 	})
 	if err != nil {
 		fail := answer.NotRun(http.StatusServiceUnavailable, answer.CodeTooManyStreams,
-			"this entry instance carries as many calls as it can")
-		fail.RetryAfter = fullRetryAfter
+			"this instance is at its limit of concurrent calls")
+		fail.RetryAfter = defaultRetryAfter
 		return Answer{}, fail
 	}
 	o := <-done
@@ -163,7 +163,7 @@
 
 func (f *Forwarder) do(ctx context.Context, call Call) (Answer, error) {
 	if !f.opts.Confirmed(time.Now()) {
-		return Answer{}, &permit.Refusal{Reason: permit.ReasonNotConfirmed, RetryAfter: fullRetryAfter}
+		return Answer{}, &permit.Refusal{Reason: permit.ReasonNotConfirmed, RetryAfter: defaultRetryAfter}
 	}
 	if !call.Route.Idempotent && call.Key != "" {
 		return f.doOnce(ctx, call)
@@ -172,8 +172,8 @@
 	return Answer{Response: response}, err
 }
 
-// pause reports whether the wait ended before the forwarder was closed.
-func (f *Forwarder) pause(d time.Duration) bool {
+// wait waits for d and reports whether it did so before the forwarder was closed.
+func (f *Forwarder) wait(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -31,19 +31,19 @@
 		prefix       string
 		code         answer.Code
 	}{
-		"longest prefix":            {"POST", "/bookings/search/x", "/bookings/search", ""},
-		"shorter prefix":            {"POST", "/bookings/7", "/bookings", ""},
-		"whole segments":            {"POST", "/bookings/searches", "/bookings", ""},
-		"decoded":                   {"POST", "/bookings/%73earch", "/bookings/search", ""},
-		"no other word":             {"POST", "/bookingsX", "", answer.CodeUnknownRoute},
-		"method":                    {"PUT", "/bookings", "", answer.CodeUnknownRoute},
-		"dots lead elsewhere":       {"POST", "/bookings/search/..", "", answer.CodeInvalidRequest},
-		"escaped dots":              {"POST", "/bookings/search/%2e%2E", "", answer.CodeInvalidRequest},
-		"escaped slash":             {"POST", "/bookings/search%2f..", "", answer.CodeInvalidRequest},
-		"empty segment":             {"POST", "//bookings", "", answer.CodeInvalidRequest},
-		"bad escape":                {"POST", "/bookings/%zz", "", answer.CodeInvalidRequest},
-		"root with trailing slash":  {"GET", "/rosters/", "/", ""},
-		"path parameter in segment": {"POST", "/bookings/search;x=1", "", answer.CodeInvalidRequest},
+		"longest prefix":                      {"POST", "/bookings/search/x", "/bookings/search", ""},
+		"shorter prefix":                      {"POST", "/bookings/7", "/bookings", ""},
+		"longer prefix ends within a segment": {"POST", "/bookings/searches", "/bookings", ""},
+		"decoded":                             {"POST", "/bookings/%73earch", "/bookings/search", ""},
+		"only prefix ends within a segment":   {"POST", "/bookingsX", "", answer.CodeUnknownRoute},
+		"method":                              {"PUT", "/bookings", "", answer.CodeUnknownRoute},
+		"dot segment":                         {"POST", "/bookings/search/..", "", answer.CodeInvalidRequest},
+		"escaped dot segment":                 {"POST", "/bookings/search/%2e%2E", "", answer.CodeInvalidRequest},
+		"escaped slash":                       {"POST", "/bookings/search%2f..", "", answer.CodeInvalidRequest},
+		"empty segment":                       {"POST", "//bookings", "", answer.CodeInvalidRequest},
+		"bad escape":                          {"POST", "/bookings/%zz", "", answer.CodeInvalidRequest},
+		"root with trailing slash":            {"GET", "/rosters/", "/", ""},
+		"path parameter in segment":           {"POST", "/bookings/search;x=1", "", answer.CodeInvalidRequest},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 	})
 }
 
-// fakeService answers with errors in order, then with 200.
+// fakeService returns the errors in order, then status 200.
 type fakeService struct {
 	mu     sync.Mutex
 	errs   []error
@@ -89,7 +89,7 @@
 
 type fakePermits struct {
 	mu       sync.Mutex
-	given    int
+	acquired int
 	expired  bool
 	endings  []permit.Ending
 	refuseAt int
@@ -102,7 +102,7 @@
 	if n == p.refuseAt {
 		return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonNoServer, RetryAfter: time.Second}
 	}
-	p.given++
+	p.acquired++
 	expires := now.Add(time.Hour)
 	if p.expired {
 		expires = now.Add(-time.Hour)
@@ -120,7 +120,7 @@
 	p.endings = append(p.endings, o.Ending)
 }
 
-// newClaims returns claims in a platform of the memory; down refuses all.
+// newClaims returns claims in an in-memory platform; if down is set, it refuses all calls.
 func newClaims(down bool) *claim.Store {
 	return claim.NewStore(claim.StoreOptions{Objects: &fakeObjects{down: down, objects: map[string]objectapi.Object{}}})
 }
@@ -177,9 +177,9 @@
 	}
 }
 
-// A call fails in each way it can. A booking reaches a service at most once
-// unless that surely didn't run it; "not run" is said only when no attempt may
-// have run; each permit comes back once.
+// A call fails in each possible way. A non-idempotent call (a booking) must reach a service at most
+// once, unless the service certainly didn't run it. The outcome may be "not run" only if no attempt
+// can have run, and each permit must be released once.
 func TestDo(t *testing.T) {
 	lost, notSent := service.ErrLost, service.ErrNotSent
 	tests := map[string]struct {
@@ -190,22 +190,22 @@
 		endings             []permit.Ending
 		outcome             answer.Outcome
 	}{
-		"answered":                  {sent: 1, endings: []permit.Ending{permit.EndingFinished}},
-		"a lost search is repeated": {idempotent: true, errs: []error{lost}, sent: 2, endings: []permit.Ending{permit.EndingLost, permit.EndingFinished}},
-		"a lost booking is not":     {errs: []error{lost}, sent: 1, endings: []permit.Ending{permit.EndingLost}, outcome: answer.OutcomeUnknown},
-		"an unsent booking is":      {errs: []error{notSent}, sent: 2, endings: []permit.Ending{permit.EndingNotSent, permit.EndingFinished}},
-		"a refused booking is":      {errs: []error{&service.Refusal{Status: 503}}, sent: 2, endings: []permit.Ending{permit.EndingRefused, permit.EndingFinished}},
-		"overload is not retried":   {errs: []error{&service.Refusal{Status: 429}}, sent: 1, endings: []permit.Ending{permit.EndingRefused}, outcome: answer.OutcomeNotRun},
-		"a huge answer ran":         {errs: []error{service.ErrTooLarge}, sent: 1, endings: []permit.Ending{permit.EndingFinished}, outcome: answer.OutcomeRan},
-		"lost, then refused, may have run": {
+		"answered":                      {sent: 1, endings: []permit.Ending{permit.EndingFinished}},
+		"a lost search is retried":      {idempotent: true, errs: []error{lost}, sent: 2, endings: []permit.Ending{permit.EndingLost, permit.EndingFinished}},
+		"a lost booking is not retried": {errs: []error{lost}, sent: 1, endings: []permit.Ending{permit.EndingLost}, outcome: answer.OutcomeUnknown},
+		"an unsent booking is retried":  {errs: []error{notSent}, sent: 2, endings: []permit.Ending{permit.EndingNotSent, permit.EndingFinished}},
+		"a refused booking is retried":  {errs: []error{&service.Refusal{Status: 503}}, sent: 2, endings: []permit.Ending{permit.EndingRefused, permit.EndingFinished}},
+		"overload is not retried":       {errs: []error{&service.Refusal{Status: 429}}, sent: 1, endings: []permit.Ending{permit.EndingRefused}, outcome: answer.OutcomeNotRun},
+		"too large an answer has run":   {errs: []error{service.ErrTooLarge}, sent: 1, endings: []permit.Ending{permit.EndingFinished}, outcome: answer.OutcomeRan},
+		"lost, then refused, so it may have run": {
 			idempotent: true, errs: []error{lost}, refuseAt: 2, sent: 1,
 			endings: []permit.Ending{permit.EndingLost}, outcome: answer.OutcomeUnknown,
 		},
-		"lost, then unsent, may have run": {
+		"lost, then unsent, so it may have run": {
 			idempotent: true, errs: []error{lost, notSent, notSent}, sent: 3,
 			endings: []permit.Ending{permit.EndingLost, permit.EndingNotSent, permit.EndingNotSent}, outcome: answer.OutcomeUnknown,
 		},
-		"lapsed permits send nothing": {
+		"nothing is sent with expired permits": {
 			expired: true, outcome: answer.OutcomeNotRun,
 			endings: []permit.Ending{permit.EndingNotSent, permit.EndingNotSent, permit.EndingNotSent, permit.EndingNotSent},
 		},
@@ -220,14 +220,14 @@
 			}
 			require.Len(t, s.called, tt.sent)
 			require.Equal(t, tt.endings, p.endings)
-			require.Len(t, p.endings, p.given)
+			require.Len(t, p.endings, p.acquired)
 		})
 	}
 }
 
-// Two callers, or one that repeats, use one key at the same moment and after
-// it. The service sees the booking once; everyone who gets an answer gets the
-// same one, and nobody else is told that it wasn't run.
+// Concurrent and later requests use the same idempotency key. The service must receive the booking
+// once, all callers that get an answer must get the same one, and no other may be told that it
+// wasn't run.
 func TestKeyRunsOnce(t *testing.T) {
 	s, claims := &fakeService{}, newClaims(false)
 	f := newTestForwarder(t, s, &fakePermits{}, claims)
@@ -261,9 +261,9 @@
 		sent    int
 		again   int
 	}{
-		"platform down sends nothing":       {down: true, outcome: answer.OutcomeNotRun},
-		"a lost answer keeps the key taken": {errs: []error{service.ErrLost}, outcome: answer.OutcomeUnknown, sent: 1, again: 1},
-		"a call not run gives its key back": {errs: []error{&service.Refusal{Status: 429}}, outcome: answer.OutcomeNotRun, sent: 1, again: 2},
+		"nothing is sent while the platform is down": {down: true, outcome: answer.OutcomeNotRun},
+		"the key stays claimed after a lost answer":  {errs: []error{service.ErrLost}, outcome: answer.OutcomeUnknown, sent: 1, again: 1},
+		"a call that did not run releases its key":   {errs: []error{&service.Refusal{Status: 429}}, outcome: answer.OutcomeNotRun, sent: 1, again: 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -278,13 +278,13 @@
 	}
 }
 
-// The process was paused between its claim and the sending. The claim may be
-// swept by then and the key run by another, so nothing is sent any more.
-func TestLapsedClaimSendsNothing(t *testing.T) {
+// The process is paused between claiming the key and sending the call. The claim may have been
+// deleted and the key claimed again in the meantime, so nothing may be sent.
+func TestExpiredClaimSendsNothing(t *testing.T) {
 	s := &fakeService{}
 	f := newTestForwarder(t, s, &fakePermits{}, nil)
-	lapsed := claim.Claim{SendBy: time.Now().Add(-time.Second)}
-	_, err := f.run(t.Context(), testCall(false, "k", ""), lapsed.MaySend)
+	expired := claim.Claim{SendBy: time.Now().Add(-time.Second)}
+	_, err := f.run(t.Context(), testCall(false, "k", ""), expired.MaySend)
 	require.Equal(t, answer.OutcomeNotRun, answer.Of(err).Outcome)
 	require.Empty(t, s.called)
 }
--- a/internal/forward/route.go
+++ b/internal/forward/route.go
@@ -9,13 +9,12 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Match returns the route of a call: same method, longest path prefix, whole
-// segments. Path is the escaped path as it goes to the service.
+// Match returns the route of a call: the one with the same method and the longest path prefix,
+// compared by complete segments. path is the escaped path as it is sent to the service.
 //
-// The route says whether the call may be repeated, so the path is matched as
-// the service reads it: decoded. A path that the service might resolve to
-// another one is refused; else a booking could pass as a search, be lost, and
-// be sent again.
+// The route says whether the call may be retried, so the path is matched in the form in which the
+// service interprets it: decoded. A path that the service might resolve to a different one is
+// refused. Otherwise a non-idempotent call could match an idempotent route and be sent twice.
 func Match(service *pollenspindle.Service, method, path string) (pollenspindle.Route, error) {
 	decoded, err := decodePath(path)
 	if err != nil {
@@ -48,7 +47,7 @@
 	for i, segment := range segments[1:] {
 		decoded, err := url.PathUnescape(segment)
 		if err != nil {
-			return "", answer.Invalid("path", "has a bad escape")
+			return "", answer.Invalid("path", "has an invalid escape sequence")
 		}
 		last := i == len(segments)-2
 		switch {
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -25,39 +25,39 @@
 	ending   permit.Ending
 	// failure is nil when the service answered.
 	failure *answer.Failure
-	// again says that another attempt can't run the call twice.
-	again bool
-	cause retry.Cause
-	// lapsed says that the permit ran out unused.
-	lapsed bool
+	// retryable is set if another attempt can't run a non-idempotent call twice.
+	retryable bool
+	cause     retry.Cause
+	// permitExpired is set if the permit expired unused.
+	permitExpired bool
 }
 
-// run makes attempts until one has an answer for the caller. Just before the
-// first byte maySend says whether the call still has the right to run.
+// run makes attempts until one succeeds or no retry is allowed. maySend is called just before the
+// first byte is sent and reports whether the call may still run.
 func (f *Forwarder) run(ctx context.Context, call Call, maySend func(now time.Time) bool) (service.Response, error) {
 	var excluded, avoided []string
-	var earlier answer.Outcome
-	lapses := 0
+	var earlierOutcome answer.Outcome
+	expiredPermits := 0
 	for number := 1; ; number++ {
 		p, err := f.acquire(ctx, call, excluded, avoided)
 		if err != nil {
-			return service.Response{}, answer.Of(err).After(earlier)
+			return service.Response{}, answer.Of(err).After(earlierOutcome)
 		}
 		res := f.attempt(ctx, call, p, maySend)
 		if res.failure == nil {
 			f.opts.Retries.Succeeded(time.Now(), call.Service.Name)
 			return res.response, nil
 		}
-		if res.lapsed && lapses < maxReacquires && ctx.Err() == nil {
-			lapses++
+		if res.permitExpired && expiredPermits < maxReacquires && ctx.Err() == nil {
+			expiredPermits++
 			number--
 			continue
 		}
-		if !res.again || !f.waitAgain(ctx, call, retry.Attempt{Number: number, Cause: res.cause}) {
-			return service.Response{}, res.failure.After(earlier)
+		if !res.retryable || !f.waitBeforeRetry(ctx, call, retry.Attempt{Number: number, Cause: res.cause}) {
+			return service.Response{}, res.failure.After(earlierOutcome)
 		}
 		if res.failure.Outcome != answer.OutcomeNotRun {
-			earlier = res.failure.Outcome
+			earlierOutcome = res.failure.Outcome
 		}
 		f.metrics.retries.Inc(1)
 		journal.From(ctx).Add(journal.Step{
@@ -67,9 +67,9 @@
 	}
 }
 
-func (f *Forwarder) waitAgain(ctx context.Context, call Call, a retry.Attempt) bool {
+func (f *Forwarder) waitBeforeRetry(ctx context.Context, call Call, a retry.Attempt) bool {
 	again, ok := f.opts.Retries.Decide(time.Now(), call.Service.Name, a).(retry.Again)
-	return ok && f.pause(again.After) && ctx.Err() == nil
+	return ok && f.wait(again.After) && ctx.Err() == nil
 }
 
 func (f *Forwarder) acquire(ctx context.Context, call Call, excluded, avoided []string) (permit.Permit, error) {
@@ -82,8 +82,8 @@
 	})
 	var refusal *permit.Refusal
 	if err != nil && !errors.As(err, &refusal) {
-		// Without a permit nothing was sent, whatever went wrong.
-		err = &permit.Refusal{Reason: permit.ReasonOwnerNotFound, RetryAfter: fullRetryAfter}
+		// Without a permit nothing was sent, whatever the error is.
+		err = &permit.Refusal{Reason: permit.ReasonOwnerNotFound, RetryAfter: defaultRetryAfter}
 	}
 	return p, err
 }
@@ -96,11 +96,11 @@
 		f.opts.Permits.Release(p, permit.Outcome{Ending: res.ending, Duration: time.Since(start)})
 		f.opts.Scope.Tagged(map[string]string{"zone": p.Zone, "ending": string(res.ending)}).Counter("attempts").Inc(1)
 	}()
-	// A process that was paused since it got the permit would send although
-	// its place has gone to another, or to a zone taken out meanwhile.
-	// A caller that has gone may be asking elsewhere by now.
+	// If the process was paused since it acquired the permit, the slot may have been given to
+	// another call or the availability zone may have been drained. A caller that has disconnected
+	// may have repeated its request through another instance.
 	if !f.opts.Permits.MaySend(start, p) || !maySend(start) || ctx.Err() != nil || !f.opts.Confirmed(start) {
-		res = result{ending: permit.EndingNotSent, failure: lapsedFailure(), lapsed: true}
+		res = result{ending: permit.EndingNotSent, failure: permitExpiredFailure(), permitExpired: true}
 		return res
 	}
 	journal.From(ctx).Add(journal.Step{At: start, What: journal.Sent, Server: p.Server, Peer: p.Owner})
@@ -114,8 +114,8 @@
 		timeout = defaultTimeout
 	}
 	if !call.Route.Idempotent {
-		// Once it may have been sent, the call goes on without its caller, so
-		// that its result is known to the next who asks with the key.
+		// Once the call may have been sent, it continues without its caller, so that the next
+		// request with the same key finds the result.
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -125,36 +125,36 @@
 	defer span.End()
 	response, err := f.opts.Client.Do(ctx, p.Address, service.Request{
 		Method: call.Method, Path: call.Path, Query: call.Query, Body: call.Body,
-		Header: traced(ctx, call.Header), FreshConnection: true,
+		Header: withTraceHeader(ctx, call.Header), FreshConnection: true,
 	})
 	if err != nil {
-		return failed(call, err)
+		return errorResult(call, err)
 	}
 	return result{ending: permit.EndingFinished, response: response}
 }
 
-// failed turns an error of the client into a result.
-func failed(call Call, err error) result {
+// errorResult converts an error of the client into a result.
+func errorResult(call Call, err error) result {
 	var refusal *service.Refusal
 	switch {
 	case errors.Is(err, service.ErrNotSent):
 		f := answer.NotRun(http.StatusServiceUnavailable, answer.CodeBackendLost, "no backend server could be reached")
-		f.RetryAfter = fullRetryAfter
-		return result{ending: permit.EndingNotSent, failure: f, again: true, cause: retry.CauseNotSent}
+		f.RetryAfter = defaultRetryAfter
+		return result{ending: permit.EndingNotSent, failure: f, retryable: true, cause: retry.CauseNotSent}
 	case errors.As(err, &refusal):
-		return refused(refusal)
+		return refusalResult(refusal)
 	case errors.Is(err, service.ErrBadRequest):
-		return result{ending: permit.EndingNotSent, failure: answer.Invalid("request", "can't be passed on")}
+		return result{ending: permit.EndingNotSent, failure: answer.Invalid("request", "can't be forwarded")}
 	case errors.Is(err, service.ErrTooLarge):
 		return result{ending: permit.EndingFinished, failure: &answer.Failure{
 			Status: http.StatusBadGateway, Code: answer.CodeAnswerTooLarge, Outcome: answer.OutcomeRan,
-			Message: "the service ran the request and its answer is too large",
+			Message: "the service ran the request, but its answer is too large",
 		}}
 	}
-	// The answer is lost and the service may have run the request. Only an
-	// idempotent one is sent again; another would run twice.
+	// The answer is lost, and the service may have run the request. Only an idempotent call is sent
+	// again; any other could run twice.
 	return result{
-		ending: permit.EndingLost, again: call.Route.Idempotent, cause: retry.CauseLost,
+		ending: permit.EndingLost, retryable: call.Route.Idempotent, cause: retry.CauseLost,
 		failure: &answer.Failure{
 			Status: http.StatusBadGateway, Code: answer.CodeBackendLost, Outcome: answer.OutcomeUnknown,
 			Message: "the backend server's answer was lost; the request may have run",
@@ -162,11 +162,11 @@
 	}
 }
 
-func refused(r *service.Refusal) result {
+func refusalResult(r *service.Refusal) result {
 	f := answer.NotRun(http.StatusServiceUnavailable, answer.CodeBackendRefused,
 		"the backend server refused the request before running it")
-	f.RetryAfter = max(r.RetryAfter, fullRetryAfter)
-	res := result{ending: permit.EndingRefused, failure: f, again: true, cause: retry.CauseRefused}
+	f.RetryAfter = max(r.RetryAfter, defaultRetryAfter)
+	res := result{ending: permit.EndingRefused, failure: f, retryable: true, cause: retry.CauseRefused}
 	if r.Status == http.StatusTooManyRequests {
 		f.Status = http.StatusTooManyRequests
 		res.cause = retry.CauseOverload
@@ -174,15 +174,15 @@
 	return res
 }
 
-func lapsedFailure() *answer.Failure {
+func permitExpiredFailure() *answer.Failure {
 	f := answer.NotRun(http.StatusServiceUnavailable, answer.Code(permit.ReasonOverloaded),
-		"the place on a backend server lapsed before it could be used")
-	f.RetryAfter = fullRetryAfter
+		"the permit for a backend server expired before it could be used")
+	f.RetryAfter = defaultRetryAfter
 	return f
 }
 
-// traced puts the span of this hop into the header.
-func traced(ctx context.Context, header []service.Header) []service.Header {
+// withTraceHeader adds the trace context of the current span to the header.
+func withTraceHeader(ctx context.Context, header []service.Header) []service.Header {
 	carrier := propagation.MapCarrier{}
 	propagation.TraceContext{}.Inject(ctx, carrier)
 	if carrier.Get("traceparent") == "" {
