--- a/internal/peerrpc/peerrpc.go
+++ b/internal/peerrpc/peerrpc.go
@@ -1,11 +1,11 @@
-// Package peerrpc is how instances call each other: connect over HTTP/1.1 with
-// plain structs as JSON, signed with the key that all instances share.
+// Package peerrpc provides the clients and handler options for calls between instances: Connect
+// over HTTP/1.1 with plain structs as JSON, signed with the key that all instances share.
 //
 // # Usage
 //
-//	caller := peerrpc.NewCaller(key, self, time.Second)
-//	client := connect.NewClient[Ask, Answer](caller.HTTP, url, peerrpc.ClientOptions()...)
-//	caller.Sign(now, req.Header(), procedure)
+//	c := peerrpc.NewClient(key, self, time.Second)
+//	rpc := connect.NewClient[Request, Response](c.HTTP, url, peerrpc.ClientOptions()...)
+//	c.Sign(now, req.Header(), procedure)
 package peerrpc
 
 import (
@@ -20,66 +20,66 @@
 )
 
 const (
-	authField = "Peer-Auth"
-	// MaxBytes bounds a message: a configuration of the largest size.
+	authHeader = "Peer-Auth"
+	// MaxBytes limits a message; the largest is a configuration of the maximum size.
 	MaxBytes = 8 << 20
-	// idleTime is how long an unused connection is kept.
-	idleTime = 8 * time.Second
-	// compressFrom is the size from which messages are compressed.
-	compressFrom = 4 << 10
+	// idleTimeout is how long an unused connection is kept open.
+	idleTimeout = 8 * time.Second
+	// compressMinBytes is the size from which messages are compressed.
+	compressMinBytes = 4 << 10
 )
 
-// Caller signs calls and holds the connections that they use.
+// Caller signs calls to other instances and holds the connections for them.
 type Caller struct {
 	Key  peer.Key
 	Self string
 	HTTP *http.Client
 }
 
-// NewCaller returns a caller whose calls dial for up to timeout.
+// NewCaller returns a client whose calls wait up to timeout for a connection.
 func NewCaller(key peer.Key, self string, timeout time.Duration) *Caller {
 	dialer := &net.Dialer{Timeout: timeout}
 	return &Caller{Key: key, Self: self, HTTP: &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTime, DisableCompression: true,
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout, DisableCompression: true,
 	}}}
 }
 
-// Drop closes idle connections, which may have gone silent.
+// Drop closes idle connections, which may be broken without notice.
 func (c *Caller) Drop() { c.HTTP.CloseIdleConnections() }
 
-// Sign adds what proves to another instance who calls.
+// Sign adds the token that authenticates the call to the other instance.
 func (c *Caller) Sign(now time.Time, header http.Header, procedure string) {
-	header.Set(authField, c.Key.Token(now, c.Self, procedure))
+	header.Set(authHeader, c.Key.Token(now, c.Self, procedure))
 }
 
 // Check returns an error unless the call is signed with the key.
 func Check(key peer.Key, now time.Time, header http.Header, procedure string) error {
-	if _, err := key.Check(now, header.Get(authField), procedure); err != nil {
+	if _, err := key.Check(now, header.Get(authHeader), procedure); err != nil {
 		return connect.NewError(connect.CodeUnauthenticated, peer.ErrUnauthenticated)
 	}
 	return nil
 }
 
-// ClientOptions are those of all clients.
+// ClientOptions returns the options of all Connect clients.
 func ClientOptions() []connect.ClientOption {
 	return []connect.ClientOption{
-		connect.WithCodec(plainJSON{}), connect.WithReadMaxBytes(MaxBytes), connect.WithSendGzip(),
-		connect.WithCompressMinBytes(compressFrom),
+		connect.WithCodec(jsonCodec{}), connect.WithReadMaxBytes(MaxBytes), connect.WithSendGzip(),
+		connect.WithCompressMinBytes(compressMinBytes),
 	}
 }
 
-// HandlerOptions are those of all handlers.
+// HandlerOptions returns the options of all Connect handlers.
 func HandlerOptions() []connect.HandlerOption {
 	return []connect.HandlerOption{
-		connect.WithCodec(plainJSON{}), connect.WithReadMaxBytes(MaxBytes), connect.WithCompressMinBytes(compressFrom),
+		connect.WithCodec(jsonCodec{}), connect.WithReadMaxBytes(MaxBytes), connect.WithCompressMinBytes(compressMinBytes),
 	}
 }
 
-// plainJSON is the codec for plain structs.
-type plainJSON struct{}
+// jsonCodec is the codec for plain structs.
+type jsonCodec struct{}
 
-func (plainJSON) Name() string { return "json" }
+func (jsonCodec) Name() string { return "json" }
 
-func (plainJSON) Marshal(v any) ([]byte, error) { return json.Marshal(v) }
+func (jsonCodec) Marshal(v any) ([]byte, error) { return json.Marshal(v) }
 
-func (plainJSON) Unmarshal(data []byte, v any) error { return json.Unmarshal(data, v) }
+func (jsonCodec) Unmarshal(data []byte, v any) error { return json.Unmarshal(data, v) }
