--- a/internal/peer/auth.go
+++ b/internal/peer/auth.go
@@ -14,28 +14,27 @@
 )
 
 const (
-	// authHeader carries sender, time and code, separated by spaces.
+	// authHeader holds sender, time and code, separated by spaces.
 	authHeader = "Peer-Auth"
 	keyBytes   = 32
-	// codeBytes is the part of the HMAC that is sent, half of it, as RFC 2104
-	// allows: 128 bits can't be guessed either, and the rest is 20 bytes of
-	// each call.
+	// codeBytes is how much of the HMAC is sent: half of it, as RFC 2104 allows. 128 bits can't be
+	// guessed either, and the other half would add 20 bytes to each call.
 	codeBytes = sha256.Size / 2
-	// authWindow is how far the time of a token may be from the receiver's.
-	// It allows for clocks that differ, and makes a recorded call useless
-	// after it. Within it a replay changes nothing: every call of the service
-	// is idempotent or names the sender's incarnation or permit.
+	// authWindow is the maximum difference between the time of a token and the receiver's clock. It
+	// allows for clock skew and makes a recorded call useless afterwards. A replay within the
+	// window has no effect, since every call of the service is idempotent or names the sender's
+	// incarnation or permit.
 	authWindow = 30 * time.Second
 )
 
-// Key authenticates entry instances to each other.
+// Key authenticates instances to each other.
 type Key struct {
 	secret []byte
-	// accepted are further secrets whose tokens pass, while keys are exchanged.
+	// accepted are further secrets whose tokens are accepted, for key rotation.
 	accepted [][]byte
 }
 
-// NewKey reads a key of 32 bytes in base64, and those accepted beside it.
+// NewKey decodes a key of 32 bytes in base64, and further keys whose tokens are accepted.
 func NewKey(encoded string, accepted ...string) (Key, error) {
 	var k Key
 	for i, text := range append([]string{encoded}, accepted...) {
@@ -52,62 +51,63 @@
 	return k, nil
 }
 
-// Token proves that sender, who holds the key, calls procedure at now.
+// Token returns a token with which sender authenticates a call of procedure at now.
 func (k Key) Token(now time.Time, sender, procedure string) string {
 	millis := strconv.FormatInt(now.UnixMilli(), 36)
-	return sender + " " + millis + " " + code(k.secret, sender, millis, procedure)
+	return sender + " " + millis + " " + computeCode(k.secret, sender, millis, procedure)
 }
 
-// Check returns the sender of a token made for procedure within the window.
+// Check returns the sender of a token if it is valid for procedure and its time is within the
+// window.
 func (k Key) Check(now time.Time, token, procedure string) (string, error) {
 	parts := strings.Split(token, " ")
 	if len(parts) != 3 {
 		return "", merry.Prepend(ErrUnauthenticated, "malformed token")
 	}
 	sender, millis := parts[0], parts[1]
-	if !k.genuine(parts[2], sender, millis, procedure) {
-		return "", merry.Prepend(ErrUnauthenticated, "wrong code")
+	if !k.validCode(parts[2], sender, millis, procedure) {
+		return "", merry.Prepend(ErrUnauthenticated, "invalid code")
 	}
 	at, err := strconv.ParseInt(millis, 36, 64)
 	if err != nil {
 		return "", merry.Prepend(ErrUnauthenticated, "malformed time")
 	}
 	if age := now.Sub(time.UnixMilli(at)); age > authWindow || age < -authWindow {
-		return "", merry.Prepend(ErrUnauthenticated, "time outside the window")
+		return "", merry.Prepend(ErrUnauthenticated, "time out of range")
 	}
 	return sender, nil
 }
 
-// genuine reports whether one of the secrets made the code.
-func (k Key) genuine(got, sender, millis, procedure string) bool {
-	if hmac.Equal([]byte(got), []byte(code(k.secret, sender, millis, procedure))) {
+// validCode reports whether the code was made with one of the secrets.
+func (k Key) validCode(got, sender, millis, procedure string) bool {
+	if hmac.Equal([]byte(got), []byte(computeCode(k.secret, sender, millis, procedure))) {
 		return true
 	}
 	for _, secret := range k.accepted {
-		if hmac.Equal([]byte(got), []byte(code(secret, sender, millis, procedure))) {
+		if hmac.Equal([]byte(got), []byte(computeCode(secret, sender, millis, procedure))) {
 			return true
 		}
 	}
 	return false
 }
 
-func code(secret []byte, sender, millis, procedure string) string {
+func computeCode(secret []byte, sender, millis, procedure string) string {
 	mac := hmac.New(sha256.New, secret)
-	// The separator can't be part of an instance's name or of a path.
+	// The separator can't occur in an instance name or a path.
 	_, _ = mac.Write([]byte(sender + "\n" + millis + "\n" + procedure))
 	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:codeBytes])
 }
 
 type senderKey struct{}
 
-// Sender returns the authenticated name of the peer that made a call.
+// Sender returns the authenticated name of the instance that made a call.
 func Sender(ctx context.Context) string {
 	sender, _ := ctx.Value(senderKey{}).(string)
 	return sender
 }
 
-// checking rejects calls without a valid token.
-func checking(key Key) connect.UnaryInterceptorFunc {
+// authenticate returns an interceptor that rejects calls without a valid token.
+func authenticate(key Key) connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			sender, err := key.Check(time.Now(), req.Header().Get(authHeader), req.Spec().Procedure)
@@ -119,8 +119,8 @@
 	}
 }
 
-// signing adds the token to calls of sender.
-func signing(key Key, sender string) connect.UnaryInterceptorFunc {
+// sign returns an interceptor that adds a token to calls of sender.
+func sign(key Key, sender string) connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			req.Header().Set(authHeader, key.Token(time.Now(), sender, req.Spec().Procedure))
--- a/internal/peer/count.go
+++ b/internal/peer/count.go
@@ -6,20 +6,20 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// counter counts the bytes between peers, headers and framing included, since
-// their sum is what an instance spends on control.
-type counter struct {
+// byteCounter counts the bytes sent to and received from peers, including headers and framing: the
+// total traffic of an instance's control plane.
+type byteCounter struct {
 	sent     tally.Counter
 	received tally.Counter
 }
 
-func newCounter(scope tally.Scope) counter {
-	return counter{sent: scope.Counter("peer_bytes_sent"), received: scope.Counter("peer_bytes_received")}
+func newByteCounter(scope tally.Scope) byteCounter {
+	return byteCounter{sent: scope.Counter("peer_bytes_sent"), received: scope.Counter("peer_bytes_received")}
 }
 
 type countingConn struct {
 	net.Conn
-	count counter
+	count byteCounter
 }
 
 func (c countingConn) Read(p []byte) (int, error) {
@@ -36,7 +36,7 @@
 
 type countingListener struct {
 	net.Listener
-	count counter
+	count byteCounter
 }
 
 func (l countingListener) Accept() (net.Conn, error) {
--- a/internal/peer/metered.go
+++ b/internal/peer/metering.go
@@ -10,7 +10,7 @@
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1/peerv1connect"
 )
 
-// roleOf says what a call between peers is for.
+// roleOf returns the role by which the costs of a call are counted.
 func roleOf(procedure string) control.Role {
 	switch procedure {
 	case peerv1connect.PeerServiceAcquireProcedure, peerv1connect.PeerServiceReleaseProcedure:
@@ -27,31 +27,31 @@
 	return control.RoleOperators
 }
 
-// Metered counts the messages of calls by role, and the processor time of the
-// handlers that wait for nothing. It serves clients and handlers alike.
+// Metered returns an option for clients and handlers that counts the bytes of messages by role, and
+// the CPU time of handlers that don't wait.
 func Metered(costs *control.Costs) connect.Option {
 	return connect.WithInterceptors(connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			meter := costs.Of(roleOf(req.Spec().Procedure))
-			res, err := handle(ctx, meter, next, req)
-			asked, answered := size(req.Any()), int64(0)
+			res, err := call(ctx, meter, next, req)
+			requestSize, responseSize := messageSize(req.Any()), int64(0)
 			if err == nil {
-				answered = size(res.Any())
+				responseSize = messageSize(res.Any())
 			}
 			if req.Spec().IsClient {
-				meter.Bytes(asked, answered)
+				meter.Bytes(requestSize, responseSize)
 			} else {
-				meter.Bytes(answered, asked)
+				meter.Bytes(responseSize, requestSize)
 			}
 			return res, err
 		}
 	}))
 }
 
-// handle makes the call. Only handlers of heartbeats and what belongs to them
-// are known to end at once; an ask for a permit may wait for a second and has
-// its time counted by the owner, piece by piece.
-func handle(ctx context.Context, meter *control.Meter, next connect.UnaryFunc, req connect.AnyRequest) (res connect.AnyResponse, err error) {
+// call runs next and measures the CPU time of heartbeat, roster and configuration handlers, which
+// return without waiting. A request for a permit may wait for a second; the owner of the server
+// measures the time of its parts.
+func call(ctx context.Context, meter *control.Meter, next connect.UnaryFunc, req connect.AnyRequest) (res connect.AnyResponse, err error) {
 	switch req.Spec().Procedure {
 	case peerv1connect.PeerServiceHeartbeatProcedure, peerv1connect.PeerServiceFetchRosterProcedure, peerv1connect.PeerServiceFetchConfigProcedure:
 		if !req.Spec().IsClient {
@@ -62,7 +62,7 @@
 	return next(ctx, req)
 }
 
-func size(message any) int64 {
+func messageSize(message any) int64 {
 	if m, ok := message.(proto.Message); ok {
 		return int64(proto.Size(m))
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,9 +1,9 @@
-// Package peer carries the calls between entry instances: a connect client and
-// server on the instances' own listener, with HTTP/2 over plain TCP.
+// Package peer implements the calls between instances: a Connect client and server on a listener of
+// their own, with HTTP/2 over plain TCP.
 //
-// Each call is authenticated with the key that all instances share. There is
-// one connection to each peer; a connection that has gone silent is found by
-// pings and dropped, so that the next call opens a new one.
+// Each call is authenticated with the key that all instances share. There is one connection to each
+// peer. A connection that stops responding is detected by pings and dropped, so that the next call
+// opens a new one.
 //
 // # Usage
 //
@@ -26,53 +26,49 @@
 )
 
 const (
-	// maxMessageBytes bounds one message. The largest is the configuration at
-	// a first FetchConfig: 2,000 servers at some 300 bytes and 290 workspaces.
+	// maxMessageBytes limits one message. The largest is the complete configuration in the first
+	// FetchConfig: 2,000 servers of some 300 bytes each and 290 workspaces.
 	maxMessageBytes = 4 << 20
-	// compressFrom is the size from which answers are compressed: those that
-	// carry the configuration or the roster. Compressing the answer to each
-	// heartbeat, of some 100 bytes, took more processor time than answering
-	// it, a compressor's memory of about a megabyte, and saved nothing.
-	compressFrom = 4 << 10
-	// pingAfter and pingTimeout find a connection that something between the
-	// two ends has lost track of: nothing comes back on it although new ones
-	// work. It is dropped before the second heartbeat after the last answer,
-	// two seconds, so that one goes over a new connection and a lost one alone
-	// costs no instance its lease of three. A heartbeat each second and its
-	// answer keep a connection that works from being pinged: with a ping after
-	// one second, from both ends, each connection cost 68 bytes a second.
+	// compressMinBytes is the size from which answers are compressed: those with the configuration
+	// or the roster. Compressing heartbeat answers, which have some 100 bytes, takes more CPU time
+	// than answering the heartbeats and about a megabyte of memory for the compressor, and saves
+	// nothing.
+	compressMinBytes = 4 << 10
+	// pingAfter and pingTimeout detect a connection that a network device between the two ends has
+	// dropped: nothing comes back on it although new ones work. It is closed before the second
+	// heartbeat after the last answer, which is due after two seconds and then uses a new
+	// connection. So a single lost heartbeat can't cost an instance its lease of three seconds. A
+	// working connection is never pinged, because it has a heartbeat each second: pings from both
+	// ends after one second would cost 68 bytes per second for each connection.
 	pingAfter   = 1250 * time.Millisecond
 	pingTimeout = 500 * time.Millisecond
 	dialTimeout = 500 * time.Millisecond
-	// idleTimeout closes connections over which nothing is asked. Heartbeats
-	// keep those to the peers that matter open; one to every other of 350
-	// would cost more for pings than all heartbeats, and so would the one that
-	// is drawn at random each second if it stayed for long. Opening one again
-	// costs a way there and back. acceptedIdle is its much longer counterpart
-	// at the server, for clients that vanished.
-	idleTimeout  = 1500 * time.Millisecond
-	acceptedIdle = time.Minute
-	// readHeaderTimeout bounds how long a new connection may say nothing.
+	// clientIdleTimeout closes unused connections. Heartbeats keep the connections to the required
+	// peers open. Open connections to all others of 350 instances would cost more for pings than
+	// all heartbeats, and so would the connections to a random peer each second if they stayed open
+	// for long. Opening one again costs a round trip. serverIdleTimeout is the much longer timeout
+	// of the server, for clients that disappeared.
+	clientIdleTimeout = 1500 * time.Millisecond
+	serverIdleTimeout = time.Minute
+	// readHeaderTimeout limits how long the server waits for the headers of a request.
 	readHeaderTimeout = 2 * time.Second
-	// maxStreams bounds the calls of one peer at the same time. An asker with
-	// more waits in its own process.
+	// maxStreams limits the concurrent calls of one peer; further calls wait in the client.
 	maxStreams = 1000
 )
 
 var (
 	// ErrKey means that the shared key is malformed.
 	ErrKey = merry.Sentinel("peer key is not base64 of 32 bytes")
-	// ErrUnauthenticated means that a call doesn't prove that a peer sent it.
+	// ErrUnauthenticated means that a call has no valid token.
 	ErrUnauthenticated = merry.Sentinel("peer not authenticated")
-	// ErrUnreachable means that a peer gave no answer. The call may have taken
-	// effect.
+	// ErrUnreachable means that a peer didn't answer. The call may have taken effect.
 	ErrUnreachable = merry.Sentinel("peer unreachable")
-	// ErrRejected means that the peer answered with a failure.
+	// ErrRejected means that the peer answered with an error.
 	ErrRejected = merry.Sentinel("peer rejected the call")
 )
 
-// fail turns an error of connect into one of this package.
-func fail(err error) error {
+// convertError converts an error of Connect into one of this package.
+func convertError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -86,18 +82,18 @@
 	}
 }
 
-// IsUnreachable reports whether err means that a peer gave no answer.
+// IsUnreachable reports whether err means that a peer didn't answer.
 func IsUnreachable(err error) bool { return errors.Is(err, ErrUnreachable) }
 
-// protocols is HTTP/2 without TLS, and nothing else.
+// protocols allows only HTTP/2 without TLS.
 func protocols() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetUnencryptedHTTP2(true)
 	return p
 }
 
-// clientHTTP2 is the configuration of who asks, and pings.
-func clientHTTP2() *http.HTTP2Config {
+// clientHTTP2Config returns the HTTP/2 configuration of clients, which send pings.
+func clientHTTP2Config() *http.HTTP2Config {
 	return &http.HTTP2Config{
 		SendPingTimeout:  pingAfter,
 		PingTimeout:      pingTimeout,
@@ -105,9 +101,10 @@
 	}
 }
 
-// serverHTTP2 is that of who answers. It needs no pings: what it holds for a
-// client that is gone ends with the call, a second at most, or acceptedIdle.
-func serverHTTP2() *http.HTTP2Config {
+// serverHTTP2Config returns the HTTP/2 configuration of the server. It needs no pings: resources of
+// a client that disappeared are freed at the end of the call, within a second, or after
+// serverIdleTimeout.
+func serverHTTP2Config() *http.HTTP2Config {
 	return &http.HTTP2Config{
 		MaxConcurrentStreams: maxStreams,
 		WriteByteTimeout:     pingAfter + pingTimeout,
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -41,7 +41,7 @@
 	}{
 		"genuine":             {token: token, procedure: "/service/Acquire", now: now, want: "i1"},
 		"of an accepted key":  {token: oldKey.Token(now, "i1", "/service/Acquire"), procedure: "/service/Acquire", now: now, want: "i1"},
-		"clock a little off":  {token: token, procedure: "/service/Acquire", now: now.Add(-20 * time.Second), want: "i1"},
+		"small clock skew":    {token: token, procedure: "/service/Acquire", now: now.Add(-20 * time.Second), want: "i1"},
 		"replayed later":      {token: token, procedure: "/service/Acquire", now: now.Add(time.Minute)},
 		"of another call":     {token: token, procedure: "/service/Release", now: now},
 		"of another sender":   {token: strings.Replace(token, "i1", "i2", 1), procedure: "/service/Acquire", now: now},
@@ -59,14 +59,14 @@
 		})
 	}
 	_, err = oldKey.Check(now, token, "/service/Acquire")
-	require.ErrorIs(t, err, peer.ErrUnauthenticated, "tokens are made with the first key")
+	require.ErrorIs(t, err, peer.ErrUnauthenticated, "tokens must be made with the first key")
 	for _, keys := range [][]string{{"c2hvcnQ="}, {encodedKey, "c2hvcnQ="}} {
 		_, err = peer.NewKey(keys[0], keys[1:]...)
 		require.ErrorIs(t, err, peer.ErrKey)
 	}
 }
 
-// echo answers heartbeats with the sender's name.
+// echo answers heartbeats with the name of the sender.
 type echo struct {
 	peerv1connect.UnimplementedPeerServiceHandler
 }
@@ -88,8 +88,8 @@
 	return listener.Addr().String()
 }
 
-func beat(t *testing.T, pool *peer.Pool, address string, within time.Duration) (string, error) {
-	ctx, cancel := context.WithTimeout(t.Context(), within)
+func sendHeartbeat(t *testing.T, pool *peer.Pool, address string, timeout time.Duration) (string, error) {
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	res, err := pool.Client(address).Heartbeat(ctx, &peerv1.HeartbeatRequest{})
 	return res.GetInstance(), err
@@ -101,42 +101,41 @@
 	scope := tally.NewTestScope("", nil)
 	pool := peer.NewPool("i1", key, scope, peer.Metered(control.New(scope)))
 	defer pool.Close()
-	sender, err := beat(t, pool, address, 10*time.Second)
+	sender, err := sendHeartbeat(t, pool, address, 10*time.Second)
 	require.NoError(t, err)
 	require.Equal(t, "i1", sender)
 	require.Positive(t, scope.Snapshot().Counters()["peer_bytes_sent+"].Value())
 	heartbeats := scope.Snapshot().Counters()["bytes+direction=received,role=heartbeats"].Value()
 	require.Equal(t, int64(len("i1")+2), heartbeats)
 
-	stranger := peer.NewPool("i1", newKey(t, strings.Replace(encodedKey, "AAEC", "AAED", 1)), tally.NoopScope)
-	defer stranger.Close()
-	_, err = beat(t, stranger, address, 10*time.Second)
+	otherPool := peer.NewPool("i1", newKey(t, strings.Replace(encodedKey, "AAEC", "AAED", 1)), tally.NoopScope)
+	defer otherPool.Close()
+	_, err = sendHeartbeat(t, otherPool, address, 10*time.Second)
 	require.ErrorIs(t, err, peer.ErrUnauthenticated)
 }
 
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	// The instance misses a heartbeat or two and then goes on. Something
-	// between the two ends loses track of the open connection: bytes on it
-	// arrive nowhere and no error comes back, while new connections work.
-	// The ping without an answer drops it, and the next call opens a new one.
+	// A network device between the two ends drops an open connection: bytes on it are lost without
+	// an error, while new connections work. The unanswered ping must close it, and the next call
+	// must succeed on a new one, so that the instance misses only a heartbeat or two.
 	key := newKey(t, encodedKey)
 	target := serve(t, key)
 	proxy := newProxy(t, target)
 	pool := peer.NewPool("i1", key, tally.NoopScope)
 	defer pool.Close()
-	_, err := beat(t, pool, proxy.address, 10*time.Second)
+	_, err := sendHeartbeat(t, pool, proxy.address, 10*time.Second)
 	require.NoError(t, err)
-	proxy.silenceOpen()
-	_, err = beat(t, pool, proxy.address, 200*time.Millisecond)
+	proxy.silenceOpenConns()
+	_, err = sendHeartbeat(t, pool, proxy.address, 200*time.Millisecond)
 	require.ErrorIs(t, err, peer.ErrUnreachable)
 	require.Eventually(t, func() bool {
-		_, err := beat(t, pool, proxy.address, 200*time.Millisecond)
+		_, err := sendHeartbeat(t, pool, proxy.address, 200*time.Millisecond)
 		return err == nil
 	}, 30*time.Second, 10*time.Millisecond)
 	require.Greater(t, proxy.opened.Load(), int32(1))
 }
 
-// proxy passes connections on and can silence those that are open.
+// proxy forwards connections and can make the open ones stop delivering data.
 type proxy struct {
 	address string
 	opened  atomic.Int32
@@ -164,14 +163,14 @@
 			p.mu.Lock()
 			p.silent = append(p.silent, silent)
 			p.mu.Unlock()
-			go pass(out, in, silent)
-			go pass(in, out, silent)
+			go forward(out, in, silent)
+			go forward(in, out, silent)
 		}
 	}()
 	return p
 }
 
-func (p *proxy) silenceOpen() {
+func (p *proxy) silenceOpenConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.silent {
@@ -179,8 +178,8 @@
 	}
 }
 
-// pass copies until the source ends, and drops what comes while silent.
-func pass(to io.WriteCloser, from io.Reader, silent *atomic.Bool) {
+// forward copies data until the source ends, and discards it while silent is set.
+func forward(to io.WriteCloser, from io.Reader, silent *atomic.Bool) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -23,20 +23,20 @@
 	clients   map[string]*Client
 }
 
-// NewPool returns the clients with which instance self calls its peers. More
-// options come before the signature; see [Metered].
-func NewPool(self string, key Key, scope tally.Scope, more ...connect.ClientOption) *Pool {
-	count := newCounter(scope)
+// NewPool returns the pool of clients with which instance self calls its peers. The further
+// options, such as [Metered], are applied before the calls are signed.
+func NewPool(self string, key Key, scope tally.Scope, extra ...connect.ClientOption) *Pool {
+	count := newByteCounter(scope)
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Pool{
 		self:    self,
 		key:     key,
 		clients: map[string]*Client{},
-		options: connect.WithClientOptions(append([]connect.ClientOption{connect.WithReadMaxBytes(maxMessageBytes)}, more...)...),
+		options: connect.WithClientOptions(append([]connect.ClientOption{connect.WithReadMaxBytes(maxMessageBytes)}, extra...)...),
 		transport: &http.Transport{
 			Protocols:       protocols(),
-			HTTP2:           clientHTTP2(),
-			IdleConnTimeout: idleTimeout,
+			HTTP2:           clientHTTP2Config(),
+			IdleConnTimeout: clientIdleTimeout,
 			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dialer.DialContext(ctx, network, address)
 				if err != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// Client returns the client of the peer at address, host:port.
+// Client returns the client of the peer at address, in the form host:port.
 func (p *Pool) Client(address string) *Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +62,7 @@
 
 func (p *Pool) newClient(address string) *Client {
 	client, url := &http.Client{Transport: p.transport}, "http://"+address
-	options := connect.WithClientOptions(p.options, connect.WithInterceptors(tracing(), signing(p.key, p.self)))
+	options := connect.WithClientOptions(p.options, connect.WithInterceptors(traceCalls(), sign(p.key, p.self)))
 	return &Client{
 		rpc:     peerv1connect.NewPeerServiceClient(client, url, options),
 		queries: peerv1connect.NewQueryServiceClient(client, url, options),
@@ -70,8 +70,8 @@
 	}
 }
 
-// Keep forgets the clients of all addresses that are not given. Addresses of
-// instances long replaced would otherwise add up.
+// Keep removes the clients of all other addresses. Otherwise the clients of replaced instances
+// would accumulate.
 func (p *Pool) Keep(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,10 +82,10 @@
 	}
 }
 
-// Close drops all connections.
+// Close closes all idle connections.
 func (p *Pool) Close() { p.transport.CloseIdleConnections() }
 
-// Client calls one peer. The caller's context carries the timeout. Errors are
+// Client calls one peer. The timeout is that of the context. Errors are
 // [ErrUnreachable], [ErrRejected] or [ErrUnauthenticated].
 type Client struct {
 	rpc     peerv1connect.PeerServiceClient
@@ -93,38 +93,38 @@
 	orders  peerv1connect.OrderServiceClient
 }
 
-// Heartbeat tells the peer that the sender runs.
+// Heartbeat tells the peer that the sender is running.
 func (c *Client) Heartbeat(ctx context.Context, req *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
 	res, err := c.rpc.Heartbeat(ctx, req)
-	return res, fail(err)
+	return res, convertError(err)
 }
 
 // Acquire asks the peer for a permit.
 func (c *Client) Acquire(ctx context.Context, req *peerv1.AcquireRequest) (*peerv1.AcquireResponse, error) {
 	res, err := c.rpc.Acquire(ctx, req)
-	return res, fail(err)
+	return res, convertError(err)
 }
 
 // Release gives permits back to the peer.
 func (c *Client) Release(ctx context.Context, req *peerv1.ReleaseRequest) (*peerv1.ReleaseResponse, error) {
 	res, err := c.rpc.Release(ctx, req)
-	return res, fail(err)
+	return res, convertError(err)
 }
 
 // FetchConfig asks the peer for newer configuration objects.
 func (c *Client) FetchConfig(ctx context.Context, req *peerv1.FetchConfigRequest) (*peerv1.FetchConfigResponse, error) {
 	res, err := c.rpc.FetchConfig(ctx, req)
-	return res, fail(err)
+	return res, convertError(err)
 }
 
 // FetchRoster asks the peer for a newer roster.
 func (c *Client) FetchRoster(ctx context.Context, req *peerv1.FetchRosterRequest) (*peerv1.FetchRosterResponse, error) {
 	res, err := c.rpc.FetchRoster(ctx, req)
-	return res, fail(err)
+	return res, convertError(err)
 }
 
-// HandOver tells the peer that the sender gives no more permits.
+// HandOver tells the peer that the sender no longer issues permits.
 func (c *Client) HandOver(ctx context.Context, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
 	res, err := c.rpc.HandOver(ctx, req)
-	return res, fail(err)
+	return res, convertError(err)
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -14,8 +14,8 @@
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1/peerv1connect"
 )
 
-// closeTimeout bounds how long a stopping server waits for calls in progress;
-// none takes longer than the wait of a queued Acquire.
+// closeTimeout limits how long a server that is shutting down waits for calls in progress. No
+// call takes longer than the wait of a queued Acquire.
 const closeTimeout = 2 * time.Second
 
 // Server answers the calls of peers.
@@ -26,14 +26,14 @@
 	scope   tally.Scope
 }
 
-// NewServer returns a server that hands authenticated calls to handler. More
-// options follow the authentication; see [Traced].
-func NewServer(handler peerv1connect.PeerServiceHandler, key Key, scope tally.Scope, more ...connect.HandlerOption) *Server {
+// NewServer returns a server that passes authenticated calls to handler. The further options, such
+// as [Traced], are applied after the authentication.
+func NewServer(handler peerv1connect.PeerServiceHandler, key Key, scope tally.Scope, extra ...connect.HandlerOption) *Server {
 	options := connect.WithHandlerOptions(append([]connect.HandlerOption{
 		connect.WithReadMaxBytes(maxMessageBytes),
-		connect.WithCompressMinBytes(compressFrom),
-		connect.WithInterceptors(checking(key)),
-	}, more...)...)
+		connect.WithCompressMinBytes(compressMinBytes),
+		connect.WithInterceptors(authenticate(key)),
+	}, extra...)...)
 	mux := http.NewServeMux()
 	mux.Handle(peerv1connect.NewPeerServiceHandler(handler, options))
 	return &Server{
@@ -41,31 +41,30 @@
 		options: options,
 		scope:   scope,
 		http: &http.Server{
-			Handler:           undated(mux),
+			Handler:           withoutDate(mux),
 			Protocols:         protocols(),
-			HTTP2:             serverHTTP2(),
+			HTTP2:             serverHTTP2Config(),
 			ReadHeaderTimeout: readHeaderTimeout,
-			IdleTimeout:       acceptedIdle,
+			IdleTimeout:       serverIdleTimeout,
 		},
 	}
 }
 
-// undated leaves the date out of answers. It is another each second, so that it
-// would take more bytes of the answer to a heartbeat than all other headers.
-func undated(next http.Handler) http.Handler {
+// withoutDate omits the Date header from answers. It changes each second, so in the answer to a
+// heartbeat it would take more bytes than all other headers.
+func withoutDate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header()["Date"] = nil
 		next.ServeHTTP(w, r)
 	})
 }
 
-// Serve answers calls on listener until ctx ends, then lets those in progress
-// finish.
+// Serve serves calls on listener until ctx ends, then waits for those in progress.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
-	stopped := make(chan error, 1)
-	go func() { stopped <- s.http.Serve(countingListener{listener, newCounter(s.scope)}) }()
+	served := make(chan error, 1)
+	go func() { served <- s.http.Serve(countingListener{listener, newByteCounter(s.scope)}) }()
 	select {
-	case err := <-stopped:
+	case err := <-served:
 		return merry.Prepend(err, "serve peers")
 	case <-ctx.Done():
 	}
@@ -74,7 +73,7 @@
 	if err := s.http.Shutdown(closing); err != nil {
 		_ = s.http.Close()
 	}
-	if err := <-stopped; !errors.Is(err, http.ErrServerClosed) {
+	if err := <-served; !errors.Is(err, http.ErrServerClosed) {
 		return merry.Prepend(err, "serve peers")
 	}
 	return nil
--- a/internal/peer/trace.go
+++ b/internal/peer/trace.go
@@ -10,13 +10,13 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// propagator carries the identity of a span as W3C trace context.
+// propagator encodes the span context as W3C trace context.
 var propagator = propagation.TraceContext{}
 
-// tracing makes a span for each call that belongs to a trace and sends its
-// identity along. Calls without one, such as heartbeats, get none: they are
-// most of the calls and nobody's request.
-func tracing() connect.UnaryInterceptorFunc {
+// traceCalls returns an interceptor that starts a span for each call that belongs to a trace, and
+// sends the span context along. Calls outside of a trace, such as heartbeats, get none: they are
+// most of the calls and don't belong to a request.
+func traceCalls() connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			parent := trace.SpanFromContext(ctx)
@@ -36,7 +36,7 @@
 	}
 }
 
-// Traced makes a span for each call that came with the identity of one.
+// Traced returns an option that starts a span for each call that has a span context.
 func Traced(tracer trace.Tracer) connect.HandlerOption {
 	return connect.WithInterceptors(connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
@@ -51,7 +51,7 @@
 	}))
 }
 
-// spanName is that of the method, as in peer.Acquire.
+// spanName returns the span name of a call, such as peer.Acquire.
 func spanName(req connect.AnyRequest) string {
 	return "peer." + path.Base(req.Spec().Procedure)
 }
