--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,13 +16,13 @@
 
 var cfg = admission.Config{
 	Name: "engine-1", ColdLimit: 2, WarmLimit: 16, MemoryTokens: 16000,
-	TokenInterval: 40 * time.Millisecond, PermitFor: 2 * time.Second, AskFor: 3 * time.Second,
+	TokenInterval: 40 * time.Millisecond, PermitLifetime: 2 * time.Second, QueueTimeout: 3 * time.Second,
 }
 
 func at(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
 
-func ask(id string) admission.Ask {
-	return admission.Ask{
+func request(id string) admission.AcquireRequest {
+	return admission.AcquireRequest{
 		PermitID: "permit-" + id, Weight: 1, MayQueue: true,
 		Request: permit.Request{
 			ID: id, Service: "briefing", Model: "glide", Workspace: "club",
@@ -31,11 +31,11 @@
 	}
 }
 
-// opened returns a server that has reported itself idle.
-func opened() *admission.Server {
+// openServer returns an open server that has reported that it is idle.
+func openServer() *admission.Server {
 	s := admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
 	s.Open(start)
-	s.Report(start, report(0))
+	s.ApplyReport(start, report(0))
 	return s
 }
 
@@ -55,11 +55,11 @@
 	return d.(admission.Granted)
 }
 
-func TestColdServerGetsNoMoreThanItBears(t *testing.T) {
-	s := opened()
+func TestColdServerIsLimited(t *testing.T) {
+	s := openServer()
 	n := 0
 	for i := range 10 {
-		if _, ok := s.Acquire(at(i), ask(fmt.Sprint(i))).(admission.Granted); ok {
+		if _, ok := s.Acquire(at(i), request(fmt.Sprint(i))).(admission.Granted); ok {
 			n++
 		}
 	}
@@ -67,142 +67,142 @@
 	require.Equal(t, 8, s.Queued())
 }
 
-func TestNothingBeforeAReportOfItsOwn(t *testing.T) {
-	// A new owner takes over while requests under the old owner's permits are
-	// on their way. A report measured before their permits ended would miss
-	// them, and the cold server would get twice what it can handle.
+func TestNoGrantBeforeReportAfterTakeover(t *testing.T) {
+	// Guards against a new owner granting while requests under the old owner's
+	// permits are in flight. A report measured before those permits expired would
+	// miss them, and the cold server would get twice what it can handle.
 	s := admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(0), ask("0")))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(0), request("0")))
 	s.Open(at(2000))
-	s.Report(at(1900), report(1800))
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(1900), ask("1")))
-	s.Report(at(2200), report(2100, admission.Sequence{ID: "of the old owner", Prompt: 50, Output: 3}))
-	granted(t, s.Acquire(at(2200), ask("2")))
-	require.IsType(t, admission.Queued{}, s.Acquire(at(2201), ask("3")))
+	s.ApplyReport(at(1900), report(1800))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(1900), request("1")))
+	s.ApplyReport(at(2200), report(2100, admission.Sequence{ID: "of the old owner", Prompt: 50, Output: 3}))
+	granted(t, s.Acquire(at(2200), request("2")))
+	require.IsType(t, admission.Queued{}, s.Acquire(at(2201), request("3")))
 }
 
-func TestLaggedReportsCountNothingTwiceAndForgetNothing(t *testing.T) {
-	s := opened()
-	g := granted(t, s.Acquire(at(100), ask("1")))
+func TestLaggingReportsCountEachRequestOnce(t *testing.T) {
+	s := openServer()
+	g := granted(t, s.Acquire(at(100), request("1")))
 	require.Equal(t, 1, s.Running())
 	// The report was measured before the request reached the server.
-	s.Report(at(200), report(50))
+	s.ApplyReport(at(200), report(50))
 	require.Equal(t, 1, s.Running())
-	// This one names it: still one.
-	s.Report(at(300), report(250, admission.Sequence{ID: "1", Prompt: 100, Output: 2}))
+	// This one lists the request, which still counts once.
+	s.ApplyReport(at(300), report(250, admission.Sequence{ID: "1", Prompt: 100, Output: 2}))
 	require.Equal(t, 1, s.Running())
-	// It ends; a report measured before that still names it.
+	// The request ends; a report measured before that still lists it.
 	s.Release(at(400), g.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 5})
-	s.Report(at(500), report(350, admission.Sequence{ID: "1", Prompt: 100, Output: 4}))
+	s.ApplyReport(at(500), report(350, admission.Sequence{ID: "1", Prompt: 100, Output: 4}))
 	require.Zero(t, s.Running())
-	// A request of somebody else counts.
-	s.Report(at(600), report(550, admission.Sequence{ID: "x", Prompt: 100, Output: 4}))
+	// A request without a permit of this owner counts.
+	s.ApplyReport(at(600), report(550, admission.Sequence{ID: "x", Prompt: 100, Output: 4}))
 	require.Equal(t, 1, s.Running())
 }
 
-func TestLostRequestKeepsItsPlaceUntilAReportClearsIt(t *testing.T) {
-	// The connection to the server is lost; the server may run the request
-	// on. Were its place given away, the server would run one too many.
-	s := opened()
-	g := granted(t, s.Acquire(at(0), ask("1")))
+func TestLostRequestKeepsItsSlotUntilAReportOmitsIt(t *testing.T) {
+	// Guards against reusing the slot of a request whose connection was lost: the
+	// server may still be running it, and would get one request too many.
+	s := openServer()
+	g := granted(t, s.Acquire(at(0), request("1")))
 	s.Release(at(5000), g.PermitID, permit.Outcome{Ending: permit.EndingLost})
 	require.Equal(t, 1, s.Running())
-	s.Report(at(5200), report(5100, admission.Sequence{ID: "1", Prompt: 100, Output: 50}))
+	s.ApplyReport(at(5200), report(5100, admission.Sequence{ID: "1", Prompt: 100, Output: 50}))
 	s.Tick(at(5200))
 	require.Equal(t, 1, s.Running())
-	s.Report(at(6200), report(6100))
+	s.ApplyReport(at(6200), report(6100))
 	s.Tick(at(6200))
 	require.Zero(t, s.Running())
 }
 
-func TestNothingAfterASignOfARestartUntilAReport(t *testing.T) {
-	// An engine dies and is back, cold, before the next load report. Its
-	// callers see broken streams and repeat at once; the new start would get
-	// full load of the warm one.
-	s := opened()
-	g := granted(t, s.Acquire(at(100), ask("1")))
+func TestNoGrantAfterACrashUntilAReport(t *testing.T) {
+	// Guards against an engine that crashes and restarts cold before the next load
+	// report: its callers retry immediately, and the new incarnation would get the
+	// load of the warm one.
+	s := openServer()
+	g := granted(t, s.Acquire(at(100), request("1")))
 	s.Release(at(5000), g.PermitID, permit.Outcome{Ending: permit.EndingCrashed})
-	atOnce := func(id string) admission.Ask {
-		a := ask(id)
+	atOnce := func(id string) admission.AcquireRequest {
+		a := request(id)
 		a.MayQueue = false
 		return a
 	}
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(5001), atOnce("2")))
-	s.Report(at(5100), report(4900))
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(5101), atOnce("3")), "measured before the sign")
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(5001), atOnce("2")))
+	s.ApplyReport(at(5100), report(4900))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(5101), atOnce("3")), "measured before the crash")
 	restarted := report(5300)
 	restarted.Incarnation = "b"
-	s.Report(at(5400), restarted)
-	granted(t, s.Acquire(at(5401), ask("4")))
+	s.ApplyReport(at(5400), restarted)
+	granted(t, s.Acquire(at(5401), request("4")))
 }
 
-// A caller with time left waits over a break of the link instead of being
-// refused. One poll of the server fails and the next, half a second later, does
-// not. A server that is silent for longer, or whose process has ended, keeps
-// nobody waiting.
-func TestBreakOfTheLinkRefusesNobody(t *testing.T) {
-	s := opened()
-	s.Unreachable()
-	now := ask("1")
+// Guards against refusing callers that could wait when a single poll of the server
+// fails and the next one, half a second later, succeeds. Nobody waits for a server
+// that hasn't reported for longer, or whose process has exited.
+func TestRequestsQueueDuringABriefDisconnection(t *testing.T) {
+	s := openServer()
+	s.MarkUnreachable()
+	now := request("1")
 	now.MayQueue = false
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(500), now))
-	require.IsType(t, admission.Queued{}, s.Acquire(at(500), ask("2")))
-	require.Empty(t, s.Tick(at(900)), "nothing starts unseen")
-	s.Report(at(1000), report(950))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(500), now))
+	require.IsType(t, admission.Queued{}, s.Acquire(at(500), request("2")))
+	require.Empty(t, s.Tick(at(900)), "no grant while unreachable")
+	s.ApplyReport(at(1000), report(950))
 	require.Len(t, s.Tick(at(1000)), 1)
-	granted(t, s.Acquire(at(1001), ask("2")))
+	granted(t, s.Acquire(at(1001), request("2")))
 
-	s.Unreachable()
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(4000), ask("3")), "silent for long")
-	s.Report(at(5000), report(4900))
-	s.Gone(at(5001))
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(5002), ask("4")), "its process has ended")
+	s.MarkUnreachable()
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(4000), request("3")), "no report for too long")
+	s.ApplyReport(at(5000), report(4900))
+	s.MarkExited(at(5001))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(5002), request("4")), "the process has exited")
 }
 
-func TestUnusedPermitIsTakenBack(t *testing.T) {
-	// An asker dies between getting a permit and using it.
-	s := opened()
-	granted(t, s.Acquire(at(0), ask("1")))
-	s.Report(at(1900), report(1800))
+func TestUnusedPermitIsReclaimed(t *testing.T) {
+	// Guards against a slot that stays taken when an instance crashes between
+	// getting a permit and using it.
+	s := openServer()
+	granted(t, s.Acquire(at(0), request("1")))
+	s.ApplyReport(at(1900), report(1800))
 	s.Tick(at(1900))
 	require.Equal(t, 1, s.Running(), "the permit may still be used")
-	s.Report(at(2300), report(2200))
+	s.ApplyReport(at(2300), report(2200))
 	s.Tick(at(2300))
 	require.Zero(t, s.Running())
 }
 
-func TestAskingAgainReturnsTheSamePermit(t *testing.T) {
-	s := opened()
-	first := granted(t, s.Acquire(at(0), ask("1")))
-	again := ask("1")
+func TestRepeatedRequestReturnsTheSamePermit(t *testing.T) {
+	s := openServer()
+	first := granted(t, s.Acquire(at(0), request("1")))
+	again := request("1")
 	again.PermitID = "another"
 	require.Equal(t, first, s.Acquire(at(500), again))
 	require.Equal(t, 1, s.Running())
 }
 
 func TestQueuedRequestStartsOrIsDropped(t *testing.T) {
-	s := opened()
-	g := granted(t, s.Acquire(at(0), ask("1")))
-	granted(t, s.Acquire(at(0), ask("2")))
-	require.IsType(t, admission.Queued{}, s.Acquire(at(0), ask("gone")))
-	require.IsType(t, admission.Queued{}, s.Acquire(at(0), ask("waits")))
-	// Its asker keeps asking; that of the other has died.
-	require.IsType(t, admission.Queued{}, s.Acquire(at(2000), ask("waits")))
+	s := openServer()
+	g := granted(t, s.Acquire(at(0), request("1")))
+	granted(t, s.Acquire(at(0), request("2")))
+	require.IsType(t, admission.Queued{}, s.Acquire(at(0), request("gone")))
+	require.IsType(t, admission.Queued{}, s.Acquire(at(0), request("waits")))
+	// The first request is polled again; the other one is abandoned.
+	require.IsType(t, admission.Queued{}, s.Acquire(at(2000), request("waits")))
 	s.Release(at(3500), g.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 3})
 	out := s.Tick(at(3500))
 	require.Len(t, out, 1)
 	d := granted(t, out[0])
 	require.Equal(t, "waits", d.RequestID)
-	require.Equal(t, at(4000), d.ExpiresAt, "a permit's life counts from when its asker last asked")
+	require.Equal(t, at(4000), d.ExpiresAt, "a permit's lifetime starts at the last poll")
 }
 
-func TestRestartNamesWhatRan(t *testing.T) {
-	s := opened()
-	granted(t, s.Acquire(at(0), ask("1")))
-	s.Report(at(300), report(250, admission.Sequence{ID: "1", Prompt: 100, Output: 2}))
+func TestRestartReturnsRunningRequests(t *testing.T) {
+	s := openServer()
+	granted(t, s.Acquire(at(0), request("1")))
+	s.ApplyReport(at(300), report(250, admission.Sequence{ID: "1", Prompt: 100, Output: 2}))
 	r := report(900)
 	r.Incarnation = "b"
-	restart := s.Report(at(1000), r)
+	restart := s.ApplyReport(at(1000), r)
 	require.NotNil(t, restart)
 	require.Equal(t, "a", restart.OldIncarnation)
 	require.Len(t, restart.Running, 1)
@@ -210,54 +210,54 @@
 	require.Equal(t, cfg.ColdLimit, s.Limit())
 }
 
-// A request crashes its server before the first token and well within the life
-// of its permit. The loss and the restart are learnt of in either order; each
-// way the request must be named, or it is sent to one server after another.
-// One that was never sent must not be.
-func TestRestartNamesWhatCrashedAtOnce(t *testing.T) {
+// Guards against a request that crashes its server before the first token, while
+// its permit is valid, and isn't returned as a crash suspect: it would crash one
+// server after another. The loss and the restart become known in either order. A
+// request that was never sent isn't returned.
+func TestRestartReturnsRequestsThatCrashedBeforeTheFirstToken(t *testing.T) {
 	again := report(900)
 	again.Incarnation = "b"
 	tests := map[string]struct {
 		ending    permit.Ending
 		lossFirst bool
-		named     bool
+		returned  bool
 	}{
-		"loss first":              {ending: permit.EndingLost, lossFirst: true, named: true},
-		"restart first":           {ending: permit.EndingLost, named: true},
-		"seen by the asker first": {ending: permit.EndingCrashed, lossFirst: true, named: true},
-		"seen by the owner first": {ending: permit.EndingCrashed, named: true},
-		"never sent":              {ending: permit.EndingNotSent},
+		"loss first":               {ending: permit.EndingLost, lossFirst: true, returned: true},
+		"restart first":            {ending: permit.EndingLost, returned: true},
+		"seen by the sender first": {ending: permit.EndingCrashed, lossFirst: true, returned: true},
+		"seen by the owner first":  {ending: permit.EndingCrashed, returned: true},
+		"never sent":               {ending: permit.EndingNotSent},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := opened()
-			g := granted(t, s.Acquire(at(800), ask("1")))
-			lose := func() *admission.Restart {
+			s := openServer()
+			g := granted(t, s.Acquire(at(800), request("1")))
+			releaseLost := func() *admission.Restart {
 				return s.Release(at(1000), g.PermitID, permit.Outcome{Ending: tt.ending})
 			}
 			var atLoss, atReport *admission.Restart
 			if tt.lossFirst {
-				atLoss = lose()
+				atLoss = releaseLost()
 			}
-			atReport = s.Report(at(1000), again)
+			atReport = s.ApplyReport(at(1000), again)
 			if !tt.lossFirst {
-				atLoss = lose()
+				atLoss = releaseLost()
 			}
 			require.NotNil(t, atReport)
-			named := atReport.Running
+			returned := atReport.Running
 			if atLoss != nil {
 				require.Equal(t, "a", atLoss.OldIncarnation)
-				named = append(named, atLoss.Running...)
+				returned = append(returned, atLoss.Running...)
 			}
-			require.Equal(t, tt.named, len(named) == 1)
+			require.Equal(t, tt.returned, len(returned) == 1)
 			require.Zero(t, s.Running())
 		})
 	}
 }
 
-func TestTwoSuspectsNeverRunTogether(t *testing.T) {
-	s := opened()
-	a, b := ask("1"), ask("2")
+func TestSuspectsNeverRunTogether(t *testing.T) {
+	s := openServer()
+	a, b := request("1"), request("2")
 	a.Suspect, b.Suspect = true, true
 	g := granted(t, s.Acquire(at(0), a))
 	require.IsType(t, admission.Queued{}, s.Acquire(at(1), b))
@@ -266,66 +266,66 @@
 }
 
 func TestSlowServerIsDrainedAndProbed(t *testing.T) {
-	// A server does not fail but is three times as slow as it should be. New
-	// work goes elsewhere, but for one request now and then; when these show
-	// it has recovered, it takes its share again.
-	s := opened()
+	// Guards against sending work to a server that doesn't fail but is three times
+	// too slow. It gets one request now and then; once these show that it has
+	// recovered, it takes its share again.
+	s := openServer()
 	slow := func(from int, interval time.Duration) {
 		for i := range 100 {
 			r := report(from+i*10, admission.Sequence{ID: "x", Prompt: 10, Output: i + 1})
 			r.TokenInterval = interval
-			s.Report(at(from+i*10), r)
+			s.ApplyReport(at(from+i*10), r)
 		}
-		s.Report(at(from+1000), report(from+1000))
+		s.ApplyReport(at(from+1000), report(from+1000))
 	}
 	slow(0, 120*time.Millisecond)
-	a := ask("1")
+	a := request("1")
 	a.MayQueue = false
 	g := granted(t, s.Acquire(at(1000), a))
 	s.Release(at(1100), g.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 3})
-	b := ask("2")
+	b := request("2")
 	b.MayQueue = false
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(1200), b))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(1200), b))
 	g = granted(t, s.Acquire(at(9000), b))
 	s.Release(at(9900), g.PermitID, permit.Outcome{Ending: permit.EndingFinished, OutputTokens: 3})
 	slow(10000, 20*time.Millisecond)
 	for i := range 2 {
-		granted(t, s.Acquire(at(12000+i), ask(fmt.Sprint("later", i))))
+		granted(t, s.Acquire(at(12000+i), request(fmt.Sprint("later", i))))
 	}
 }
 
-func TestGoneServerNamesWhatWasLost(t *testing.T) {
-	// The process of a server has ended: its address refuses connections and
-	// no report will name another start. What its askers lost there must be
-	// named, whether they or the owner see it first; what was never sent and
-	// what the askers still hold must not.
-	s := opened()
-	lost := granted(t, s.Acquire(at(100), ask("lost before")))
-	late := granted(t, s.Acquire(at(100), ask("lost after")))
+func TestExitedServerReturnsLostRequests(t *testing.T) {
+	// Guards against missing crash suspects when a server's process exits for good:
+	// its address refuses connections and no report will show a new incarnation.
+	// Lost requests are returned whether their sender or the owner notices first;
+	// requests that were never sent or are still open are not.
+	s := openServer()
+	lost := granted(t, s.Acquire(at(100), request("lost before")))
+	late := granted(t, s.Acquire(at(100), request("lost after")))
 	require.Nil(t, s.Release(at(200), lost.PermitID, permit.Outcome{Ending: permit.EndingLost}))
-	gone := s.Gone(at(300))
+	gone := s.MarkExited(at(300))
 	require.Equal(t, "a", gone.OldIncarnation)
 	require.Len(t, gone.Running, 1)
 	require.Equal(t, "lost before", gone.Running[0].ID)
 	after := s.Release(at(400), late.PermitID, permit.Outcome{Ending: permit.EndingLost})
 	require.NotNil(t, after)
 	require.Equal(t, "a", after.OldIncarnation)
-	require.IsType(t, admission.NotHere{}, s.Acquire(at(500), ask("new")))
+	require.IsType(t, admission.Unavailable{}, s.Acquire(at(500), request("new")))
 
-	// It was the link only: the same start reports again, and a loss is no
-	// crash any more.
-	s.Report(at(700), report(650))
-	g := granted(t, s.Acquire(at(800), ask("next")))
+	// Only the connection had failed: the same incarnation reports again, and a
+	// lost request is no longer a crash.
+	s.ApplyReport(at(700), report(650))
+	g := granted(t, s.Acquire(at(800), request("next")))
 	require.Nil(t, s.Release(at(900), g.PermitID, permit.Outcome{Ending: permit.EndingLost}))
 }
 
-// An engine that was warm dies under load and is back at once, cold; callers
-// repeat at once, and its places look free. The first sign that its owner gets
-// is a connection that broke. From then on it gives nothing until a report
-// measured after the sign; one measured before, and come late, doesn't count.
-func TestNothingIsGivenAfterASignOfARestart(t *testing.T) {
+// Guards against full load on an engine that crashes and restarts cold before its
+// next load report, while its slots look free and callers retry immediately. After
+// the first sign, a broken connection, nothing is granted until a report that was
+// measured after it; a late report measured before doesn't count.
+func TestNoGrantAfterAPossibleRestart(t *testing.T) {
 	signs := map[string]func(s *admission.Server, permitID string){
-		"connection broken": func(s *admission.Server, permitID string) { s.Broken(at(1000), permitID) },
+		"connection broken": func(s *admission.Server, permitID string) { s.MarkBroken(at(1000), permitID) },
 		"answer lost": func(s *admission.Server, permitID string) {
 			s.Release(at(1000), permitID, permit.Outcome{Ending: permit.EndingLost})
 		},
@@ -335,21 +335,21 @@
 	}
 	for name, sign := range signs {
 		t.Run(name, func(t *testing.T) {
-			s := opened()
-			g := granted(t, s.Acquire(at(100), ask("running")))
+			s := openServer()
+			g := granted(t, s.Acquire(at(100), request("running")))
 			sign(s, g.PermitID)
-			require.IsType(t, admission.Queued{}, s.Acquire(at(1010), ask("next")))
-			s.Report(at(1100), report(950))
+			require.IsType(t, admission.Queued{}, s.Acquire(at(1010), request("next")))
+			s.ApplyReport(at(1100), report(950))
 			require.Empty(t, s.Tick(at(1100)), "measured before the sign")
-			s.Report(at(1500), report(1400))
+			s.ApplyReport(at(1500), report(1400))
 			require.Len(t, s.Tick(at(1500)), 1)
 		})
 	}
-	s := opened()
-	g := granted(t, s.Acquire(at(100), ask("running")))
+	s := openServer()
+	g := granted(t, s.Acquire(at(100), request("running")))
 	next := report(1100)
 	next.Incarnation = "b"
-	s.Report(at(1200), next)
-	s.Broken(at(1300), g.PermitID)
-	granted(t, s.Acquire(at(1310), ask("next")))
+	s.ApplyReport(at(1200), next)
+	s.MarkBroken(at(1300), g.PermitID)
+	granted(t, s.Acquire(at(1310), request("next")))
 }
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -45,7 +45,7 @@
 		}
 		res := f.attempt(ctx, call, p, maySend)
 		if res.failure == nil {
-			f.opts.Retries.Succeeded(time.Now(), call.Service.Name)
+			f.opts.Retries.RecordSuccess(time.Now(), call.Service.Name)
 			return res.response, nil
 		}
 		if res.permitExpired && expiredPermits < maxReacquires && ctx.Err() == nil {
@@ -69,7 +69,7 @@
 
 func (f *Forwarder) waitBeforeRetry(ctx context.Context, call Call, a retry.Attempt) bool {
 	again, ok := f.opts.Retries.Decide(time.Now(), call.Service.Name, a).(retry.Again)
-	return ok && f.wait(again.After) && ctx.Err() == nil
+	return ok && f.wait(again.Delay) && ctx.Err() == nil
 }
 
 func (f *Forwarder) acquire(ctx context.Context, call Call, excluded, avoided []string) (permit.Permit, error) {
--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -62,7 +62,7 @@
 		o.gone(e, req.GetId(), decision)
 		return refused(permit.ReasonDeadline, retryNotReady, fullPermille)
 	}
-	if _, ok := decision.(admission.NotHere); ok && received.Sub(opened) < firstReport {
+	if _, ok := decision.(admission.Unavailable); ok && received.Sub(opened) < firstReport {
 		return hold(ctx, o.waitOf(req))
 	}
 	if o.ranOut(received, decision) {
@@ -139,7 +139,7 @@
 	})
 }
 
-func (o *Owner) answer(received time.Time, right permit.Right, decision admission.Decision) *peerv1.AcquireResponse {
+func (o *Owner) answer(received time.Time, right permit.Authority, decision admission.Decision) *peerv1.AcquireResponse {
 	switch d := decision.(type) {
 	case admission.Granted:
 		return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_Granted{Granted: &peerv1.Granted{
@@ -154,7 +154,7 @@
 		return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_Queued{Queued: &peerv1.Queued{Ahead: int32(d.Ahead)}}}
 	case admission.Refused:
 		return refused(d.Refusal.Reason, d.Refusal.RetryAfter, fullPermille)
-	case admission.NotHere:
+	case admission.Unavailable:
 		return refused(permit.ReasonOverloaded, d.RetryAfter, d.LoadPermille)
 	}
 	return refused(permit.ReasonOverloaded, retryNotReady, fullPermille)
@@ -189,7 +189,7 @@
 	}}}
 }
 
-func notOwner(right permit.Right) *peerv1.AcquireResponse {
+func notOwner(right permit.Authority) *peerv1.AcquireResponse {
 	return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_NotOwner{NotOwner: &peerv1.NotOwner{
 		Epoch: right.Epoch, Owner: right.Owner,
 	}}}
@@ -210,7 +210,7 @@
 		o.with(e, func() {
 			if permit.Ending(r.GetEnding()) == permit.ConnectionBroken {
 				e.polledAt, e.troubledAt = time.Time{}, now
-				e.state.Broken(now, r.GetPermitId())
+				e.state.MarkBroken(now, r.GetPermitId())
 				return
 			}
 			if g, ok := e.given[r.GetPermitId()]; ok && r.GetEnding() == string(permit.EndingFinished) {
--- a/internal/owner/pace_test.go
+++ b/internal/owner/pace_test.go
@@ -23,13 +23,13 @@
 
 // calmEntry is a server that has been well for an hour, with a limit of 4.
 func calmEntry(now time.Time) *entry {
-	cfg := admission.Config{Name: "desk-1", ColdLimit: 4, WarmLimit: 4, MemoryTokens: 1000, PermitFor: time.Second, AskFor: time.Second}
+	cfg := admission.Config{Name: "desk-1", ColdLimit: 4, WarmLimit: 4, MemoryTokens: 1000, PermitLifetime: time.Second, QueueTimeout: time.Second}
 	e := &entry{
 		cfg: cfg, state: admission.New(cfg, admission.FixedLimit{}, length.NewEstimator(length.DefaultParams)),
 		waiters: map[string]chan admission.Decision{}, given: map[string]given{}, reached: true,
 	}
-	e.follow(now.Add(-time.Hour), permit.Right{Role: permit.RoleOwner}, true)
-	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now})
+	e.follow(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
+	e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 	return e
 }
 
@@ -41,14 +41,14 @@
 			before, _ := e.state.LastReport()
 			r.MeasuredAt = now
 			e.reported(now.Add(-time.Hour), nil, before, r)
-			e.state.Report(now, r)
+			e.state.ApplyReport(now, r)
 		}
 	}
 	running := func(n int) func(*entry) {
 		return func(e *entry) {
 			for i := range n {
 				id := fmt.Sprint(i)
-				e.state.Acquire(now, admission.Ask{PermitID: id, MayQueue: true, Request: permit.Request{ID: id, Deadline: now.Add(time.Minute)}})
+				e.state.Acquire(now, admission.AcquireRequest{PermitID: id, MayQueue: true, Request: permit.Request{ID: id, Deadline: now.Add(time.Minute)}})
 			}
 		}
 	}
@@ -60,7 +60,7 @@
 		"some running":    {running(3), calmPolls * usual},
 		"near its limit":  {running(4), usual},
 		"queued":          {running(5), usual},
-		"near its memory": {report(admission.Report{Incarnation: "a", Used: 800}), usual},
+		"near its memory": {report(admission.Report{Incarnation: "a", UsedTokens: 800}), usual},
 		"cold":            {report(admission.Report{Incarnation: "a", Cold: true}), usual},
 		"leaving":         {report(admission.Report{Incarnation: "a", Leaving: true}), usual},
 		"restarted": {func(e *entry) {
@@ -70,7 +70,7 @@
 		"silent":                 {func(e *entry) { e.reported(now, errors.New("lost"), admission.Report{}, admission.Report{}) }, usual},
 		"not reached":            {func(e *entry) { e.reached = false }, usual},
 		"just owned":             {func(e *entry) { e.openedAt = now }, usual},
-		"of another instance":    {func(e *entry) { e.follow(now, permit.Right{}, true) }, usual},
+		"of another instance":    {func(e *entry) { e.follow(now, permit.Authority{}, true) }, usual},
 		"asked for by a request": {func(e *entry) { require.True(t, e.rests(now, usual)) }, 0},
 	}
 	for name, tt := range tests {
@@ -85,8 +85,8 @@
 // fixedRights makes this instance the owner of all.
 type fixedRights struct{}
 
-func (fixedRights) Right(time.Time, roster.Server) permit.Right {
-	return permit.Right{Role: permit.RoleOwner}
+func (fixedRights) Right(time.Time, roster.Server) permit.Authority {
+	return permit.Authority{Role: permit.RoleOwner}
 }
 func (fixedRights) Roster() *roster.Roster { return &roster.Roster{} }
 
@@ -121,13 +121,13 @@
 	defer o.workers.Release()
 	now := time.Now()
 	e := o.entry(snap, &server)
-	e.follow(now.Add(-time.Hour), permit.Right{Role: permit.RoleOwner}, true)
-	e.state.Report(now, admission.Report{Incarnation: "a", MeasuredAt: now.Add(-2 * time.Minute)})
+	e.follow(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
+	e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now.Add(-2 * time.Minute)})
 	e.reached, e.polledAt = true, now.Add(-2*time.Minute)
 	for i := 0; e.state.Limit() < server.WarmLimit; i++ {
 		for j := range e.state.Limit() {
 			id := fmt.Sprint("earlier", i, j)
-			require.IsType(t, admission.Granted{}, e.state.Acquire(now, admission.Ask{PermitID: id, Request: permit.Request{ID: id}}))
+			require.IsType(t, admission.Granted{}, e.state.Acquire(now, admission.AcquireRequest{PermitID: id, Request: permit.Request{ID: id}}))
 		}
 		for j := range e.state.Running() {
 			e.state.Release(now, fmt.Sprint("earlier", i, j), permit.Outcome{Ending: permit.EndingFinished})
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -229,7 +229,7 @@
 			return res
 		}
 	}
-	a.session.relay.opts.Permits.Broken(now, a.permit)
+	a.session.relay.opts.Permits.ReportBroken(now, a.permit)
 	if errors.Is(err, ErrUnknownStream) {
 		// The engine most likely restarted; the server's owner learns that only from the next load
 		// report.
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		if res.failure == nil {
-			s.relay.opts.Retries.Succeeded(time.Now(), s.job.Permit.Service)
+			s.relay.opts.Retries.RecordSuccess(time.Now(), s.job.Permit.Service)
 			s.end(Finished{})
 			return
 		}
@@ -114,7 +114,7 @@
 	decision := s.relay.opts.Retries.Decide(time.Now(), s.job.Permit.Service, retry.Attempt{Number: number, Cause: cause})
 	switch d := decision.(type) {
 	case retry.Again:
-		timer := time.NewTimer(d.After)
+		timer := time.NewTimer(d.Delay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -109,7 +109,7 @@
 	snap := config.NewSnapshot(1, fleet(n, fullWorkspaces))
 	r := router.New(router.Options{
 		Self: self, Members: members, Local: members, Config: func() *config.Snapshot { return snap },
-		Policy: router.Predicted{}, PermitFor: 2 * time.Second,
+		Policy: router.Predicted{}, PermitLifetime: 2 * time.Second,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
 	ctx := context.Background()
@@ -129,11 +129,11 @@
 
 var engineConfig = admission.Config{
 	Name: "engine", ColdLimit: 64, WarmLimit: 64, MemoryTokens: 160000,
-	TokenInterval: 42 * time.Millisecond, PermitFor: 2 * time.Second, AskFor: time.Hour,
+	TokenInterval: 42 * time.Millisecond, PermitLifetime: 2 * time.Second, QueueTimeout: time.Hour,
 }
 
-func admissionAsk(i int, mayQueue bool) admission.Ask {
-	return admission.Ask{
+func admissionAsk(i int, mayQueue bool) admission.AcquireRequest {
+	return admission.AcquireRequest{
 		PermitID: fmt.Sprintf("permit-%d", i), Weight: 1, MayQueue: mayQueue,
 		Request: permit.Request{
 			ID: fmt.Sprintf("request-%d", i), Service: service, Model: modelName(i),
@@ -158,11 +158,11 @@
 func busyServer(n int) *admission.Server {
 	s := admission.New(engineConfig, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
 	s.Open(epochStart)
-	s.Report(epochStart, engineReport(0))
+	s.ApplyReport(epochStart, engineReport(0))
 	for i := range n {
 		s.Acquire(epochStart, admissionAsk(i, false))
 	}
-	s.Report(epochStart, engineReport(n))
+	s.ApplyReport(epochStart, engineReport(n))
 	return s
 }
 
@@ -179,7 +179,7 @@
 func loadReport(n int) func() {
 	s := busyServer(n)
 	r := engineReport(n)
-	return func() { s.Report(epochStart, r) }
+	return func() { s.ApplyReport(epochStart, r) }
 }
 
 // tickFull looks at a queue of 256 requests of n workspaces behind a server
@@ -224,7 +224,7 @@
 func suspectTable(n int) *suspect.Table {
 	t := suspect.NewTable(suspect.DefaultParams)
 	for i := range n {
-		t.Crash(epochStart.Add(time.Duration(i)*time.Millisecond), fmt.Sprintf("engine-%d/a", i/10), uint64(i))
+		t.RecordCrash(epochStart.Add(time.Duration(i)*time.Millisecond), fmt.Sprintf("engine-%d/a", i/10), uint64(i))
 	}
 	return t
 }
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -24,43 +24,43 @@
 	}{
 		"nothing known": {events: func(*suspect.Table) {}, now: at(1), want: suspect.Clear},
 		"one crash": {
-			events: func(t *suspect.Table) { t.Crash(at(0), "a/1", fp) },
+			events: func(t *suspect.Table) { t.RecordCrash(at(0), "a/1", fp) },
 			now:    at(1), want: suspect.Suspected,
 		},
 		"the same crash seen twice": {
-			events: func(t *suspect.Table) { t.Crash(at(0), "a/1", fp); t.Crash(at(1), "a/1", fp) },
+			events: func(t *suspect.Table) { t.RecordCrash(at(0), "a/1", fp); t.RecordCrash(at(1), "a/1", fp) },
 			now:    at(2), want: suspect.Suspected,
 		},
 		"two crashes": {
-			events: func(t *suspect.Table) { t.Crash(at(0), "a/1", fp); t.Crash(at(1), "b/1", fp) },
+			events: func(t *suspect.Table) { t.RecordCrash(at(0), "a/1", fp); t.RecordCrash(at(1), "b/1", fp) },
 			now:    at(2), want: suspect.Refused,
 		},
 		"the same server after its restart": {
-			events: func(t *suspect.Table) { t.Crash(at(0), "a/1", fp); t.Crash(at(1), "a/2", fp) },
+			events: func(t *suspect.Table) { t.RecordCrash(at(0), "a/1", fp); t.RecordCrash(at(1), "a/2", fp) },
 			now:    at(2), want: suspect.Refused,
 		},
-		"a neighbour that finished between two crashes": {
+		"finished between two crashes": {
 			events: func(t *suspect.Table) {
-				t.Crash(at(0), "a/1", fp)
-				t.Finished(at(1), fp)
-				t.Crash(at(2), "b/1", fp)
+				t.RecordCrash(at(0), "a/1", fp)
+				t.RecordFinished(at(1), fp)
+				t.RecordCrash(at(2), "b/1", fp)
 			},
 			now: at(3), want: suspect.Suspected,
 		},
 		"two crashes long ago": {
-			events: func(t *suspect.Table) { t.Crash(at(0), "a/1", fp); t.Crash(at(1), "b/1", fp) },
+			events: func(t *suspect.Table) { t.RecordCrash(at(0), "a/1", fp); t.RecordCrash(at(1), "b/1", fp) },
 			now:    at(3600), want: suspect.Clear,
 		},
-		"another instance saw it finish": {
+		"finished on another instance": {
 			events: func(t *suspect.Table) {
-				t.Crash(at(0), "a/1", fp)
+				t.RecordCrash(at(0), "a/1", fp)
 				t.Merge(at(5), []suspect.Entry{{Fingerprint: fp, ClearedAt: at(4)}})
 			},
 			now: at(6), want: suspect.Clear,
 		},
-		"another instance saw the second crash": {
+		"second crash on another instance": {
 			events: func(t *suspect.Table) {
-				t.Crash(at(0), "a/1", fp)
+				t.RecordCrash(at(0), "a/1", fp)
 				t.Merge(at(5), []suspect.Entry{{Fingerprint: fp, Crashes: []suspect.Crash{{Name: "c/1", At: at(4)}}}})
 			},
 			now: at(6), want: suspect.Refused,
@@ -78,9 +78,9 @@
 	}
 }
 
-func TestViewsAgreeWhateverTheOrder(t *testing.T) {
-	// Two instances hear of the same crashes and clearings in different
-	// orders, as heartbeats cross. Both must refuse and clear the same.
+func TestMergeIsIndependentOfOrder(t *testing.T) {
+	// Guards against instances that get the same entries in different orders, as
+	// heartbeats cross, and disagree on which requests to refuse.
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var entries []suspect.Entry
@@ -106,12 +106,12 @@
 	}
 }
 
-func TestTableIsBounded(t *testing.T) {
+func TestTableSizeIsLimited(t *testing.T) {
 	p := suspect.DefaultParams
 	p.MaxEntries = 10
 	table := suspect.NewTable(p)
 	for i := range 100 {
-		table.Crash(at(i), "a/1", uint64(i))
+		table.RecordCrash(at(i), "a/1", uint64(i))
 	}
 	require.Len(t, table.Newest(at(100), 1000), 10)
 	require.Equal(t, suspect.Clear, table.Check(at(100), 0))
--- a/test/outcome/world_test.go
+++ b/test/outcome/world_test.go
@@ -152,7 +152,7 @@
 		n.batch = batch.New(batch.DefaultParams())
 		n.state = admission.New(admission.Config{
 			Name: s.Name, ColdLimit: cold, WarmLimit: 32, MemoryTokens: 16000,
-			TokenInterval: 42 * time.Millisecond, PermitFor: 2 * time.Second, AskFor: time.Hour,
+			TokenInterval: 42 * time.Millisecond, PermitLifetime: 2 * time.Second, QueueTimeout: time.Hour,
 		}, p.admission, lengths)
 		n.state.Open(start)
 		w.nodes = append(w.nodes, n)
@@ -191,7 +191,7 @@
 		r.Sequences = append(r.Sequences, admission.Sequence{ID: s.ID, Prompt: s.PromptTokens, Output: s.Produced})
 	}
 	r.Running = len(r.Sequences)
-	w.after(200*time.Millisecond, func() { n.state.Report(w.now, r) })
+	w.after(200*time.Millisecond, func() { n.state.ApplyReport(w.now, r) })
 	w.after(500*time.Millisecond, func() { w.report(n) })
 }
 
@@ -215,7 +215,7 @@
 	nodes := w.place(c)
 	for i, n := range nodes {
 		d := n.state.Acquire(w.now, w.askOf(c, len(nodes) == 1))
-		if no, ok := d.(admission.NotHere); ok {
+		if no, ok := d.(admission.Unavailable); ok {
 			w.views[n.server.Name] = placement.View{LoadPermille: no.LoadPermille, At: w.now}
 			if i+1 < len(nodes) {
 				continue
@@ -246,9 +246,9 @@
 	return nodes
 }
 
-func (w *world) askOf(c *call, mayQueue bool) admission.Ask {
+func (w *world) askOf(c *call, mayQueue bool) admission.AcquireRequest {
 	id := c.id()
-	return admission.Ask{
+	return admission.AcquireRequest{
 		PermitID: id, Weight: 1, MayQueue: mayQueue,
 		Request: permit.Request{
 			ID: id, Service: "s", Model: "m", Workspace: c.workspace, Class: c.class,
@@ -263,7 +263,7 @@
 		w.send(n, d)
 	case admission.Refused:
 		w.refuse(d)
-	case admission.NotHere:
+	case admission.Unavailable:
 		// No server has reported yet.
 		c := w.callOf(d.RequestID)
 		w.after(d.RetryAfter, func() { w.ask(c) })
