--- a/internal/caller/write.go
+++ b/internal/caller/write.go
@@ -27,11 +27,11 @@
 )
 
 // namer gives the id of a generation when it is known where it runs.
-type namer func(relay.Begun) (string, error)
+type namer func(relay.Started) (string, error)
 
 // namer fills in where the generation of an id runs.
 func (s *Server) namer(ctx context.Context, of generation.ID) namer {
-	return func(b relay.Begun) (string, error) {
+	return func(b relay.Started) (string, error) {
 		of.Server, of.Incarnation, of.Request = b.Permit.Server, b.Incarnation, b.Request
 		id, err := s.codec.Format(of)
 		if err != nil {
@@ -54,7 +54,7 @@
 }
 
 // newStreamWriter returns a writer. A resumed stream has its id already and
-// gets no [relay.Begun]; for another one the id is empty until then.
+// gets no [relay.Started]; for another one the id is empty until then.
 func newStreamWriter(c *app.RequestContext, id string) *streamWriter {
 	return &streamWriter{c: c, id: id, ids: openai.NewIDWriter(id)}
 }
@@ -63,7 +63,7 @@
 	c := w.c
 	for m := range g.Messages() {
 		switch m := m.(type) {
-		case relay.Begun:
+		case relay.Started:
 			id, err := name(m)
 			if err != nil {
 				return answer.Of(err)
@@ -133,7 +133,7 @@
 	collector, size, id := openai.NewCollector(b.endpoint), 0, ""
 	for m := range b.generation.Messages() {
 		switch m := m.(type) {
-		case relay.Begun:
+		case relay.Started:
 			// A restart: what came before isn't part of this generation.
 			collector, size = openai.NewCollector(b.endpoint), 0
 			var err error
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -8,10 +8,10 @@
 // Message is what a caller's handler receives: [Started], [Token], [Finished] or [Failed].
 type Message interface{ message() }
 
-// Begun says where the generation runs. A streamed generation sends it once, just before the first
+// Started says where the generation runs. A streamed generation sends it once, just before the first
 // token. A collected one sends it again after each restart; the receiver discards everything before
 // it.
-type Begun struct {
+type Started struct {
 	Permit      permit.Permit
 	Request     string
 	Incarnation string
@@ -26,7 +26,7 @@
 // Failed means that the generation ended before it was complete.
 type Failed struct{ Failure *answer.Failure }
 
-func (Begun) message()    {}
+func (Started) message()  {}
 func (Token) message()    {}
 func (Finished) message() {}
 func (Failed) message()   {}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,7 +25,7 @@
 	got := received{requests: map[string]bool{}}
 	for m := range g.Messages() {
 		switch m := m.(type) {
-		case Begun:
+		case Started:
 			// Discard the earlier tokens, as the collector does.
 			got.started++
 			got.positions, got.requests = nil, map[string]bool{}
