--- a/internal/caller/write.go
+++ b/internal/caller/write.go
@@ -32,7 +32,7 @@
 // namer fills in where the generation of an id runs.
 func (s *Server) namer(ctx context.Context, of generation.ID) namer {
 	return func(b relay.Started) (string, error) {
-		of.Server, of.Incarnation, of.Request = b.Permit.Server, b.Incarnation, b.Request
+		of.Server, of.Incarnation, of.Request = b.Permit.Server, b.Incarnation, b.RequestID
 		id, err := s.codec.Format(of)
 		if err != nil {
 			return "", err
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -209,7 +209,7 @@
 func (a *attempt) deliver(now time.Time, e *Event) *result {
 	s := a.session
 	if !s.started || (!s.job.Streamed && e.Position == 1) {
-		s.push(Started{Permit: a.permit, Request: a.request, Incarnation: a.incarnation})
+		s.push(Started{Permit: a.permit, RequestID: a.request, Incarnation: a.incarnation})
 		s.started = true
 	}
 	if !s.push(Token{e}) && !a.callerGone {
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -13,7 +13,7 @@
 // it.
 type Started struct {
 	Permit      permit.Permit
-	Request     string
+	RequestID   string
 	Incarnation string
 }
 
