--- a/internal/relay/attach.go
+++ b/internal/relay/attach.go
@@ -15,7 +15,7 @@
 	// Callers learn the request ID only once an engine has started the generation, so the
 	// generation has run even if resuming it fails.
 	a := &attempt{
-		acknowledged: true, session: s, request: at.Request, address: at.Address, incarnation: at.Incarnation,
+		acknowledged: true, session: s, request: at.RequestID, address: at.Address, incarnation: at.Incarnation,
 		permit:   permit.Permit{Server: at.Server, Address: at.Address},
 		progress: progress{lastPosition: at.After, lastEventAt: now}, sentAt: now, resumed: true,
 	}
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -81,7 +81,7 @@
 	Server      string
 	Address     string
 	Incarnation string
-	Request     string
+	RequestID   string
 	Class       pollenspindle.Class
 	// After is the last position that the caller has.
 	After int64
