--- a/internal/caller/resume.go
+++ b/internal/caller/resume.go
@@ -66,7 +66,7 @@
 	defer cancel()
 	g, err := s.relay.Attach(ctx, relay.Attachment{
 		Server: at.server.Name, Address: at.server.Address, Incarnation: at.id.Incarnation,
-		RequestID: at.id.Request, Class: at.id.Class, After: after,
+		RequestID: at.id.Request, Class: at.id.Class, AfterPosition: after,
 	})
 	if err != nil {
 		return err
--- a/internal/relay/attach.go
+++ b/internal/relay/attach.go
@@ -17,7 +17,7 @@
 	a := &attempt{
 		acknowledged: true, session: s, request: at.RequestID, address: at.Address, incarnation: at.Incarnation,
 		permit:   permit.Permit{Server: at.Server, Address: at.Address},
-		progress: progress{lastPosition: at.After, lastEventAt: now}, sentAt: now, resumed: true,
+		progress: progress{lastPosition: at.AfterPosition, lastEventAt: now}, sentAt: now, resumed: true,
 	}
 	if err := a.open(a.resume()); err != nil {
 		s.end(Failed{notSentFailure()})
--- a/internal/relay/engine.go
+++ b/internal/relay/engine.go
@@ -83,6 +83,6 @@
 	Incarnation string
 	RequestID   string
 	Class       pollenspindle.Class
-	// After is the last position that the caller has.
-	After int64
+	// AfterPosition is the last position that the caller has.
+	AfterPosition int64
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -290,14 +290,14 @@
 
 	close(release)
 	other := newTestRelay(t, e, &fakePermits{}, time.Hour)
-	g, err = other.Attach(t.Context(), Attachment{Incarnation: "one", RequestID: p.requests[0].ID, After: 2})
+	g, err = other.Attach(t.Context(), Attachment{Incarnation: "one", RequestID: p.requests[0].ID, AfterPosition: 2})
 	require.NoError(t, err)
 	got = receive(g)
 	require.True(t, got.finished)
 	require.Equal(t, []int64{3, 4, 5, 6, 7}, got.positions)
 
 	// If the engine was replaced since, the outcome must say that the generation did run.
-	g, err = other.Attach(t.Context(), Attachment{Incarnation: "before", RequestID: p.requests[0].ID, After: 2})
+	g, err = other.Attach(t.Context(), Attachment{Incarnation: "before", RequestID: p.requests[0].ID, AfterPosition: 2})
 	require.NoError(t, err)
 	got = receive(g)
 	require.Equal(t, answer.CodeGenerationLost, got.failure.Code)
