--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -73,8 +73,8 @@
 // eventLoop handles signals, timeouts and cancellation until the generation has ended.
 func (a *attempt) eventLoop() result {
 	defer func() { a.conn.close() }()
-	a.probeAt = a.progress.lastEventAt.Add(a.session.relay.opts.Stall)
-	timer := time.NewTimer(a.session.relay.opts.Stall)
+	a.probeAt = a.progress.lastEventAt.Add(a.session.relay.opts.StallTimeout)
+	timer := time.NewTimer(a.session.relay.opts.StallTimeout)
 	defer timer.Stop()
 	callerGone := a.session.callerCtx.Done()
 	for {
@@ -181,7 +181,7 @@
 	}
 	a.recordLatency(now, silence)
 	a.disconnects = 0
-	a.probeAt = now.Add(a.session.relay.opts.Stall)
+	a.probeAt = now.Add(a.session.relay.opts.StallTimeout)
 	if e.FinishReason != "" {
 		a.finished = true
 	} else {
@@ -200,7 +200,7 @@
 		return
 	}
 	m.betweenTokens.RecordDuration(silence)
-	if stall := a.session.relay.opts.Stall; silence > stall {
+	if stall := a.session.relay.opts.StallTimeout; silence > stall {
 		m.stall.RecordDuration(silence)
 		a.recordStep(now, journal.Stalled, silence.Milliseconds())
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -62,7 +62,7 @@
 	// recently.
 	Confirmed func(now time.Time) bool
 	// StallTimeout is how long a stream may be silent before it is probed.
-	Stall time.Duration
+	StallTimeout time.Duration
 	// GracePeriod is how long a generation is kept after its caller has disconnected, so that the
 	// caller can resume it through any instance; zero means [DefaultGracePeriod].
 	Grace time.Duration
@@ -92,7 +92,7 @@
 
 // New returns a relay. [Relay.Close] frees its pools.
 func New(opts Options) (*Relay, error) {
-	if opts.Engine == nil || opts.Permits == nil || opts.Retries == nil || opts.Stall <= 0 {
+	if opts.Engine == nil || opts.Permits == nil || opts.Retries == nil || opts.StallTimeout <= 0 {
 		return nil, ErrOptions
 	}
 	fillOptions(&opts)
--- a/internal/relay/timeout.go
+++ b/internal/relay/timeout.go
@@ -62,7 +62,7 @@
 
 func (a *attempt) reconnect(now time.Time) {
 	a.reconnectAt = time.Time{}
-	a.probeAt = now.Add(a.progress.probeDelay(a.session.relay.opts.Stall))
+	a.probeAt = now.Add(a.progress.probeDelay(a.session.relay.opts.StallTimeout))
 	if err := a.open(a.resume()); err != nil {
 		a.reconnectAt = now.Add(reconnectDelay(a.disconnects))
 	}
--- a/internal/relay/timeout_test.go
+++ b/internal/relay/timeout_test.go
@@ -43,7 +43,7 @@
 			a := newAttempt(s, permit.Permit{}, "r")
 			a.acknowledged, a.unanswered = true, tt.unanswered
 			a.progress = progress{lastPosition: 3, lastEventAt: start}
-			a.probeAt = start.Add(s.relay.opts.Stall)
+			a.probeAt = start.Add(s.relay.opts.StallTimeout)
 
 			var res *result
 			at := start
@@ -52,7 +52,7 @@
 				if res = a.onTimer(at); res == nil && tt.answers {
 					require.Nil(t, a.onConnected(connected{incarnation: "one"}))
 				}
-				require.LessOrEqual(t, at.Sub(start), tt.limit+maxProbeFactor*s.relay.opts.Stall)
+				require.LessOrEqual(t, at.Sub(start), tt.limit+maxProbeFactor*s.relay.opts.StallTimeout)
 			}
 			a.conn.close()
 			require.GreaterOrEqual(t, at.Sub(start), tt.limit)
@@ -60,7 +60,7 @@
 			require.Equal(t, answer.OutcomeRan, res.failure.Outcome)
 			require.Equal(t, int64(3), res.failure.Position)
 			require.False(t, res.retryable)
-			require.Less(t, a.progress.probes, int(tt.limit/(maxProbeFactor*s.relay.opts.Stall))+10, "the probe interval must grow")
+			require.Less(t, a.progress.probes, int(tt.limit/(maxProbeFactor*s.relay.opts.StallTimeout))+10, "the probe interval must grow")
 		})
 	}
 }
@@ -74,7 +74,7 @@
 	a.conn = &connection{close: func() {}}
 	start := time.Now()
 	a.progress.lastEventAt = start
-	a.probe(start.Add(s.relay.opts.Stall))
+	a.probe(start.Add(s.relay.opts.StallTimeout))
 	defer func() { a.conn.close() }()
 	require.Nil(t, a.onTimer(start.Add(unreachableLimit-1)))
 	res := a.onTimer(start.Add(unreachableLimit))
