--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -276,7 +276,7 @@
 	if a.resumed || !a.session.job.Streamed || !a.session.started {
 		return a.cancel(callerGoneFailure())
 	}
-	a.cancelAt = now.Add(a.session.relay.opts.Grace)
+	a.cancelAt = now.Add(a.session.relay.opts.GracePeriod)
 	return nil
 }
 
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -169,7 +169,7 @@
 func newTestRelay(t testing.TB, e Engine, p *fakePermits, grace time.Duration) *Relay {
 	r, err := New(Options{
 		Engine: e, Permits: p, Retries: retry.NewBudgets(rand.New(rand.NewPCG(1, 2))),
-		StallTimeout: 20 * time.Millisecond, Grace: grace, MaxGenerations: 8,
+		StallTimeout: 20 * time.Millisecond, GracePeriod: grace, MaxGenerations: 8,
 	})
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -65,7 +65,7 @@
 	StallTimeout time.Duration
 	// GracePeriod is how long a generation is kept after its caller has disconnected, so that the
 	// caller can resume it through any instance; zero means [DefaultGracePeriod].
-	Grace time.Duration
+	GracePeriod time.Duration
 	// SlowCallerTimeout is how long to wait for a caller that doesn't read; zero means
 	// [DefaultSlowCallerTimeout].
 	SlowCaller time.Duration
@@ -114,8 +114,8 @@
 	if opts.MaxGenerations == 0 {
 		opts.MaxGenerations = DefaultMaxGenerations
 	}
-	if opts.Grace == 0 {
-		opts.Grace = DefaultGrace
+	if opts.GracePeriod == 0 {
+		opts.GracePeriod = DefaultGrace
 	}
 	if opts.SlowCaller == 0 {
 		opts.SlowCaller = DefaultSlowCaller
