--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -195,7 +195,7 @@
 func newRelay(opts Options, confirmed func(time.Time) bool) (*relay.Relay, error) {
 	return relay.New(relay.Options{
 		Engine: opts.Engine, Permits: opts.Permits, Retries: opts.Retries, Confirmed: confirmed,
-		StallTimeout: time.Duration(opts.Timing.StallMillis) * time.Millisecond, GracePeriod: opts.Grace, SlowCaller: opts.SlowCaller,
+		StallTimeout: time.Duration(opts.Timing.StallMillis) * time.Millisecond, GracePeriod: opts.Grace, SlowCallerTimeout: opts.SlowCaller,
 		Logger: opts.Logger, Scope: opts.Scope.SubScope("relay"), Tracer: opts.Tracer,
 	})
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -68,7 +68,7 @@
 	GracePeriod time.Duration
 	// SlowCallerTimeout is how long to wait for a caller that doesn't read; zero means
 	// [DefaultSlowCallerTimeout].
-	SlowCaller time.Duration
+	SlowCallerTimeout time.Duration
 	// MaxGenerations limits the concurrent generations; zero means [DefaultMaxGenerations].
 	MaxGenerations int
 	Logger         zerolog.Logger
@@ -117,8 +117,8 @@
 	if opts.GracePeriod == 0 {
 		opts.GracePeriod = DefaultGrace
 	}
-	if opts.SlowCaller == 0 {
-		opts.SlowCaller = DefaultSlowCaller
+	if opts.SlowCallerTimeout == 0 {
+		opts.SlowCallerTimeout = DefaultSlowCaller
 	}
 	if opts.Scope == nil {
 		opts.Scope = tally.NoopScope
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -212,7 +212,7 @@
 		return true
 	default:
 	}
-	timer := time.NewTimer(s.lag.remaining(time.Now(), s.relay.opts.SlowCaller))
+	timer := time.NewTimer(s.lag.remaining(time.Now(), s.relay.opts.SlowCallerTimeout))
 	defer timer.Stop()
 	select {
 	case s.messages <- m:
--- a/internal/relay/timeout_test.go
+++ b/internal/relay/timeout_test.go
@@ -111,7 +111,7 @@
 func TestSlowCallerIsCutOff(t *testing.T) {
 	e, p := &fakeEngine{tokens: 10 * MessageCapacity}, &fakePermits{}
 	r := newTestRelay(t, e, p, time.Millisecond)
-	r.opts.SlowCaller = time.Millisecond
+	r.opts.SlowCallerTimeout = time.Millisecond
 	g, err := r.Generate(t.Context(), Job{Streamed: true})
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return len(p.endings()) == 1 }, time.Minute, time.Millisecond)
