--- a/internal/relay/progress.go
+++ b/internal/relay/progress.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// DefaultGrace is how long a caller may take to come back. Clients reconnect within
+	// DefaultGracePeriod is how long a caller may take to come back. Clients reconnect within
 	// seconds, and generations of callers that don't come back fill engine memory.
-	DefaultGrace = 20 * time.Second
+	DefaultGracePeriod = 20 * time.Second
 	// silenceLimit ends a generation that sends no events although the engine has it. It is well
 	// over the time that a preempted generation waits for memory.
 	silenceLimit = 2 * time.Minute
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -115,7 +115,7 @@
 		opts.MaxGenerations = DefaultMaxGenerations
 	}
 	if opts.GracePeriod == 0 {
-		opts.GracePeriod = DefaultGrace
+		opts.GracePeriod = DefaultGracePeriod
 	}
 	if opts.SlowCallerTimeout == 0 {
 		opts.SlowCallerTimeout = DefaultSlowCaller
