--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -181,7 +181,7 @@
 		opts.Scope = tally.NoopScope
 	}
 	if opts.SlowCaller == 0 {
-		opts.SlowCaller = relay.DefaultSlowCaller
+		opts.SlowCaller = relay.DefaultSlowCallerTimeout
 	}
 	if opts.Tracer == nil {
 		opts.Tracer = noop.NewTracerProvider().Tracer("")
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -118,7 +118,7 @@
 		opts.GracePeriod = DefaultGracePeriod
 	}
 	if opts.SlowCallerTimeout == 0 {
-		opts.SlowCallerTimeout = DefaultSlowCaller
+		opts.SlowCallerTimeout = DefaultSlowCallerTimeout
 	}
 	if opts.Scope == nil {
 		opts.Scope = tally.NoopScope
