--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -207,9 +207,9 @@
 	signal(m.wake)
 }
 
-// Left reports whether this instance is leaving or absent in the current roster, and so owns no
+// HasLeft reports whether this instance is leaving or absent in the current roster, and so owns no
 // servers.
-func (m *Member) Left() bool {
+func (m *Member) HasLeft() bool {
 	in, ok := m.Roster().Find(m.opts.Self.ID)
 	return !ok || in.Leaving
 }
@@ -220,7 +220,7 @@
 // heartbeats with this one; the others learn of a roster at the same time through their own
 // watches.
 func (m *Member) LeftEverywhere(now time.Time) bool {
-	if !m.Left() {
+	if !m.HasLeft() {
 		return false
 	}
 	m.mu.Lock()
--- a/internal/router/cluster_test.go
+++ b/internal/router/cluster_test.go
@@ -387,7 +387,7 @@
 	c.waitForRoster(a, b, d)
 	c.waitUntilServing(a)
 	d.member.Leave()
-	require.Eventually(t, d.member.Left, eventually, 20*time.Millisecond)
+	require.Eventually(t, d.member.HasLeft, eventually, 20*time.Millisecond)
 	require.Eventually(t, func() bool { return len(a.member.Live()) == 2 && len(b.member.Live()) == 2 }, eventually, 20*time.Millisecond)
 	require.Equal(t, 30, c.load(10, a, b, d))
 	require.LessOrEqual(t, c.backend.maxRunning(), coldLimit)
