--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -214,12 +214,12 @@
 	return !ok || in.Leaving
 }
 
-// LeftEverywhere reports whether the other instances know that this one is leaving: each that
+// HasLeftEverywhere reports whether the other instances know that this one is leaving: each that
 // answers heartbeats has the roster that says so. Until then they still return this instance to
 // callers, which cache that answer. In a large cluster this covers only the instances that exchange
 // heartbeats with this one; the others learn of a roster at the same time through their own
 // watches.
-func (m *Member) LeftEverywhere(now time.Time) bool {
+func (m *Member) HasLeftEverywhere(now time.Time) bool {
 	if !m.HasLeft() {
 		return false
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -152,7 +152,7 @@
 	ticker := time.NewTicker(leaveCheck)
 	defer ticker.Stop()
 	for now := time.Now(); now.Before(deadline); now = <-ticker.C {
-		if in.parts.members.LeftEverywhere(now) {
+		if in.parts.members.HasLeftEverywhere(now) {
 			return
 		}
 	}
