--- a/internal/member/versions.go
+++ b/internal/member/versions.go
@@ -14,14 +14,14 @@
 // instances eleven queries, which take a second, reach all.
 const maxVersionQueries = maxInFlight / 2
 
-// AskVersions sends a heartbeat to instances that aren't known to have version, and waits for the
+// RefreshVersions sends a heartbeat to instances that aren't known to have version, and waits for the
 // answers for up to half a second.
 //
 // It serves an operator who waits for a change to be applied everywhere. In a large roster most
 // instances exchange heartbeats with this one only by chance, once in some minutes with 350
-// instances. Without AskVersions the operator would be told that the change isn't applied long
+// instances. Without RefreshVersions the operator would be told that the change isn't applied long
 // after it is.
-func (m *Member) AskVersions(ctx context.Context, version int64) {
+func (m *Member) RefreshVersions(ctx context.Context, version int64) {
 	// If the operator disconnects, the instances must not be recorded as silent.
 	ctx = context.WithoutCancel(ctx)
 	var pending sync.WaitGroup
--- a/internal/serve/views.go
+++ b/internal/serve/views.go
@@ -58,7 +58,7 @@
 
 // ConfigVersions implements accepted.Fleet.
 func (f versions) ConfigVersions(ctx context.Context, atLeast int64) ([]int64, error) {
-	f.members.AskVersions(ctx, atLeast)
+	f.members.RefreshVersions(ctx, atLeast)
 	return slices.Collect(maps.Values(f.members.ConfigVersions())), nil
 }
 
@@ -67,7 +67,7 @@
 
 // List implements operator.Instances.
 func (p instances) List(ctx context.Context) ([]operatorapi.Instance, error) {
-	p.members.AskVersions(ctx, p.store.Version())
+	p.members.RefreshVersions(ctx, p.store.Version())
 	r := p.members.Roster()
 	versions := p.members.ConfigVersions()
 	out := make([]operatorapi.Instance, 0, len(r.Instances))
