--- a/internal/caller/services.go
+++ b/internal/caller/services.go
@@ -77,7 +77,7 @@
 		Service: declared, Route: route, Workspace: who.workspace.Name, Class: class,
 		Fingerprint: fingerprint(who.workspace.Name, append([]byte(method+" "+path+"?"+query+"\n"), body...)),
 		Deadline:    now().Add(queueWait(declared, class)),
-		Method:      method, Path: path, Query: query, Header: header, Body: body, Key: key,
+		Method:      method, Path: path, Query: query, Header: header, Body: body, IdempotencyKey: key,
 	}, nil
 }
 
--- a/internal/forward/claim.go
+++ b/internal/forward/claim.go
@@ -46,7 +46,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(caller), claimTimeout)
 	defer cancel()
-	key := claim.Key{Workspace: call.Workspace, Key: call.Key}
+	key := claim.Key{Workspace: call.Workspace, Key: call.IdempotencyKey}
 	switch a := f.opts.Claims.Begin(ctx, time.Now(), key, claimFingerprint(call)).(type) {
 	case claim.Won:
 		return f.runClaimed(caller, call, a.Claim)
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -125,8 +125,8 @@
 	Query  string
 	Header []service.Header
 	Body   []byte
-	// Key is the caller's idempotency key; it may be empty.
-	Key string
+	// IdempotencyKey is the caller's idempotency key; it may be empty.
+	IdempotencyKey string
 }
 
 // Answer is the response of the service. Replayed is set if it is the stored response to an earlier
@@ -165,7 +165,7 @@
 	if !f.opts.Confirmed(time.Now()) {
 		return Answer{}, &permit.Refusal{Reason: permit.ReasonNotConfirmed, RetryAfter: defaultRetryAfter}
 	}
-	if !call.Route.Idempotent && call.Key != "" {
+	if !call.Route.Idempotent && call.IdempotencyKey != "" {
 		return f.doOnce(ctx, call)
 	}
 	response, err := f.run(ctx, call, func(time.Time) bool { return true })
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -173,7 +173,7 @@
 	}
 	return Call{
 		Service: desk, Route: pollenspindle.Route{Idempotent: idempotent}, Workspace: "club",
-		Method: method, Path: path, Key: key, Body: []byte(body),
+		Method: method, Path: path, IdempotencyKey: key, Body: []byte(body),
 	}
 }
 
