--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -343,5 +343,5 @@
 			delete(m.peerStates, id)
 		}
 	}
-	m.opts.Peers.Keep(addresses)
+	m.opts.Peers.KeepOnly(addresses)
 }
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// Keep removes the clients of all other addresses. Otherwise the clients of replaced instances
+// KeepOnly removes the clients of all other addresses. Otherwise the clients of replaced instances
 // would accumulate.
-func (p *Pool) Keep(addresses map[string]bool) {
+func (p *Pool) KeepOnly(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address := range p.clients {
