--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -27,7 +27,7 @@
 }
 
 // NewServer returns a server that passes authenticated calls to handler. The further options, such
-// as [Traced], are applied after the authentication.
+// as [WithTracing], are applied after the authentication.
 func NewServer(handler peerv1connect.PeerServiceHandler, key Key, scope tally.Scope, extra ...connect.HandlerOption) *Server {
 	options := connect.WithHandlerOptions(append([]connect.HandlerOption{
 		connect.WithReadMaxBytes(maxMessageBytes),
--- a/internal/peer/trace.go
+++ b/internal/peer/trace.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Traced returns an option that starts a span for each call that has a span context.
-func Traced(tracer trace.Tracer) connect.HandlerOption {
+// WithTracing returns an option that starts a span for each call that has a span context.
+func WithTracing(tracer trace.Tracer) connect.HandlerOption {
 	return connect.WithInterceptors(connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			ctx = propagator.Extract(ctx, propagation.HeaderCarrier(req.Header()))
--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -130,7 +130,7 @@
 		Metrics:        p.tel.Metrics.SubScope("router"),
 		Seed:           seed(s, 2),
 	})
-	p.peerServer = peer.NewServer(p.members.Handler(p.owner), key, p.tel.Metrics.SubScope("peer"), peer.Traced(p.tel.Tracer), peer.Metered(p.costs))
+	p.peerServer = peer.NewServer(p.members.Handler(p.owner), key, p.tel.Metrics.SubScope("peer"), peer.WithTracing(p.tel.Tracer), peer.Metered(p.costs))
 	return p.newFleet(pool)
 }
 
