--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -99,7 +99,7 @@
 	key := newKey(t, encodedKey)
 	address := serve(t, key)
 	scope := tally.NewTestScope("", nil)
-	pool := peer.NewPool("i1", key, scope, peer.Metered(control.New(scope)))
+	pool := peer.NewPool("i1", key, scope, peer.WithMetering(control.New(scope)))
 	defer pool.Close()
 	sender, err := sendHeartbeat(t, pool, address, 10*time.Second)
 	require.NoError(t, err)
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -24,7 +24,7 @@
 }
 
 // NewPool returns the pool of clients with which instance self calls its peers. The further
-// options, such as [Metered], are applied before the calls are signed.
+// options, such as [WithMetering], are applied before the calls are signed.
 func NewPool(self string, key Key, scope tally.Scope, extra ...connect.ClientOption) *Pool {
 	count := newByteCounter(scope)
 	dialer := &net.Dialer{Timeout: dialTimeout}
--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	pool := peer.NewPool(s.Instance, key, p.tel.Metrics.SubScope("peer"), peer.Metered(p.costs))
+	pool := peer.NewPool(s.Instance, key, p.tel.Metrics.SubScope("peer"), peer.WithMetering(p.costs))
 	suspects := owner.NewSuspects()
 	p.members, err = member.New(member.Options{
 		Self:      p.self,
@@ -130,7 +130,7 @@
 		Metrics:        p.tel.Metrics.SubScope("router"),
 		Seed:           seed(s, 2),
 	})
-	p.peerServer = peer.NewServer(p.members.Handler(p.owner), key, p.tel.Metrics.SubScope("peer"), peer.WithTracing(p.tel.Tracer), peer.Metered(p.costs))
+	p.peerServer = peer.NewServer(p.members.Handler(p.owner), key, p.tel.Metrics.SubScope("peer"), peer.WithTracing(p.tel.Tracer), peer.WithMetering(p.costs))
 	return p.newFleet(pool)
 }
 
