--- a/internal/serve/parts.go
+++ b/internal/serve/parts.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	p.peerServer.HandleOrders(p.orders.Handler())
+	p.peerServer.HandleEngineCommands(p.orders.Handler())
 	p.models = models{p.settings.Instance, p.fleet, p.orders, pool}
 	return nil
 }
