--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -95,7 +95,7 @@
 type Gossip struct {
 	opts       Options
 	self       string
-	caller     *peerrpc.Caller
+	caller     *peerrpc.Client
 	calls      *ants.Pool
 	deliveries *deliveries
 	// wake holds a value while there is something to broadcast. One is enough: a broadcast
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -73,7 +73,7 @@
 // concurrent use.
 type Peer struct {
 	opts   Options
-	caller *peerrpc.Caller
+	caller *peerrpc.Client
 
 	mu          sync.Mutex
 	detector    *outlier.Detector
--- a/internal/peerrpc/peerrpc.go
+++ b/internal/peerrpc/peerrpc.go
@@ -29,26 +29,26 @@
 	compressMinBytes = 4 << 10
 )
 
-// Caller signs calls to other instances and holds the connections for them.
-type Caller struct {
+// Client signs calls to other instances and holds the connections for them.
+type Client struct {
 	Key  peer.Key
 	Self string
 	HTTP *http.Client
 }
 
 // NewCaller returns a client whose calls wait up to timeout for a connection.
-func NewCaller(key peer.Key, self string, timeout time.Duration) *Caller {
+func NewCaller(key peer.Key, self string, timeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: timeout}
-	return &Caller{Key: key, Self: self, HTTP: &http.Client{Transport: &http.Transport{
+	return &Client{Key: key, Self: self, HTTP: &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout, DisableCompression: true,
 	}}}
 }
 
 // Drop closes idle connections, which may be broken without notice.
-func (c *Caller) Drop() { c.HTTP.CloseIdleConnections() }
+func (c *Client) Drop() { c.HTTP.CloseIdleConnections() }
 
 // Sign adds the token that authenticates the call to the other instance.
-func (c *Caller) Sign(now time.Time, header http.Header, procedure string) {
+func (c *Client) Sign(now time.Time, header http.Header, procedure string) {
 	header.Set(authHeader, c.Key.Token(now, c.Self, procedure))
 }
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -136,7 +136,7 @@
 	schedule *Schedule
 	loads    *Loads
 	plan     *balancer.Balancer
-	caller   *peerrpc.Caller
+	caller   *peerrpc.Client
 
 	mu sync.Mutex
 	// backoff are planners that didn't answer, and until when they aren't asked.
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -70,7 +70,7 @@
 // Peer is one instance's part in all rollouts. It is safe for concurrent use.
 type Peer struct {
 	opts   Options
-	caller *peerrpc.Caller
+	caller *peerrpc.Client
 
 	mu sync.Mutex
 	// ready is set once the platform's rollouts are known.
