--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -136,7 +136,7 @@
 	}
 	self := opts.Table.Self().ID
 	return &Gossip{
-		opts: opts, self: self, caller: peerrpc.NewCaller(opts.Key, self, probeTimeout), calls: calls, deliveries: newDeliveries(),
+		opts: opts, self: self, caller: peerrpc.NewClient(opts.Key, self, probeTimeout), calls: calls, deliveries: newDeliveries(),
 		wake: make(chan struct{}, 1), serveLimiter: rate.NewLimiter(servedPerSecond, servedPerSecond),
 	}, nil
 }
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -89,7 +89,7 @@
 		opts.Scope = tally.NoopScope
 	}
 	return &Peer{
-		opts: opts, caller: peerrpc.NewCaller(opts.Key, opts.Self, callTimeout), detector: outlier.NewDetector(),
+		opts: opts, caller: peerrpc.NewClient(opts.Key, opts.Self, callTimeout), detector: outlier.NewDetector(),
 		answers: map[answerKey]*outlier.Answers{}, ejected: map[string]ejection{},
 	}
 }
--- a/internal/peerrpc/peerrpc.go
+++ b/internal/peerrpc/peerrpc.go
@@ -36,8 +36,8 @@
 	HTTP *http.Client
 }
 
-// NewCaller returns a client whose calls wait up to timeout for a connection.
-func NewCaller(key peer.Key, self string, timeout time.Duration) *Client {
+// NewClient returns a client whose calls wait up to timeout for a connection.
+func NewClient(key peer.Key, self string, timeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: timeout}
 	return &Client{Key: key, Self: self, HTTP: &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout, DisableCompression: true,
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -150,7 +150,7 @@
 // New returns a planner.
 func New(opts Options) *Planner {
 	p := &Planner{
-		opts: opts, schedule: NewSchedule(), loads: NewLoads(running(opts.Table)), caller: peerrpc.NewCaller(opts.Key, opts.Self, turnTimeout),
+		opts: opts, schedule: NewSchedule(), loads: NewLoads(running(opts.Table)), caller: peerrpc.NewClient(opts.Key, opts.Self, turnTimeout),
 		backoff: map[string]time.Time{}, scores: map[string]score{}, grouped: map[string]grouped{},
 	}
 	p.plan = balancer.New(opts.Bounds, rand.New(rand.NewPCG(rand.Uint64(), 3)), p.loads.On)
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -100,7 +100,7 @@
 		opts.Scope = tally.NoopScope
 	}
 	return &Peer{
-		opts: opts, caller: peerrpc.NewCaller(opts.Key, opts.Self, callTimeout),
+		opts: opts, caller: peerrpc.NewClient(opts.Key, opts.Self, callTimeout),
 		rollouts: map[string]*localRollout{}, controllers: map[string]*rollout.Controller{}, checkedAt: opts.Now(),
 	}
 }
