--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -186,7 +186,7 @@
 		}
 	}
 	background.Wait()
-	g.caller.Drop()
+	g.caller.CloseIdleConnections()
 }
 
 // periodFor returns the time between two probes of one of n instances.
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -127,7 +127,7 @@
 			p.report(ctx, now, Report{Answers: answers})
 		}
 	}
-	p.caller.Drop()
+	p.caller.CloseIdleConnections()
 }
 
 // dueReport returns the answers to report if a report is due, and clears them.
--- a/internal/peerrpc/peerrpc.go
+++ b/internal/peerrpc/peerrpc.go
@@ -44,8 +44,8 @@
 	}}}
 }
 
-// Drop closes idle connections, which may be broken without notice.
-func (c *Client) Drop() { c.HTTP.CloseIdleConnections() }
+// CloseIdleConnections closes idle connections, which may be broken without notice.
+func (c *Client) CloseIdleConnections() { c.HTTP.CloseIdleConnections() }
 
 // Sign adds the token that authenticates the call to the other instance.
 func (c *Client) Sign(now time.Time, header http.Header, procedure string) {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -292,7 +292,7 @@
 	p.mu.Lock()
 	p.backoff[address] = p.opts.Now().Add(plannerBackoff)
 	p.mu.Unlock()
-	p.caller.Drop()
+	p.caller.CloseIdleConnections()
 	p.opts.Log.Info().Str("peer", address).Err(err).Msg("planner doesn't answer")
 	return merry.Wrap(ErrUnavailable, merry.WithCause(err))
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -75,7 +75,7 @@
 	}
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	go func() { _ = server.Serve(l) }()
-	t.Cleanup(func() { p.caller.Drop(); _ = server.Close() })
+	t.Cleanup(func() { p.caller.CloseIdleConnections(); _ = server.Close() })
 	return one{p, table, address}
 }
 
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	p.caller.Drop()
+	p.caller.CloseIdleConnections()
 }
 
 // checkPause discards the reports from before a suspension of this instance: the monotonic
