--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -249,7 +249,7 @@
 // handler returns a handler for calls of instances that have the key.
 func (g *Gossip) handler(procedure string, answer func(ctx context.Context, m *Message) *Message) http.Handler {
 	return connect.NewUnaryHandler(procedure, func(ctx context.Context, req *connect.Request[Message]) (*connect.Response[Message], error) {
-		if err := peerrpc.Check(g.opts.Key, g.opts.Now(), req.Header(), procedure); err != nil {
+		if err := peerrpc.Verify(g.opts.Key, g.opts.Now(), req.Header(), procedure); err != nil {
 			return nil, err
 		}
 		m := answer(ctx, req.Msg)
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -110,7 +110,7 @@
 }
 
 func (g *Gossip) serveCompressed(w http.ResponseWriter, r *http.Request, procedure string, get func() ([]byte, time.Duration, error)) {
-	if peerrpc.Check(g.opts.Key, g.opts.Now(), r.Header, procedure) != nil {
+	if peerrpc.Verify(g.opts.Key, g.opts.Now(), r.Header, procedure) != nil {
 		w.WriteHeader(http.StatusUnauthorized)
 		return
 	}
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -208,7 +208,7 @@
 func (p *Peer) Handlers() map[string]http.Handler {
 	report := func(_ context.Context, req *connect.Request[Report]) (*connect.Response[ReportResponse], error) {
 		now := p.opts.Now()
-		if err := peerrpc.Check(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
+		if err := peerrpc.Verify(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
 			return nil, err
 		}
 		v := p.aggregate(now, *req.Msg)
--- a/internal/peerrpc/peerrpc.go
+++ b/internal/peerrpc/peerrpc.go
@@ -52,8 +52,8 @@
 	header.Set(authHeader, c.Key.Token(now, c.Self, procedure))
 }
 
-// Check returns an error unless the call is signed with the key.
-func Check(key peer.Key, now time.Time, header http.Header, procedure string) error {
+// Verify returns an error unless the call is signed with the key.
+func Verify(key peer.Key, now time.Time, header http.Header, procedure string) error {
 	if _, err := key.Check(now, header.Get(authHeader), procedure); err != nil {
 		return connect.NewError(connect.CodeUnauthenticated, peer.ErrUnauthenticated)
 	}
--- a/internal/planner/handlers.go
+++ b/internal/planner/handlers.go
@@ -13,13 +13,13 @@
 // Handlers answer other instances, by path.
 func (p *Planner) Handlers() map[string]http.Handler {
 	turn := func(ctx context.Context, req *connect.Request[Leaving]) (*connect.Response[Turn], error) {
-		if err := peerrpc.Check(p.opts.Key, p.opts.Now(), req.Header(), turnProcedure); err != nil {
+		if err := peerrpc.Verify(p.opts.Key, p.opts.Now(), req.Header(), turnProcedure); err != nil {
 			return nil, err
 		}
 		return reply(p.scheduleCopy(ctx, *req.Msg))
 	}
 	place := func(_ context.Context, req *connect.Request[Placing]) (*connect.Response[Placed], error) {
-		if err := peerrpc.Check(p.opts.Key, p.opts.Now(), req.Header(), placeProcedure); err != nil {
+		if err := peerrpc.Verify(p.opts.Key, p.opts.Now(), req.Header(), placeProcedure); err != nil {
 			return nil, err
 		}
 		placed, err := p.begin(*req.Msg)
@@ -32,7 +32,7 @@
 		return connect.NewResponse(&placed), nil
 	}
 	report := func(_ context.Context, req *connect.Request[Report]) (*connect.Response[Reported], error) {
-		if err := peerrpc.Check(p.opts.Key, p.opts.Now(), req.Header(), reportProcedure); err != nil {
+		if err := peerrpc.Verify(p.opts.Key, p.opts.Now(), req.Header(), reportProcedure); err != nil {
 			return nil, err
 		}
 		p.loads.Take(p.opts.Now(), *req.Msg)
--- a/internal/rolloutpeer/coordinator.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -65,7 +65,7 @@
 func (p *Peer) Handlers() map[string]http.Handler {
 	report := func(_ context.Context, req *connect.Request[rollout.Report]) (*connect.Response[rollout.Lease], error) {
 		now := p.opts.Now()
-		if err := peerrpc.Check(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
+		if err := peerrpc.Verify(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
 			return nil, err
 		}
 		lease, err := p.applyReport(now, *req.Msg)
