--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -164,9 +164,9 @@
 	return m.lease.Roster()
 }
 
-// Allowed reports whether new work may be sent at now. It is false after a pause of the process
+// NewWorkAllowed reports whether new work may be sent at now. It is false after a pause of the process
 // until the configuration and the roster are confirmed again.
-func (m *Member) Allowed(now time.Time) bool {
+func (m *Member) NewWorkAllowed(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.guard.Allowed(now)
--- a/internal/router/broken_connection.go
+++ b/internal/router/broken_connection.go
@@ -44,7 +44,7 @@
 // Without it, requests granted just before an engine crashed and restarted would
 // all arrive at the cold engine.
 func (r *Router) MaySend(now time.Time, p permit.Permit) bool {
-	if !p.Valid(now) || !r.opts.Members.Allowed(now) {
+	if !p.Valid(now) || !r.opts.Members.NewWorkAllowed(now) {
 		return false
 	}
 	requestedAt := p.ExpiresAt.Add(-r.opts.PermitLifetime)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -56,7 +56,7 @@
 // Members gives access to the other instances; *member.Member implements it.
 type Members interface {
 	Roster() *roster.Roster
-	Allowed(now time.Time) bool
+	NewWorkAllowed(now time.Time) bool
 	CatchUp(ctx context.Context, address string) bool
 }
 
@@ -113,7 +113,7 @@
 
 // Acquire implements [permit.Acquirer].
 func (r *Router) Acquire(ctx context.Context, now time.Time, req permit.Request) (permit.Permit, error) {
-	if !r.opts.Members.Allowed(now) {
+	if !r.opts.Members.NewWorkAllowed(now) {
 		return permit.Permit{}, &permit.Refusal{Reason: permit.ReasonNotConfirmed, RetryAfter: defaultRetryAfter}
 	}
 	for {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -21,7 +21,7 @@
 type allowedMembers struct{}
 
 func (allowedMembers) Roster() *roster.Roster               { return &roster.Roster{} }
-func (allowedMembers) Allowed(time.Time) bool               { return true }
+func (allowedMembers) NewWorkAllowed(time.Time) bool        { return true }
 func (allowedMembers) CatchUp(context.Context, string) bool { return false }
 
 // Guards against a refusal that comes only at the request's deadline although no
--- a/internal/serve/views.go
+++ b/internal/serve/views.go
@@ -50,7 +50,7 @@
 
 // Confirmed implements caller.ConfigSource.
 func (g gate) Confirmed(now time.Time, within time.Duration) bool {
-	return g.members.Allowed(now) && g.Store.Confirmed(now, within)
+	return g.members.NewWorkAllowed(now) && g.Store.Confirmed(now, within)
 }
 
 // versions tells which versions of the configuration the instances have.
@@ -118,7 +118,7 @@
 	switch {
 	case p.store.Version() == 0:
 		return merry.New("no configuration yet")
-	case !p.members.Allowed(now):
+	case !p.members.NewWorkAllowed(now):
 		return merry.New("process was paused")
 	case !p.store.Confirmed(now, millis(p.settings.Timing.ConfirmMillis)):
 		return merry.New("configuration not confirmed")
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -94,7 +94,7 @@
 type single struct{ r *roster.Roster }
 
 func (s single) Roster() *roster.Roster             { return s.r }
-func (single) Allowed(time.Time) bool               { return true }
+func (single) NewWorkAllowed(time.Time) bool        { return true }
 func (single) CatchUp(context.Context, string) bool { return false }
 func (single) Release([]*peerv1.Released)           {}
 func (single) Acquire(context.Context, *peerv1.AcquireRequest) *peerv1.AcquireResponse {
