--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -164,8 +164,8 @@
 	return m.lease.Roster()
 }
 
-// NewWorkAllowed reports whether new work may be sent at now. It is false after a pause of the process
-// until the configuration and the roster are confirmed again.
+// NewWorkAllowed reports whether new work may be sent at now. It is false after a pause of the
+// process until the configuration and the roster are confirmed again.
 func (m *Member) NewWorkAllowed(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/member/versions.go
+++ b/internal/member/versions.go
@@ -14,8 +14,8 @@
 // instances eleven queries, which take a second, reach all.
 const maxVersionQueries = maxInFlight / 2
 
-// RefreshVersions sends a heartbeat to instances that aren't known to have version, and waits for the
-// answers for up to half a second.
+// RefreshVersions sends a heartbeat to instances that aren't known to have version, and waits for
+// the answers for up to half a second.
 //
 // It serves an operator who waits for a change to be applied everywhere. In a large roster most
 // instances exchange heartbeats with this one only by chance, once in some minutes with 350
--- a/internal/peer/metering.go
+++ b/internal/peer/metering.go
@@ -27,8 +27,8 @@
 	return control.RoleOperators
 }
 
-// WithMetering returns an option for clients and handlers that counts the bytes of messages by role, and
-// the CPU time of handlers that don't wait.
+// WithMetering returns an option for clients and handlers that counts the bytes of messages by
+// role, and the CPU time of handlers that don't wait.
 func WithMetering(costs *control.Costs) connect.Option {
 	return connect.WithInterceptors(connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
--- a/internal/peer/operator.go
+++ b/internal/peer/operator.go
@@ -31,8 +31,8 @@
 	s.mux.Handle(peerv1connect.NewQueryServiceHandler(handler, s.options))
 }
 
-// HandleEngineCommands registers the handler of operators' engine commands that other instances forward. It
-// must be called before [Server.Serve].
+// HandleEngineCommands registers the handler of operators' engine commands that other instances
+// forward. It must be called before [Server.Serve].
 func (s *Server) HandleEngineCommands(handler peerv1connect.OrderServiceHandler) {
 	s.mux.Handle(peerv1connect.NewOrderServiceHandler(handler, s.options))
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -8,10 +8,10 @@
 // # Usage
 //
 //	key, err := peer.NewKey(settings.PeerKey)
-//	server := peer.NewServer(handler, key, scope, peer.Traced(tracer), peer.Metered(costs))
+//	server := peer.NewServer(handler, key, scope, peer.WithTracing(tracer), peer.WithMetering(costs))
 //	go server.Serve(ctx, listener)
 //
-//	pool := peer.NewPool("i1", key, scope, peer.Metered(costs))
+//	pool := peer.NewPool("i1", key, scope, peer.WithMetering(costs))
 //	defer pool.Close()
 //	res, err := pool.Client("127.0.0.1:9080").Heartbeat(ctx, req)
 package peer
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -8,9 +8,9 @@
 // Message is what a caller's handler receives: [Started], [Token], [Finished] or [Failed].
 type Message interface{ message() }
 
-// Started says where the generation runs. A streamed generation sends it once, just before the first
-// token. A collected one sends it again after each restart; the receiver discards everything before
-// it.
+// Started says where the generation runs. A streamed generation sends it once, just before the
+// first token. A collected one sends it again after each restart; the receiver discards everything
+// before it.
 type Started struct {
 	Permit      permit.Permit
 	RequestID   string
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -23,9 +23,10 @@
 	// MessageCapacity is how many messages a caller may be behind. A caller that is 256 tokens
 	// behind has probably lost its connection.
 	MessageCapacity = 256
-	// DefaultSlowCallerTimeout is how long a caller may stay behind by more than half of the message
-	// buffer once that was full. Then the caller is disconnected and may resume: events aren't
-	// buffered without limit for a caller that doesn't read, and it doesn't block the engine.
+	// DefaultSlowCallerTimeout is how long a caller may stay behind by more than half of the
+	// message buffer once that was full. Then the caller is disconnected and may resume: events
+	// aren't buffered without limit for a caller that doesn't read, and it doesn't block the
+	// engine.
 	DefaultSlowCallerTimeout = 10 * time.Second
 	// maxReacquires limits how often a permit that expired unused is replaced.
 	maxReacquires = 3
