--- a/internal/forward/claim.go
+++ b/internal/forward/claim.go
@@ -59,7 +59,7 @@
 		}
 	case claim.Mismatch:
 		return Answer{}, answer.NotRun(http.StatusUnprocessableEntity, answer.CodeKeyMismatch,
-			"Idempotency-Key: the key was used for a different request")
+			"Idempotency-Key: was used for another request")
 	case claim.Unavailable:
 		f.opts.Logger.Debug().Err(a.Err).Msg("idempotency key could not be claimed")
 		return Answer{}, platformDownFailure()
