--- a/internal/caller/resume.go
+++ b/internal/caller/resume.go
@@ -66,7 +66,7 @@
 	defer cancel()
 	g, err := s.relay.Attach(ctx, relay.Attachment{
 		Server: ref.server.Name, Address: ref.server.Address, Incarnation: ref.id.Incarnation,
-		Request: ref.id.Request, Class: ref.id.Class, After: after,
+		RequestID: ref.id.Request, Class: ref.id.Class, AfterPosition: after,
 	})
 	if err != nil {
 		return err
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -181,7 +181,7 @@
 		opts.Scope = tally.NoopScope
 	}
 	if opts.SlowCallerTimeout == 0 {
-		opts.SlowCallerTimeout = relay.DefaultSlowCaller
+		opts.SlowCallerTimeout = relay.DefaultSlowCallerTimeout
 	}
 	if opts.Tracer == nil {
 		opts.Tracer = noop.NewTracerProvider().Tracer("")
@@ -195,7 +195,7 @@
 func newRelay(opts Options, confirmed func(time.Time) bool) (*relay.Relay, error) {
 	return relay.New(relay.Options{
 		Engine: opts.Engine, Permits: opts.Permits, Retries: opts.Retries, Confirmed: confirmed,
-		Stall: time.Duration(opts.Timing.StallMillis) * time.Millisecond, Grace: opts.GracePeriod, SlowCaller: opts.SlowCallerTimeout,
+		StallTimeout: time.Duration(opts.Timing.StallMillis) * time.Millisecond, GracePeriod: opts.GracePeriod, SlowCallerTimeout: opts.SlowCallerTimeout,
 		Logger: opts.Logger, Scope: opts.Scope.SubScope("relay"), Tracer: opts.Tracer,
 	})
 }
--- a/internal/caller/services.go
+++ b/internal/caller/services.go
@@ -77,7 +77,7 @@
 		Service: declared, Route: route, Workspace: ident.workspace.Name, Class: class,
 		Fingerprint: fingerprint(ident.workspace.Name, append([]byte(method+" "+path+"?"+query+"\n"), body...)),
 		Deadline:    now().Add(queueWait(declared, class)),
-		Method:      method, Path: path, Query: query, Header: header, Body: body, Key: key,
+		Method:      method, Path: path, Query: query, Header: header, Body: body, IdempotencyKey: key,
 	}, nil
 }
 
--- a/internal/caller/write.go
+++ b/internal/caller/write.go
@@ -27,12 +27,12 @@
 )
 
 // idFunc returns the ID of a generation once the backend server that runs it is known.
-type idFunc func(relay.Begun) (string, error)
+type idFunc func(relay.Started) (string, error)
 
 // idFunc returns a function that completes id with the backend server that runs the generation.
 func (s *Server) idFunc(ctx context.Context, id generation.ID) idFunc {
-	return func(b relay.Begun) (string, error) {
-		id.Server, id.Incarnation, id.Request = b.Permit.Server, b.Incarnation, b.Request
+	return func(b relay.Started) (string, error) {
+		id.Server, id.Incarnation, id.Request = b.Permit.Server, b.Incarnation, b.RequestID
 		text, err := s.codec.Format(id)
 		if err != nil {
 			return "", err
@@ -54,7 +54,7 @@
 }
 
 // newStreamWriter returns a writer. The ID of a resumed stream is known, since that gets no
-// [relay.Begun]; for a new stream it is empty until then.
+// [relay.Started]; for a new stream it is empty until then.
 func newStreamWriter(c *app.RequestContext, id string) *streamWriter {
 	return &streamWriter{c: c, id: id, ids: openai.NewIDWriter(id)}
 }
@@ -63,7 +63,7 @@
 	c := w.c
 	for m := range g.Messages() {
 		switch m := m.(type) {
-		case relay.Begun:
+		case relay.Started:
 			id, err := formatID(m)
 			if err != nil {
 				return answer.FromError(err)
@@ -134,7 +134,7 @@
 	collector, size, id := openai.NewCollector(b.endpoint), 0, ""
 	for m := range b.generation.Messages() {
 		switch m := m.(type) {
-		case relay.Begun:
+		case relay.Started:
 			// The generation was restarted: earlier events are not part of it.
 			collector, size = openai.NewCollector(b.endpoint), 0
 			var err error
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -95,7 +95,7 @@
 type Gossip struct {
 	opts       Options
 	self       string
-	caller     *peerrpc.Caller
+	caller     *peerrpc.Client
 	calls      *ants.Pool
 	deliveries *deliveries
 	// wake holds a value while there is something to broadcast. One is enough: a broadcast
@@ -136,7 +136,7 @@
 	}
 	self := opts.Table.Self().ID
 	return &Gossip{
-		opts: opts, self: self, caller: peerrpc.NewCaller(opts.Key, self, probeTimeout), calls: calls, deliveries: newDeliveries(),
+		opts: opts, self: self, caller: peerrpc.NewClient(opts.Key, self, probeTimeout), calls: calls, deliveries: newDeliveries(),
 		wake: make(chan struct{}, 1), serveLimiter: rate.NewLimiter(servedPerSecond, servedPerSecond),
 	}, nil
 }
@@ -186,7 +186,7 @@
 		}
 	}
 	background.Wait()
-	g.caller.Drop()
+	g.caller.CloseIdleConnections()
 }
 
 // periodFor returns the time between two probes of one of n instances.
@@ -249,7 +249,7 @@
 // handler returns a handler for calls of instances that have the key.
 func (g *Gossip) handler(procedure string, answer func(ctx context.Context, m *Message) *Message) http.Handler {
 	return connect.NewUnaryHandler(procedure, func(ctx context.Context, req *connect.Request[Message]) (*connect.Response[Message], error) {
-		if err := peerrpc.Check(g.opts.Key, g.opts.Now(), req.Header(), procedure); err != nil {
+		if err := peerrpc.Verify(g.opts.Key, g.opts.Now(), req.Header(), procedure); err != nil {
 			return nil, err
 		}
 		m := answer(ctx, req.Msg)
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -73,7 +73,7 @@
 // concurrent use.
 type Peer struct {
 	opts   Options
-	caller *peerrpc.Caller
+	caller *peerrpc.Client
 
 	mu          sync.Mutex
 	detector    *outlier.Detector
@@ -89,7 +89,7 @@
 		opts.Scope = tally.NoopScope
 	}
 	return &Peer{
-		opts: opts, caller: peerrpc.NewCaller(opts.Key, opts.Self, callTimeout), detector: outlier.NewDetector(),
+		opts: opts, caller: peerrpc.NewClient(opts.Key, opts.Self, callTimeout), detector: outlier.NewDetector(),
 		answers: map[answerKey]*outlier.Answers{}, ejected: map[string]ejection{},
 	}
 }
@@ -127,7 +127,7 @@
 			p.report(ctx, now, Report{Answers: answers})
 		}
 	}
-	p.caller.Drop()
+	p.caller.CloseIdleConnections()
 }
 
 // dueReport returns the answers to report if a report is due, and clears them.
@@ -208,7 +208,7 @@
 func (p *Peer) Handlers() map[string]http.Handler {
 	report := func(_ context.Context, req *connect.Request[Report]) (*connect.Response[ReportResponse], error) {
 		now := p.opts.Now()
-		if err := peerrpc.Check(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
+		if err := peerrpc.Verify(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
 			return nil, err
 		}
 		v := p.aggregate(now, *req.Msg)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -135,7 +135,7 @@
 	schedule     *Schedule
 	loads        *Loads
 	loadBalancer *balancer.Balancer
-	rpc          *peerrpc.Caller
+	rpc          *peerrpc.Client
 
 	mu sync.Mutex
 	// backoff holds the planners that didn't answer, and until when they aren't asked.
@@ -149,7 +149,7 @@
 // New returns a planner.
 func New(opts Options) *Planner {
 	p := &Planner{
-		opts: opts, schedule: NewSchedule(), loads: NewLoads(isAlive(opts.Table)), rpc: peerrpc.NewCaller(opts.Key, opts.Self, transferTimeout),
+		opts: opts, schedule: NewSchedule(), loads: NewLoads(isAlive(opts.Table)), rpc: peerrpc.NewClient(opts.Key, opts.Self, transferTimeout),
 		backoff: map[string]time.Time{}, scores: map[string]groupScore{}, groupCache: map[string]serviceGroups{},
 	}
 	p.loadBalancer = balancer.New(opts.ColdLimits, rand.New(rand.NewPCG(rand.Uint64(), 3)), p.loads.ForEngine)
@@ -291,7 +291,7 @@
 	p.mu.Lock()
 	p.backoff[address] = p.opts.Now().Add(plannerBackoff)
 	p.mu.Unlock()
-	p.rpc.Drop()
+	p.rpc.CloseIdleConnections()
 	p.opts.Log.Info().Str("peer", address).Err(err).Msg("planner doesn't answer")
 	return merry.Wrap(ErrUnavailable, merry.WithCause(err))
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -75,7 +75,7 @@
 	}
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	go func() { _ = server.Serve(l) }()
-	t.Cleanup(func() { p.rpc.Drop(); _ = server.Close() })
+	t.Cleanup(func() { p.rpc.CloseIdleConnections(); _ = server.Close() })
 	return testInstance{p, table, address}
 }
 
--- a/internal/serve/adapters.go
+++ b/internal/serve/adapters.go
@@ -49,7 +49,7 @@
 
 // Confirmed implements caller.ConfigSource.
 func (g guardedConfig) Confirmed(now time.Time, within time.Duration) bool {
-	return g.members.Allowed(now) && g.Store.Confirmed(now, within)
+	return g.members.NewWorkAllowed(now) && g.Store.Confirmed(now, within)
 }
 
 // configVersions queries the configuration versions of the instances.
@@ -57,7 +57,7 @@
 
 // ConfigVersions implements accepted.Fleet.
 func (f configVersions) ConfigVersions(ctx context.Context, atLeast int64) ([]int64, error) {
-	f.members.AskVersions(ctx, atLeast)
+	f.members.RefreshVersions(ctx, atLeast)
 	return slices.Collect(maps.Values(f.members.ConfigVersions())), nil
 }
 
@@ -66,7 +66,7 @@
 
 // List implements operator.Instances.
 func (p instances) List(ctx context.Context) ([]operatorapi.Instance, error) {
-	p.members.AskVersions(ctx, p.store.Version())
+	p.members.RefreshVersions(ctx, p.store.Version())
 	r := p.members.Roster()
 	versions := p.members.ConfigVersions()
 	out := make([]operatorapi.Instance, 0, len(r.Instances))
@@ -117,7 +117,7 @@
 	switch {
 	case p.store.Version() == 0:
 		return merry.New("no configuration yet")
-	case !p.members.Allowed(now):
+	case !p.members.NewWorkAllowed(now):
 		return merry.New("process was paused")
 	case !p.store.Confirmed(now, millis(p.settings.Timing.ConfirmMillis)):
 		return merry.New("configuration not confirmed")
--- a/internal/serve/components.go
+++ b/internal/serve/components.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	pool := peer.NewPool(s.Instance, key, p.tel.Metrics.SubScope("peer"), peer.Metered(p.costs))
+	pool := peer.NewPool(s.Instance, key, p.tel.Metrics.SubScope("peer"), peer.WithMetering(p.costs))
 	suspects := owner.NewSuspects()
 	p.members, err = member.New(member.Options{
 		Self:      p.self,
@@ -130,7 +130,7 @@
 		Metrics:        p.tel.Metrics.SubScope("router"),
 		Seed:           seed(s, 2),
 	})
-	p.peerServer = peer.NewServer(p.members.Handler(p.owner), key, p.tel.Metrics.SubScope("peer"), peer.Traced(p.tel.Tracer), peer.Metered(p.costs))
+	p.peerServer = peer.NewServer(p.members.Handler(p.owner), key, p.tel.Metrics.SubScope("peer"), peer.WithTracing(p.tel.Tracer), peer.WithMetering(p.costs))
 	return p.newFleet(pool)
 }
 
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	p.peerServer.HandleOrders(p.commands.Handler())
+	p.peerServer.HandleEngineCommands(p.commands.Handler())
 	p.models = models{p.settings.Instance, p.fleet, p.commands, pool}
 	return nil
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -153,7 +153,7 @@
 	ticker := time.NewTicker(leavePollInterval)
 	defer ticker.Stop()
 	for now := time.Now(); now.Before(deadline); now = <-ticker.C {
-		if in.components.members.LeftEverywhere(now) {
+		if in.components.members.HasLeftEverywhere(now) {
 			return
 		}
 	}
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -95,7 +95,7 @@
 type singleMember struct{ r *roster.Roster }
 
 func (s singleMember) Roster() *roster.Roster             { return s.r }
-func (singleMember) Allowed(time.Time) bool               { return true }
+func (singleMember) NewWorkAllowed(time.Time) bool        { return true }
 func (singleMember) CatchUp(context.Context, string) bool { return false }
 func (singleMember) Release([]*peerv1.Released)           {}
 func (singleMember) Acquire(context.Context, *peerv1.AcquireRequest) *peerv1.AcquireResponse {
