--- a/test/failure/answers_test.go
+++ b/test/failure/answers_test.go
@@ -31,7 +31,7 @@
 func requireOwn(t *testing.T, s *system.System, prompt int, text string, n int) {
 	t.Helper()
 	tags := map[string]bool{}
-	for _, entries := range s.Ran(t, prompt) {
+	for _, entries := range s.GenerationsByServer(t, prompt) {
 		for _, e := range entries {
 			tags[tagOf(e)] = true
 		}
@@ -102,9 +102,9 @@
 // askAgain repeats a call until it is answered.
 func askAgain(t *testing.T, call func() int) {
 	t.Helper()
-	pace := time.NewTicker(system.PollEach)
+	pace := time.NewTicker(system.PollInterval)
 	defer pace.Stop()
-	for end := time.Now().Add(system.Patience); call() == 0; <-pace.C {
+	for end := time.Now().Add(system.WaitTimeout); call() == 0; <-pace.C {
 		require.True(t, time.Now().Before(end), "no answer although links are whole")
 	}
 }
@@ -130,7 +130,7 @@
 	if st.Failure != nil {
 		return 0
 	}
-	system.RequireWhole(t, st.Tokens)
+	system.RequireCompleteStream(t, st.Tokens)
 	return 1
 }
 
@@ -156,7 +156,7 @@
 	require.Len(t, w.Choices, 1)
 	requireOwn(t, s, prompt, w.Choices[0].Message.Content, w.Usage.CompletionTokens)
 	finished := 0
-	for _, entries := range s.Ran(t, prompt) {
+	for _, entries := range s.GenerationsByServer(t, prompt) {
 		for _, e := range entries {
 			if e.Status == engine.StatusFinished && e.OutputTokens == w.Usage.CompletionTokens {
 				finished++
--- a/test/failure/configuration_test.go
+++ b/test/failure/configuration_test.go
@@ -40,7 +40,7 @@
 					return
 				case <-time.After(pollEach):
 				}
-				v.see(in.ID, s.Version(t.Context(), t, in))
+				v.see(in.ID, s.ConfigVersion(t.Context(), t, in))
 			}
 		})
 	}
@@ -79,7 +79,7 @@
 // inForce reports whether version is in force on all instances.
 func inForce(t *testing.T, s *system.System, version int64) bool {
 	for _, in := range s.Instances {
-		if s.Version(t.Context(), t, in) < version {
+		if s.ConfigVersion(t.Context(), t, in) < version {
 			return false
 		}
 	}
@@ -110,14 +110,14 @@
 	s := start(t, system.Options{})
 	v := watchVersions(t, s)
 	for round := range 10 {
-		base, err := s.Operators(t, s.Instances[0]).Configuration(t.Context())
+		base, err := s.OperatorClient(t, s.Instances[0]).Configuration(t.Context())
 		require.NoError(t, err)
 		require.Eventually(t, func() bool { return inForce(t, s, base.Version) }, patience, pollEach)
 		var answers [2]operatorapi.Accepted
 		var errs [2]error
 		var both sync.WaitGroup
 		for i, author := range []string{"umutoni", "kamau"} {
-			ops := s.Operators(t, s.Instances[i])
+			ops := s.OperatorClient(t, s.Instances[i])
 			both.Go(func() {
 				answers[i], errs[i] = ops.Apply(t.Context(), operatorapi.ApplyRequest{
 					BaseVersion: base.Version, Author: author, Summary: "round " + fmt.Sprint(round),
@@ -151,7 +151,7 @@
 func TestLostAnswersOfThePlatform(t *testing.T) {
 	s := start(t, system.Options{})
 	v := watchVersions(t, s)
-	ops := s.Operators(t, s.Instances[1])
+	ops := s.OperatorClient(t, s.Instances[1])
 	for lost := 1; lost <= 4; lost++ {
 		base, err := ops.Configuration(t.Context())
 		require.NoError(t, err)
--- a/test/failure/crashing_test.go
+++ b/test/failure/crashing_test.go
@@ -59,7 +59,7 @@
 		again, err := s.Caller("huye-gliders").Generate(context.Background(), t, in.Caller, "flight-briefing", system.Prompt(neighbourPrompt), 20)
 		require.NoError(t, err)
 		require.NoError(t, again.Read(0), "%v", again.Failure)
-		system.RequireWhole(t, again.Tokens)
+		system.RequireCompleteStream(t, again.Tokens)
 		again.Close()
 	}
 	s.WaitIdle(t)
@@ -69,7 +69,7 @@
 func crashesOf(t *testing.T, s *system.System) int {
 	t.Helper()
 	n := 0
-	for _, entries := range s.Ran(t, crashTokens) {
+	for _, entries := range s.GenerationsByServer(t, crashTokens) {
 		n += len(entries)
 	}
 	return n
@@ -117,7 +117,7 @@
 	}
 	dead := 0
 	for _, n := range engines {
-		if n.Process.Ended() {
+		if n.Process.Exited() {
 			dead++
 		}
 	}
@@ -125,6 +125,6 @@
 	again, err := s.Caller("huye-gliders").Generate(context.Background(), t, s.Instances[0].Caller, "flight-briefing", system.Prompt(120), 20)
 	require.NoError(t, err)
 	require.NoError(t, again.Read(0), "%v", again.Failure)
-	system.RequireWhole(t, again.Tokens)
+	system.RequireCompleteStream(t, again.Tokens)
 	again.Close()
 }
--- a/test/failure/cutoff_test.go
+++ b/test/failure/cutoff_test.go
@@ -38,7 +38,7 @@
 	for _, st := range streams {
 		require.NoError(t, st.Read(0))
 		require.Nil(t, st.Failure)
-		system.RequireWhole(t, st.Tokens)
+		system.RequireCompleteStream(t, st.Tokens)
 		if st.Tokens[len(st.Tokens)-1].At.After(refused) {
 			later++
 		}
@@ -53,7 +53,7 @@
 	require.Eventually(t, func() bool {
 		return generate(d, 5)(t.Context(), t, s.Caller(d.workspace), odd, "back").served()
 	}, patience, pollEach, "it takes no work again")
-	require.GreaterOrEqual(t, s.Version(t.Context(), t, odd), version, "it takes work on an old configuration")
+	require.GreaterOrEqual(t, s.ConfigVersion(t.Context(), t, odd), version, "it takes work on an old configuration")
 	v.requireNoneFell(t)
 }
 
@@ -61,7 +61,7 @@
 func changeWeight(t *testing.T, s *system.System, in *system.Instance, weight int) int64 {
 	t.Helper()
 	var got operatorapi.Accepted
-	ops := s.Operators(t, in)
+	ops := s.OperatorClient(t, in)
 	require.Eventually(t, func() bool {
 		base, err := ops.Configuration(t.Context())
 		if err != nil {
--- a/test/failure/load_test.go
+++ b/test/failure/load_test.go
@@ -186,7 +186,7 @@
 	t.Helper()
 	for _, r := range records {
 		if r.served() && r.stream != nil {
-			system.RequireWhole(t, r.stream.Tokens)
+			system.RequireCompleteStream(t, r.stream.Tokens)
 		}
 	}
 }
@@ -268,7 +268,7 @@
 	t.Helper()
 	owner := ""
 	require.Eventually(t, func() bool {
-		servers, err := s.Operators(t, s.Instances[0]).Servers(t.Context())
+		servers, err := s.OperatorClient(t, s.Instances[0]).Servers(t.Context())
 		if err != nil {
 			return false
 		}
--- a/test/failure/membership_test.go
+++ b/test/failure/membership_test.go
@@ -60,11 +60,11 @@
 		"nothing else fails": func(*testing.T, *system.System, *system.Instance) {},
 		"owner killed": func(t *testing.T, s *system.System, owner *system.Instance) {
 			owner.Process.Kill()
-			s.List(t, owner, "")
+			s.SetInstanceState(t, owner, "")
 		},
 		"owner frozen past its lease": func(t *testing.T, s *system.System, owner *system.Instance) {
 			owner.Process.Signal(t, syscall.SIGSTOP)
-			s.List(t, owner, "")
+			s.SetInstanceState(t, owner, "")
 			lasts(t, time.Now(), 7*time.Second)
 			owner.Process.Signal(t, syscall.SIGCONT)
 		},
@@ -104,7 +104,7 @@
 		s.Control(t, s.Servers[name].Address, http.MethodPost, "/control/cold", map[string]any{"millis": 40000})
 	}
 	require.Eventually(t, func() bool {
-		servers, err := s.Operators(t, ownerOf(t, s, all[0])).Servers(t.Context())
+		servers, err := s.OperatorClient(t, ownerOf(t, s, all[0])).Servers(t.Context())
 		cold := 0
 		for _, v := range servers.Servers {
 			if v.Status.Load == "cold" {
@@ -144,7 +144,7 @@
 func TestLeavingServer(t *testing.T) {
 	tests := map[string]func(t *testing.T, s *system.System, name string){
 		"drained by operators": func(t *testing.T, s *system.System, name string) {
-			_, err := s.Operators(t, s.Instances[1]).DrainServer(t.Context(), name, changeBy("drain"))
+			_, err := s.OperatorClient(t, s.Instances[1]).DrainServer(t.Context(), name, changeBy("drain"))
 			require.NoError(t, err)
 		},
 		"reclaimed": func(t *testing.T, s *system.System, name string) {
--- a/test/failure/orders_test.go
+++ b/test/failure/orders_test.go
@@ -66,7 +66,7 @@
 			}
 			late := holdUp(t, s, frozen)
 			frozen.Process.Signal(t, syscall.SIGSTOP)
-			s.List(t, frozen, "")
+			s.SetInstanceState(t, frozen, "")
 			told := false
 			if tt.fencing == pollenspindle.FencingChecked {
 				// Such an engine needs no wait for the order that is under way.
@@ -81,7 +81,7 @@
 			// The late order has arrived.
 			lasts(t, late, time.Second)
 			frozen.Process.Signal(t, syscall.SIGCONT)
-			s.List(t, frozen, instancelist.StateLive)
+			s.SetInstanceState(t, frozen, instancelist.StateLive)
 			if told {
 				require.Contains(t, stateOf(t, s, orderedOn).Models, engine.ModelVersion{Name: ordered, Version: "3"})
 			}
@@ -100,7 +100,7 @@
 	through.PlatformProxy.SetDelay(stepDelay)
 	var call sync.WaitGroup
 	t.Cleanup(call.Wait)
-	c := s.Operators(t, through)
+	c := s.OperatorClient(t, through)
 	call.Go(func() { _, _ = c.LoadModel(t.Context(), ordered, operatorapi.Order{Server: orderedOn, Version: "2"}) })
 	require.Eventually(t, func() bool { return orderOpen(t, s, "load%20slot%200") }, patience, pollEach)
 	proxy := s.Servers[orderedOn].Proxy
@@ -134,7 +134,7 @@
 // engine has it.
 func loadVersion(t *testing.T, s *system.System, in *system.Instance, version string) bool {
 	t.Helper()
-	outcome, err := s.Operators(t, in).LoadModel(t.Context(), ordered, operatorapi.Order{Server: orderedOn, Version: version})
+	outcome, err := s.OperatorClient(t, in).LoadModel(t.Context(), ordered, operatorapi.Order{Server: orderedOn, Version: version})
 	return err == nil && outcome.State != "loading"
 }
 
@@ -155,11 +155,11 @@
 	address := process.Address(t)
 	store := process.Start(t, filepath.Join(process.Build(t), "standin"), "weights", "--address", address,
 		"--bytes", "2000000", "--bytes-per-second", "2000000")
-	store.Line(t, "listening ")
+	store.WaitForLine(t, "listening ")
 	s := start(t, system.Options{EngineArgs: []string{"--weight-store", "http://" + address}})
 	var orders sync.WaitGroup
 	for i, server := range engines(s, "") {
-		c := s.Operators(t, s.Instances[i%len(s.Instances)])
+		c := s.OperatorClient(t, s.Instances[i%len(s.Instances)])
 		orders.Go(func() {
 			for end := time.Now().Add(patience); time.Now().Before(end); pause(t.Context(), 5*pollEach) {
 				outcome, err := c.LoadModel(t.Context(), ordered, operatorapi.Order{Server: server, Version: "2"})
--- a/test/failure/outage_test.go
+++ b/test/failure/outage_test.go
@@ -155,7 +155,7 @@
 	d := deployments["inyange"]
 	all := engines(s, "")
 	before := incarnations(t, s, all)
-	base, err := s.Operators(t, s.Instances[0]).Configuration(t.Context())
+	base, err := s.OperatorClient(t, s.Instances[0]).Configuration(t.Context())
 	require.NoError(t, err)
 	version := s.Apply(t, weighted(base.Config, 0, 77))
 	streams := startLoad(t, s, d, 12, s.Instances, generate(d, 20))
@@ -167,7 +167,7 @@
 		s.AddInstance(t)
 		s.Instances = s.Instances[1:]
 		old.Process.Kill()
-		s.List(t, old, "")
+		s.SetInstanceState(t, old, "")
 		streams.Through(s.Instances)
 		writes.Through(s.Instances)
 		s.WaitReady(t)
--- a/test/failure/plain_test.go
+++ b/test/failure/plain_test.go
@@ -47,7 +47,7 @@
 	reads.requireServes(t, 100)
 	require.Equal(t, starts, deskStarts(t, s, desks), "a cold plain server crashed")
 
-	ops := s.Operators(t, s.Instances[0])
+	ops := s.OperatorClient(t, s.Instances[0])
 	leaves := map[string]struct{ leave, back func() }{
 		"zone taken out": {
 			leave: func() {
--- a/test/failure/reclaimed_test.go
+++ b/test/failure/reclaimed_test.go
@@ -42,7 +42,7 @@
 	tests := map[string]func(t *testing.T, n *system.Node){
 		"after notice": func(t *testing.T, n *system.Node) {
 			s.Control(t, n.Address, http.MethodPost, "/control/leave", map[string]any{"noticeMillis": 1000})
-			require.Eventually(t, n.Process.Ended, patience, pollEach)
+			require.Eventually(t, n.Process.Exited, patience, pollEach)
 		},
 		"without notice": func(_ *testing.T, n *system.Node) { n.Process.Kill() },
 		"and back at once": func(t *testing.T, n *system.Node) {
@@ -54,7 +54,7 @@
 			r := occupy(t, s, &prompt)
 			die(t, s.Servers[r.server])
 			for other, node := range s.Servers {
-				if node.Process.Ended() || other == r.server || !strings.HasPrefix(other, "briefing") {
+				if node.Process.Exited() || other == r.server || !strings.HasPrefix(other, "briefing") {
 					continue
 				}
 				s.Control(t, node.Address, http.MethodPost, "/control/slow", map[string]float64{"factor": 1})
@@ -94,7 +94,7 @@
 	r.collectedPrompt = *prompt
 	go func() { r.collected <- collect(t, s, r.collectedPrompt) }()
 	require.Eventually(t, func() bool {
-		for name, entries := range s.Ran(t, r.collectedPrompt) {
+		for name, entries := range s.GenerationsByServer(t, r.collectedPrompt) {
 			r.server = name
 			return entries[0].OutputTokens > 0
 		}
@@ -107,7 +107,7 @@
 			r.begun = st
 		}
 	}
-	s.Slow(t, standstill)
+	s.SlowEngines(t, standstill)
 	_, collected := place(t, s, r.collectedPrompt)
 	require.Equal(t, engine.StatusRunning, collected.Status)
 	for {
@@ -121,7 +121,7 @@
 			}
 			opened <- st
 		}()
-		require.Eventually(t, func() bool { return len(s.Ran(t, r.earlyPrompt)) == 1 }, patience, pollEach)
+		require.Eventually(t, func() bool { return len(s.GenerationsByServer(t, r.earlyPrompt)) == 1 }, patience, pollEach)
 		if on, entry := place(t, s, r.earlyPrompt); on == r.server {
 			require.Zero(t, entry.OutputTokens)
 			r.early = opened
@@ -167,7 +167,7 @@
 	require.Nil(t, early.Failure)
 	require.NoError(t, early.Read(0))
 	require.Nil(t, early.Failure)
-	system.RequireWhole(t, early.Tokens)
+	system.RequireCompleteStream(t, early.Tokens)
 	var text strings.Builder
 	for _, tok := range early.Tokens {
 		text.WriteString(tok.Text)
--- a/test/failure/shutdown_test.go
+++ b/test/failure/shutdown_test.go
@@ -38,7 +38,7 @@
 		leave(t, s, batch)
 		for _, in := range batch {
 			s.RestartInstance(t, in)
-			s.List(t, in, instancelist.StateLive)
+			s.SetInstanceState(t, in, instancelist.StateLive)
 		}
 		s.WaitReady(t)
 	}
@@ -54,7 +54,7 @@
 	l.directory.set(s.Instances)
 	leave(t, s, old)
 	for _, in := range old {
-		s.List(t, in, "")
+		s.SetInstanceState(t, in, "")
 	}
 	t.Logf("replaced under new names within %s", time.Since(began))
 	counts := l.stop()
@@ -103,7 +103,7 @@
 func leave(t *testing.T, s *system.System, instances []*system.Instance) {
 	t.Helper()
 	for _, in := range instances {
-		s.List(t, in, instancelist.StateLeaving)
+		s.SetInstanceState(t, in, instancelist.StateLeaving)
 		in.Process.Signal(t, syscall.SIGTERM)
 	}
 	for _, in := range instances {
@@ -182,7 +182,7 @@
 			break
 		}
 		asked := time.Now()
-		if a := d.s.Addresses(t, in); len(a) > 0 {
+		if a := d.s.ListedInstances(t, in); len(a) > 0 {
 			d.known, d.askedAt = a, asked
 		}
 	}
@@ -207,6 +207,6 @@
 	if st.Failure != nil {
 		return "failed: " + string(st.Failure.Code)
 	}
-	system.RequireWhole(t, st.Tokens)
+	system.RequireCompleteStream(t, st.Tokens)
 	return "whole"
 }
--- a/test/failure/silent_test.go
+++ b/test/failure/silent_test.go
@@ -39,6 +39,6 @@
 	require.Equal(t, http.StatusOK, rest.Status, "%v", rest.Failure)
 	require.NoError(t, rest.Read(0))
 	require.Nil(t, rest.Failure)
-	system.RequireWhole(t, append(append([]system.Token(nil), st.Tokens...), rest.Tokens...))
+	system.RequireCompleteStream(t, append(append([]system.Token(nil), st.Tokens...), rest.Tokens...))
 	place(t, s, prompt)
 }
--- a/test/failure/slow_test.go
+++ b/test/failure/slow_test.go
@@ -39,10 +39,10 @@
 			dead := s.Instances[2]
 			s.Instances = s.Instances[:2]
 			dead.Process.Kill()
-			s.List(t, dead, "")
+			s.SetInstanceState(t, dead, "")
 			began = time.Now()
 			for _, in := range s.Instances {
-				require.Eventually(t, func() bool { return len(s.Addresses(t, in)) == 2 }, patience, pollEach)
+				require.Eventually(t, func() bool { return len(s.ListedInstances(t, in)) == 2 }, patience, pollEach)
 			}
 			t.Logf("one is out after %.0f s", time.Since(began).Seconds())
 			s.WaitReady(t)
--- a/test/failure/streams_test.go
+++ b/test/failure/streams_test.go
@@ -45,7 +45,7 @@
 // place returns the server that alone has run the prompt, and its entry.
 func place(t *testing.T, s *system.System, prompt int) (string, engine.Entry) {
 	t.Helper()
-	ran := s.Ran(t, prompt)
+	ran := s.GenerationsByServer(t, prompt)
 	require.Len(t, ran, 1)
 	for server, entries := range ran {
 		require.Len(t, entries, 1)
@@ -58,7 +58,7 @@
 func requirePrefix(t *testing.T, tokens []system.Token) {
 	t.Helper()
 	end := system.Token{Position: int64(len(tokens) + 1), Finish: "stop"}
-	system.RequireWhole(t, append(append([]system.Token(nil), tokens...), end))
+	system.RequireCompleteStream(t, append(append([]system.Token(nil), tokens...), end))
 }
 
 func TestStreams(t *testing.T) {
@@ -78,7 +78,7 @@
 // so the request is started again on another engine.
 func engineKilledBefore(t *testing.T, s *system.System) {
 	const prompt = 101
-	s.Slow(t, standstill)
+	s.SlowEngines(t, standstill)
 	type opened struct {
 		st  *system.Stream
 		err error
@@ -89,11 +89,11 @@
 		st, err := c.Generate(context.Background(), t, s.Instances[0].Caller, "flight-briefing", system.Prompt(prompt), longest)
 		done <- opened{st, err}
 	}()
-	require.Eventually(t, func() bool { return len(s.Ran(t, prompt)) == 1 }, patience, pollEach)
+	require.Eventually(t, func() bool { return len(s.GenerationsByServer(t, prompt)) == 1 }, patience, pollEach)
 	server, entry := place(t, s, prompt)
 	require.Zero(t, entry.OutputTokens)
 	s.Servers[server].Process.Kill()
-	s.Slow(t, 1)
+	s.SlowEngines(t, 1)
 
 	o := <-done
 	require.NoError(t, o.err)
@@ -101,7 +101,7 @@
 	require.Equal(t, http.StatusOK, o.st.Status, "%v", o.st.Failure)
 	require.NoError(t, o.st.Read(0))
 	require.Nil(t, o.st.Failure)
-	system.RequireWhole(t, o.st.Tokens)
+	system.RequireCompleteStream(t, o.st.Tokens)
 	other, _ := place(t, s, prompt)
 	require.NotEqual(t, server, other)
 	s.Restart(t, s.Servers[server])
@@ -165,7 +165,7 @@
 	s.Servers[server].Process.Signal(t, syscall.SIGCONT)
 	require.NoError(t, st.Read(0))
 	require.Nil(t, st.Failure)
-	system.RequireWhole(t, st.Tokens)
+	system.RequireCompleteStream(t, st.Tokens)
 	place(t, s, prompt)
 }
 
@@ -186,12 +186,12 @@
 	defer rest.Close()
 	require.NoError(t, rest.Read(0))
 	require.Nil(t, rest.Failure)
-	system.RequireWhole(t, append(append([]system.Token(nil), st.Tokens...), rest.Tokens...))
+	system.RequireCompleteStream(t, append(append([]system.Token(nil), st.Tokens...), rest.Tokens...))
 	s.Instances[0].Process.Signal(t, syscall.SIGCONT)
 	for _, reader := range []*system.Stream{st, early} {
 		require.NoError(t, reader.Read(0))
 		require.Nil(t, reader.Failure)
-		system.RequireWhole(t, reader.Tokens)
+		system.RequireCompleteStream(t, reader.Tokens)
 	}
 	place(t, s, prompt)
 	s.WaitReady(t)
@@ -228,7 +228,7 @@
 			proxy.SetDelay(0)
 			require.NoError(t, st.Read(0))
 			require.Nil(t, st.Failure)
-			system.RequireWhole(t, st.Tokens)
+			system.RequireCompleteStream(t, st.Tokens)
 			_, entry = place(t, s, prompt)
 			require.Equal(t, engine.StatusFinished, entry.Status)
 		})
--- a/test/failure/zone_test.go
+++ b/test/failure/zone_test.go
@@ -60,7 +60,7 @@
 			if tt.before != nil {
 				tt.before(t, s, odd)
 			}
-			_, err := s.Operators(t, hears).DrainZone(t.Context(), zone, changeBy("take the zone out"))
+			_, err := s.OperatorClient(t, hears).DrainZone(t.Context(), zone, changeBy("take the zone out"))
 			require.NoError(t, err)
 			drained := time.Now()
 			lasts(t, drained, promised)
@@ -119,7 +119,7 @@
 	in := engines(s, zone)
 	l := startLoad(t, s, d, 40, s.Instances, generate(d, 20))
 	l.requireServes(t, 200)
-	ops := s.Operators(t, s.Instances[0])
+	ops := s.OperatorClient(t, s.Instances[0])
 	_, err := ops.DrainZone(t.Context(), zone, changeBy("take the zone out"))
 	require.NoError(t, err)
 	lasts(t, time.Now(), promised)
--- a/test/process/process.go
+++ b/test/process/process.go
@@ -29,8 +29,8 @@
 // the race detector and a busy machine make starts slow.
 const startTimeout = 60 * time.Second
 
-// Root returns the folder of the module.
-func Root() string {
+// ModuleRoot returns the folder of the module.
+func ModuleRoot() string {
 	_, file, _, _ := runtime.Caller(0)
 	return filepath.Join(filepath.Dir(file), "..", "..")
 }
@@ -41,7 +41,7 @@
 		return "", err
 	}
 	cmd := exec.CommandContext(context.Background(), "go", "build", "-o", dir, "./cmd/...", "./examples/...")
-	cmd.Dir = Root()
+	cmd.Dir = ModuleRoot()
 	if out, err := cmd.CombinedOutput(); err != nil {
 		return string(out), err
 	}
@@ -116,8 +116,8 @@
 	return append([]string(nil), p.lines...)
 }
 
-// Line waits for a line that starts with prefix and returns the rest of it.
-func (p *Process) Line(t testing.TB, prefix string) string {
+// WaitForLine waits for a line that starts with prefix and returns the rest of it.
+func (p *Process) WaitForLine(t testing.TB, prefix string) string {
 	t.Helper()
 	var rest string
 	require.Eventually(t, func() bool {
@@ -137,8 +137,8 @@
 	return p.cmd.Process.Pid
 }
 
-// Ended reports whether the process has ended.
-func (p *Process) Ended() bool {
+// Exited reports whether the process has ended.
+func (p *Process) Exited() bool {
 	select {
 	case <-p.done:
 		return true
--- a/test/session/session_test.go
+++ b/test/session/session_test.go
@@ -144,7 +144,7 @@
 	st, err := r.c.Generate(r.t.Context(), r.t, r.s.Instances[0].Caller, w.model, w.prompt, 8)
 	require.NoError(r.t, err)
 	require.NoError(r.t, st.Read(0))
-	system.RequireWhole(r.t, st.Tokens)
+	system.RequireCompleteStream(r.t, st.Tokens)
 	r.stream("streamed", st.Tokens)
 	r.call(http.MethodPost, "/v1/chat/completions", fmt.Sprintf(
 		`{"model":%q,"max_tokens":4,"messages":[{"role":"user","content":%q}]}`, w.model, w.prompt))
@@ -198,7 +198,7 @@
 	for _, args := range [][]string{
 		{"zone", "drain", w.zone}, {"zone", "list"}, {"zone", "restore", w.zone}, {"zone", "list"},
 	} {
-		code, stdout, _ := r.s.Run(r.t, r.s.Instances[0], "", args...)
+		code, stdout, _ := r.s.RunCommand(r.t, r.s.Instances[0], "", args...)
 		r.note("$ pollenspindle %s\n%sexit %d", strings.Join(args, " "), stdout, code)
 	}
 }
@@ -213,12 +213,12 @@
 	for err == nil {
 		_, err = st.Next()
 	}
-	require.ErrorIs(r.t, err, system.ErrCut)
+	require.ErrorIs(r.t, err, system.ErrStreamInterrupted)
 	rest, err := r.c.Resume(r.t.Context(), r.t, r.s.Instances[1].Caller, st.ID, int64(len(st.Tokens)))
 	require.NoError(r.t, err)
 	require.NoError(r.t, rest.Read(0))
 	all := slices.Concat(st.Tokens, rest.Tokens)
-	system.RequireWhole(r.t, all)
+	system.RequireCompleteStream(r.t, all)
 	r.stream("both parts", all)
 }
 
--- a/test/soak/caller_test.go
+++ b/test/soak/caller_test.go
@@ -54,7 +54,7 @@
 		err = st.Read(0)
 		st.Close()
 		tokens = append(tokens, st.Tokens...)
-		if !errors.Is(err, system.ErrCut) || len(tokens) == 0 {
+		if !errors.Is(err, system.ErrStreamInterrupted) || len(tokens) == 0 {
 			break
 		}
 		st, err = caller.Resume(ctx, t, c.instance(rng).Caller, st.ID, tokens[len(tokens)-1].Position)
@@ -113,7 +113,7 @@
 			end := system.Token{Position: tokens[len(tokens)-1].Position + 1, Finish: "cut"}
 			tokens = append(tokens, end)
 		}
-		system.RequireWhole(t, tokens)
+		system.RequireCompleteStream(t, tokens)
 	}
 	effects := map[string]int{}
 	for name, node := range c.s.Servers {
--- a/test/soak/observe_test.go
+++ b/test/soak/observe_test.go
@@ -19,7 +19,7 @@
 	for ctx.Err() == nil {
 		for _, in := range s.Instances {
 			asking, cancel := context.WithTimeout(ctx, time.Second)
-			version := s.Version(asking, t, in)
+			version := s.ConfigVersion(asking, t, in)
 			cancel()
 			if version == 0 {
 				continue
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -247,7 +247,7 @@
 func (f *injector) change(t *testing.T, zone string, call zoneCall) bool {
 	for _, in := range f.s.Instances {
 		ctx, cancel := context.WithTimeout(t.Context(), promised)
-		_, err := call(f.s.Operators(t, in), ctx, zone, operatorapi.ChangeRequest{Author: "soak"})
+		_, err := call(f.s.OperatorClient(t, in), ctx, zone, operatorapi.ChangeRequest{Author: "soak"})
 		cancel()
 		if err == nil {
 			return true
--- a/test/system/accepted_test.go
+++ b/test/system/accepted_test.go
@@ -18,7 +18,7 @@
 // there. Told of an error, the operator would change something again.
 func TestAcceptedChangeWithLostAnswers(t *testing.T) {
 	s := system.Start(t, system.Options{})
-	ops := s.Operators(t, s.Instances[1])
+	ops := s.OperatorClient(t, s.Instances[1])
 	for i := range 8 {
 		// A change is two writes: its record, and the head that accepts it.
 		lost, spared := 1+i/2, i%2
--- a/test/system/caller.go
+++ b/test/system/caller.go
@@ -22,9 +22,9 @@
 	"pollenspindle.example/pollenspindle/internal/standin/service"
 )
 
-// Addresses returns the answer of GET /v1/instances of an instance, nil if it
+// ListedInstances returns the answer of GET /v1/instances of an instance, nil if it
 // gives none.
-func (s *System) Addresses(t testing.TB, in *Instance) []caller.InstanceAnswer {
+func (s *System) ListedInstances(t testing.TB, in *Instance) []caller.InstanceAnswer {
 	t.Helper()
 	res, err := http.DefaultClient.Do(request(t.Context(), t, http.MethodGet, "http://"+in.Caller+"/v1/instances", "", nil))
 	if err != nil {
@@ -120,8 +120,8 @@
 	Failure *answer.Detail
 }
 
-// ErrCut means that the stream ended without [DONE] and without an error event.
-var ErrCut = errors.New("stream was cut")
+// ErrStreamInterrupted means that the stream ended without [DONE] and without an error event.
+var ErrStreamInterrupted = errors.New("stream was cut")
 
 // Generate starts a streamed chat completion.
 func (c *Caller) Generate(ctx context.Context, t testing.TB, address, model, prompt string, maxTokens int) (*Stream, error) {
@@ -208,7 +208,7 @@
 		s.Tokens = append(s.Tokens, tok)
 		return tok, nil
 	}
-	return tok, ErrCut
+	return tok, ErrStreamInterrupted
 }
 
 // Read reads n tokens, or to the end when n is 0. It returns nil at the end
@@ -229,9 +229,9 @@
 	_ = s.body.Close()
 }
 
-// RequireWhole checks that tokens, of one stream or of several that resumed one
+// RequireCompleteStream checks that tokens, of one stream or of several that resumed one
 // another, are every token once, in order, from one generation.
-func RequireWhole(t testing.TB, tokens []Token) {
+func RequireCompleteStream(t testing.TB, tokens []Token) {
 	t.Helper()
 	require.NotEmpty(t, tokens)
 	tag := ""
--- a/test/system/commands.go
+++ b/test/system/commands.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Run runs a command of the built program as an operator of an instance, with
+// RunCommand runs a command of the built program as an operator of an instance, with
 // stdin, and returns its exit code and both outputs.
-func (s *System) Run(t testing.TB, in *Instance, stdin string, args ...string) (code int, stdout, stderr string) {
+func (s *System) RunCommand(t testing.TB, in *Instance, stdin string, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	token := filepath.Join(s.dir, "operator.token")
 	require.NoError(t, os.WriteFile(token, []byte(operatorToken), 0o600))
--- a/test/system/keys_test.go
+++ b/test/system/keys_test.go
@@ -69,5 +69,5 @@
 	require.Equal(t, http.StatusOK, rest.Status, "%v", rest.Failure)
 	require.NoError(t, rest.Read(0))
 	require.Nil(t, rest.Failure)
-	system.RequireWhole(t, append(st.Tokens, rest.Tokens...))
+	system.RequireCompleteStream(t, append(st.Tokens, rest.Tokens...))
 }
--- a/test/system/observe.go
+++ b/test/system/observe.go
@@ -15,13 +15,13 @@
 	"pollenspindle.example/pollenspindle/internal/standin/engine"
 )
 
-// Running returns how many requests the owners of a backend server count as
+// RunningRequests returns how many requests the owners of a backend server count as
 // running there, the most that any instance says.
-func (s *System) Running(t testing.TB, server string) int {
+func (s *System) RunningRequests(t testing.TB, server string) int {
 	t.Helper()
 	most := 0
 	for _, in := range s.Instances {
-		c := s.Operators(t, in)
+		c := s.OperatorClient(t, in)
 		list, err := c.Servers(t.Context())
 		require.NoError(t, err, in.ID)
 		for _, each := range list.Servers {
@@ -38,15 +38,15 @@
 func (s *System) WaitIdle(t testing.TB) {
 	t.Helper()
 	for name := range s.Servers {
-		require.Eventually(t, func() bool { return s.Running(t, name) == 0 },
-			Patience, 10*PollEach, "places on %s are still held", name)
+		require.Eventually(t, func() bool { return s.RunningRequests(t, name) == 0 },
+			WaitTimeout, 10*PollInterval, "places on %s are still held", name)
 	}
 }
 
-// Version returns the version of the configuration that an instance itself has
+// ConfigVersion returns the version of the configuration that an instance itself has
 // in force, 0 if it has none or doesn't answer. The operators' query for the
 // configuration doesn't tell: it asks the platform for the newest.
-func (s *System) Version(ctx context.Context, t testing.TB, in *Instance) int64 {
+func (s *System) ConfigVersion(ctx context.Context, t testing.TB, in *Instance) int64 {
 	t.Helper()
 	c, err := operatorapi.NewClient(in.Operator, operatorToken)
 	require.NoError(t, err)
@@ -92,14 +92,14 @@
 	return text + strings.Repeat("x", 4*n-len("user\n\n")-len(text))
 }
 
-// Ran returns the servers whose model engines have started a generation with
+// GenerationsByServer returns the servers whose model engines have started a generation with
 // a prompt of n tokens, with their entries. Engines that don't answer are left
 // out.
-func (s *System) Ran(t testing.TB, n int) map[string][]engine.Entry {
+func (s *System) GenerationsByServer(t testing.TB, n int) map[string][]engine.Entry {
 	t.Helper()
 	ran := map[string][]engine.Entry{}
 	for name, node := range s.Servers {
-		if node.args[0] != "engine" || node.Process.Ended() {
+		if node.args[0] != "engine" || node.Process.Exited() {
 			continue
 		}
 		for _, entry := range s.EngineLedger(t, name).Generations {
@@ -111,11 +111,11 @@
 	return ran
 }
 
-// Slow makes all model engines that run factor times slower, 1 ends it.
-func (s *System) Slow(t testing.TB, factor float64) {
+// SlowEngines makes all model engines that run factor times slower, 1 ends it.
+func (s *System) SlowEngines(t testing.TB, factor float64) {
 	t.Helper()
 	for _, node := range s.Servers {
-		if node.args[0] == "engine" && !node.Process.Ended() {
+		if node.args[0] == "engine" && !node.Process.Exited() {
 			s.Control(t, node.Address, http.MethodPost, "/control/slow", map[string]float64{"factor": factor})
 		}
 	}
--- a/test/system/operate_test.go
+++ b/test/system/operate_test.go
@@ -38,7 +38,7 @@
 	refused := header.Get("X-Request-Id")
 
 	config := func() string {
-		code, out, stderr := s.Run(t, first, "", "config", "show")
+		code, out, stderr := s.RunCommand(t, first, "", "config", "show")
 		require.Zero(t, code, stderr)
 		return out
 	}
@@ -83,7 +83,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(strings.Join(tt.args[:min(2, len(tt.args))], " "), func(t *testing.T) {
-			code, stdout, stderr := s.Run(t, first, tt.stdin, tt.args...)
+			code, stdout, stderr := s.RunCommand(t, first, tt.stdin, tt.args...)
 			require.Equal(t, tt.code, code, "%s\n%s", stdout, stderr)
 			require.Regexp(t, tt.stdout, stdout)
 			require.Regexp(t, tt.stderr, stderr)
--- a/test/system/system.go
+++ b/test/system/system.go
@@ -40,11 +40,11 @@
 
 const (
 	operatorToken = "operator-of-the-test"
-	// Patience bounds waiting for a state that comes within seconds. It is
+	// WaitTimeout bounds waiting for a state that comes within seconds. It is
 	// generous, because the machine may be busy.
-	Patience = 60 * time.Second
-	// PollEach is the time between two looks at such a state.
-	PollEach = 20 * time.Millisecond
+	WaitTimeout = 60 * time.Second
+	// PollInterval is the time between two looks at such a state.
+	PollInterval = 20 * time.Millisecond
 )
 
 // Options says what to start. Zero fields take defaults.
@@ -53,9 +53,9 @@
 	Deployment string
 	// Instances is the number of entry instances; 0 means 3.
 	Instances int
-	// Whole starts all backend servers of the deployment, not one model
+	// AllServers starts all backend servers of the deployment, not one model
 	// engine in each availability zone and one plain server.
-	Whole bool
+	AllServers bool
 	// TimeScale is how much faster than nominal the engines run; 0 means 4.
 	TimeScale float64
 	// EngineArgs and ServiceArgs are added to the arguments of each stand-in,
@@ -160,7 +160,7 @@
 func (n *Node) start(t testing.TB, bin string) {
 	t.Helper()
 	n.Process = process.Start(t, filepath.Join(bin, "standin"), n.args...)
-	n.Process.Line(t, "listening ")
+	n.Process.WaitForLine(t, "listening ")
 }
 
 // Restart starts the process of a backend server again, at its old address.
@@ -174,7 +174,7 @@
 func (s *System) declared(t testing.TB) *pollenspindle.Config {
 	t.Helper()
 	var args []string
-	if !s.opts.Whole {
+	if !s.opts.AllServers {
 		args = append(args, "--small")
 	}
 	out, err := exec.CommandContext(context.Background(), filepath.Join(s.bin, s.opts.Deployment), args...).Output()
@@ -238,7 +238,7 @@
 	in.SettingsFile = filepath.Join(s.dir, in.ID+".jsonc")
 	writeSettings(t, in, cfg)
 	s.Instances = append(s.Instances, in)
-	s.List(t, in, instancelist.StateLive)
+	s.SetInstanceState(t, in, instancelist.StateLive)
 	s.startInstance(in)
 	return in
 }
@@ -281,9 +281,9 @@
 	s.RestartInstance(t, in)
 }
 
-// List changes what the platform's instance list says of an instance. An
+// SetInstanceState changes what the platform's instance list says of an instance. An
 // empty state removes it.
-func (s *System) List(t testing.TB, in *Instance, state instancelist.State) {
+func (s *System) SetInstanceState(t testing.TB, in *Instance, state instancelist.State) {
 	t.Helper()
 	s.listed = slices.DeleteFunc(s.listed, func(l instancelist.Instance) bool { return l.ID == in.ID })
 	if state != "" {
@@ -312,8 +312,8 @@
 	return out
 }
 
-// Operators returns a client for the operators' listener of an instance.
-func (s *System) Operators(t testing.TB, in *Instance) *operatorapi.Client {
+// OperatorClient returns a client for the operators' listener of an instance.
+func (s *System) OperatorClient(t testing.TB, in *Instance) *operatorapi.Client {
 	t.Helper()
 	c, err := operatorapi.NewClient(in.Operator, operatorToken)
 	require.NoError(t, err)
@@ -327,7 +327,7 @@
 	var version int64
 	require.Eventually(t, func() bool {
 		for _, in := range s.Instances {
-			c := s.Operators(t, in)
+			c := s.OperatorClient(t, in)
 			current, err := c.Configuration(t.Context())
 			if err != nil {
 				continue
@@ -341,7 +341,7 @@
 			}
 		}
 		return false
-	}, Patience, PollEach, "configuration is not accepted")
+	}, WaitTimeout, PollInterval, "configuration is not accepted")
 	return version
 }
 
@@ -351,8 +351,8 @@
 	t.Helper()
 	for _, in := range s.Instances {
 		require.Eventually(t, func() bool {
-			return s.get(t, in, "/readyz") == http.StatusOK && len(s.Addresses(t, in)) == len(s.Instances)
-		}, Patience, PollEach, "%s is not ready", in.ID)
+			return s.get(t, in, "/readyz") == http.StatusOK && len(s.ListedInstances(t, in)) == len(s.Instances)
+		}, WaitTimeout, PollInterval, "%s is not ready", in.ID)
 	}
 }
 
--- a/test/system/system_test.go
+++ b/test/system/system_test.go
@@ -26,12 +26,12 @@
 	for err == nil {
 		_, err = st.Next()
 	}
-	require.ErrorIs(t, err, system.ErrCut)
+	require.ErrorIs(t, err, system.ErrStreamInterrupted)
 	last := st.Tokens[len(st.Tokens)-1].Position
 
 	rest, err := c.Resume(context.Background(), t, s.Instances[1].Caller, st.ID, last)
 	require.NoError(t, err)
 	require.NoError(t, rest.Read(0))
 	require.Nil(t, rest.Failure)
-	system.RequireWhole(t, append(st.Tokens, rest.Tokens...))
+	system.RequireCompleteStream(t, append(st.Tokens, rest.Tokens...))
 }
