--- a/test/system/caller.go
+++ b/test/system/caller.go
@@ -22,11 +22,11 @@
 	"pollenspindle.example/pollenspindle/internal/standin/service"
 )
 
-// ListedInstances returns the answer of GET /v1/instances of an instance, nil if it
-// gives none.
+// ListedInstances returns the response of an instance to GET /v1/instances, or nil if the request
+// fails.
 func (s *System) ListedInstances(t testing.TB, in *Instance) []caller.InstanceAnswer {
 	t.Helper()
-	res, err := http.DefaultClient.Do(request(t.Context(), t, http.MethodGet, "http://"+in.Caller+"/v1/instances", "", nil))
+	res, err := http.DefaultClient.Do(newRequest(t.Context(), t, http.MethodGet, "http://"+in.Caller+"/v1/instances", "", nil))
 	if err != nil {
 		return nil
 	}
@@ -42,7 +42,7 @@
 type Caller struct {
 	// Token is the bearer token.
 	Token string
-	// Client is used for all calls; each Caller has its own connections.
+	// Client sends all requests; each Caller has its own connections.
 	Client *http.Client
 }
 
@@ -54,7 +54,7 @@
 	}
 }
 
-func request(ctx context.Context, t testing.TB, method, url, token string, body []byte) *http.Request {
+func newRequest(ctx context.Context, t testing.TB, method, url, token string, body []byte) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	require.NoError(t, err)
@@ -67,14 +67,14 @@
 	return req
 }
 
-// Reply is a whole answer.
+// Reply is a complete HTTP response.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Failure returns the error of an answer that is one.
+// Failure returns the error detail of an error response.
 func (r Reply) Failure(t testing.TB) answer.Detail {
 	t.Helper()
 	var b answer.Body
@@ -82,11 +82,11 @@
 	return b.Error
 }
 
-// Call does one call and reads the whole answer. An error means that the
-// connection failed.
+// Call sends one request and reads the complete response. It returns an error if the connection
+// failed.
 func (c *Caller) Call(ctx context.Context, t testing.TB, method, address, path string, body []byte, header ...string) (Reply, error) {
 	t.Helper()
-	req := request(ctx, t, method, "http://"+address+path, c.Token, body)
+	req := newRequest(ctx, t, method, "http://"+address+path, c.Token, body)
 	for i := 0; i+1 < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
@@ -107,21 +107,21 @@
 	At       time.Time
 }
 
-// Stream is a streamed generation as its caller sees it.
+// Stream is a streamed generation as seen by its caller.
 type Stream struct {
 	ID     string
 	Status int
 
 	body    io.ReadCloser
 	scanner *bufio.Scanner
-	// Tokens are the events so far.
+	// Tokens are the events received so far.
 	Tokens []Token
-	// Failure is the error event that ended the stream, if one did.
+	// Failure is the error event that ended the stream, or nil.
 	Failure *answer.Detail
 }
 
 // ErrStreamInterrupted means that the stream ended without [DONE] and without an error event.
-var ErrStreamInterrupted = errors.New("stream was cut")
+var ErrStreamInterrupted = errors.New("stream ended without [DONE] or an error event")
 
 // Generate starts a streamed chat completion.
 func (c *Caller) Generate(ctx context.Context, t testing.TB, address, model, prompt string, maxTokens int) (*Stream, error) {
@@ -131,13 +131,13 @@
 		"messages": []map[string]string{{"role": "user", "content": prompt}},
 	})
 	require.NoError(t, err)
-	return c.stream(request(ctx, t, http.MethodPost, "http://"+address+"/v1/chat/completions", c.Token, body))
+	return c.stream(newRequest(ctx, t, http.MethodPost, "http://"+address+"/v1/chat/completions", c.Token, body))
 }
 
-// Resume goes on with a generation after a position.
+// Resume resumes a generation after a position.
 func (c *Caller) Resume(ctx context.Context, t testing.TB, address, id string, after int64) (*Stream, error) {
 	t.Helper()
-	req := request(ctx, t, http.MethodGet, "http://"+address+"/v1/generations/"+id, c.Token, nil)
+	req := newRequest(ctx, t, http.MethodGet, "http://"+address+"/v1/generations/"+id, c.Token, nil)
 	req.Header.Set("Last-Event-ID", strconv.FormatInt(after, 10))
 	return c.stream(req)
 }
@@ -162,7 +162,7 @@
 	return s, nil
 }
 
-// chunk is the part of an OpenAI chunk that tests look at.
+// chunk holds the fields of an OpenAI chunk that the tests use.
 type chunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -176,7 +176,7 @@
 }
 
 // Next reads one token. It returns io.EOF after [DONE] or an error event, and
-// ErrCut when the connection ended before either.
+// ErrStreamInterrupted if the connection ended before either.
 func (s *Stream) Next() (Token, error) {
 	var tok Token
 	for s.scanner != nil && s.scanner.Scan() {
@@ -211,8 +211,8 @@
 	return tok, ErrStreamInterrupted
 }
 
-// Read reads n tokens, or to the end when n is 0. It returns nil at the end
-// and after n tokens.
+// Read reads n tokens, or all remaining tokens if n is 0. It returns nil after n tokens or at the
+// end of the stream.
 func (s *Stream) Read(n int) error {
 	for i := 0; n == 0 || i < n; i++ {
 		if _, err := s.Next(); errors.Is(err, io.EOF) {
@@ -224,13 +224,13 @@
 	return nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (s *Stream) Close() {
 	_ = s.body.Close()
 }
 
-// RequireCompleteStream checks that tokens, of one stream or of several that resumed one
-// another, are every token once, in order, from one generation.
+// RequireCompleteStream checks that tokens, received over one stream or over several that resume
+// one another, are all tokens of one generation, each once and in order.
 func RequireCompleteStream(t testing.TB, tokens []Token) {
 	t.Helper()
 	require.NotEmpty(t, tokens)
@@ -241,7 +241,7 @@
 			require.Len(t, tokens, i+1, "events after the end")
 			return
 		}
-		// The stand-in's token n of a generation is "wN-TAG ".
+		// Token n of a generation of the stand-in is "wN-TAG ".
 		number, own, ok := strings.Cut(strings.TrimSpace(tok.Text), "-")
 		require.True(t, ok, "token %q", tok.Text)
 		require.Equal(t, fmt.Sprint("w", tok.Position), number)
@@ -250,11 +250,11 @@
 		}
 		require.Equal(t, tag, own, "token of another generation")
 	}
-	require.Fail(t, "no end", "%d tokens", len(tokens))
+	require.Fail(t, "stream has no end", "%d tokens", len(tokens))
 }
 
-// EngineLedger returns what a model engine has done, across its incarnations
-// since the process started.
+// EngineLedger returns the ledger of a model engine, which covers all incarnations since its
+// process started.
 func (s *System) EngineLedger(t testing.TB, server string) engine.Ledger {
 	t.Helper()
 	var l engine.Ledger
@@ -263,7 +263,7 @@
 	return l
 }
 
-// ServiceLedger returns the effects of a plain server.
+// ServiceLedger returns the ledger of a plain server, which records the effects of its calls.
 func (s *System) ServiceLedger(t testing.TB, server string) service.Ledger {
 	t.Helper()
 	var l service.Ledger
--- a/test/system/commands.go
+++ b/test/system/commands.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// RunCommand runs a command of the built program as an operator of an instance, with
-// stdin, and returns its exit code and both outputs.
+// RunCommand runs a command of the built program as an operator of an instance, with the given
+// standard input. It returns the exit code and both outputs.
 func (s *System) RunCommand(t testing.TB, in *Instance, stdin string, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	token := filepath.Join(s.dir, "operator.token")
--- a/test/system/accepted_test.go
+++ b/test/system/lost_responses_test.go
@@ -11,16 +11,15 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// TestAcceptedChangeWithLostAnswers: an operator's change is accepted by the
-// platform, and the answer of the accepting write is lost, or that of the write
-// before it, for one try or several. The operator is told that it is accepted,
-// and it is so once: after a lost answer the instance looks whose change is
-// there. Told of an error, the operator would change something again.
-func TestAcceptedChangeWithLostAnswers(t *testing.T) {
+// TestApplyWithLostPlatformResponses loses the platform's responses to the writes of an accepted
+// configuration change: to the accepting write or the write before it, once or several times. The
+// operator must see the change accepted, exactly once: after a lost response the instance reads
+// back whose change is stored. An error would make the operator apply the change again.
+func TestApplyWithLostPlatformResponses(t *testing.T) {
 	s := system.Start(t, system.Options{})
 	ops := s.OperatorClient(t, s.Instances[1])
 	for i := range 8 {
-		// A change is two writes: its record, and the head that accepts it.
+		// A change consists of two writes: its record, and the head that accepts it.
 		lost, spared := 1+i/2, i%2
 		base, err := ops.Configuration(t.Context())
 		require.NoError(t, err)
--- a/test/system/observe.go
+++ b/test/system/observe.go
@@ -15,37 +15,36 @@
 	"pollenspindle.example/pollenspindle/internal/standin/engine"
 )
 
-// RunningRequests returns how many requests the owners of a backend server count as
-// running there, the most that any instance says.
+// RunningRequests returns the number of requests that run on a backend server according to its
+// owners. If instances disagree, it returns the maximum.
 func (s *System) RunningRequests(t testing.TB, server string) int {
 	t.Helper()
-	most := 0
+	highest := 0
 	for _, in := range s.Instances {
 		c := s.OperatorClient(t, in)
 		list, err := c.Servers(t.Context())
 		require.NoError(t, err, in.ID)
 		for _, each := range list.Servers {
 			if each.Name == server {
-				most = max(most, each.Status.Running)
+				highest = max(highest, each.Status.Running)
 			}
 		}
 	}
-	return most
+	return highest
 }
 
-// WaitIdle waits until no owner counts anything as running on any backend
-// server.
+// WaitIdle waits until no owner counts a request as running on any backend server.
 func (s *System) WaitIdle(t testing.TB) {
 	t.Helper()
 	for name := range s.Servers {
 		require.Eventually(t, func() bool { return s.RunningRequests(t, name) == 0 },
-			WaitTimeout, 10*PollInterval, "places on %s are still held", name)
+			WaitTimeout, 10*PollInterval, "%s still has running requests", name)
 	}
 }
 
-// ConfigVersion returns the version of the configuration that an instance itself has
-// in force, 0 if it has none or doesn't answer. The operators' query for the
-// configuration doesn't tell: it asks the platform for the newest.
+// ConfigVersion returns the version of the configuration that is in force on an instance, or 0 if
+// it has none or doesn't respond. The operator API's configuration query can't be used for this:
+// it asks the platform for the newest version.
 func (s *System) ConfigVersion(ctx context.Context, t testing.TB, in *Instance) int64 {
 	t.Helper()
 	c, err := operatorapi.NewClient(in.Operator, operatorToken)
@@ -66,7 +65,7 @@
 // Metric returns the sum of an instance's metrics whose name ends in suffix.
 func (s *System) Metric(t testing.TB, in *Instance, suffix string) float64 {
 	t.Helper()
-	res, err := http.DefaultClient.Do(request(t.Context(), t, http.MethodGet, "http://"+in.Operator+"/metrics", operatorToken, nil))
+	res, err := http.DefaultClient.Do(newRequest(t.Context(), t, http.MethodGet, "http://"+in.Operator+"/metrics", operatorToken, nil))
 	require.NoError(t, err)
 	defer func() { _ = res.Body.Close() }()
 	sum := 0.0
@@ -83,18 +82,16 @@
 	return sum
 }
 
-// Prompt returns a chat prompt that a model engine counts as n tokens, so that
-// its ledger shows which request it ran. n is at least 8.
+// Prompt returns a chat prompt that a model engine counts as n tokens, so that the request can be
+// found in the engine's ledger. n is at least 8.
 func Prompt(n int) string {
-	// The engine counts "user\n" and a line end beside the content, four
-	// bytes a token.
+	// The engine also counts "user\n" and a trailing newline, at four bytes per token.
 	text := fmt.Sprintf("%d: briefing and plan: ", n)
 	return text + strings.Repeat("x", 4*n-len("user\n\n")-len(text))
 }
 
-// GenerationsByServer returns the servers whose model engines have started a generation with
-// a prompt of n tokens, with their entries. Engines that don't answer are left
-// out.
+// GenerationsByServer returns, by server, the ledger entries of generations whose prompt has n
+// tokens. Engines whose process has exited are left out.
 func (s *System) GenerationsByServer(t testing.TB, n int) map[string][]engine.Entry {
 	t.Helper()
 	ran := map[string][]engine.Entry{}
@@ -111,7 +108,7 @@
 	return ran
 }
 
-// SlowEngines makes all model engines that run factor times slower, 1 ends it.
+// SlowEngines makes all running model engines factor times slower; 1 restores the normal speed.
 func (s *System) SlowEngines(t testing.TB, factor float64) {
 	t.Helper()
 	for _, node := range s.Servers {
--- a/test/system/operate_test.go
+++ b/test/system/operator_test.go
@@ -15,8 +15,8 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// exchange runs one request to its end and returns its answer's header.
-func exchange(t *testing.T, s *system.System, in *system.Instance, workspace, method, path, body string) (int, http.Header) {
+// sendRequest sends one request, reads the response and returns its status and header.
+func sendRequest(t *testing.T, s *system.System, in *system.Instance, workspace, method, path, body string) (int, http.Header) {
 	t.Helper()
 	reply, err := s.Caller(workspace).Call(t.Context(), t, method, in.Caller, path, []byte(body))
 	require.NoError(t, err)
@@ -25,15 +25,15 @@
 
 const briefing = `{"model":"flight-briefing","stream":true,"max_tokens":5,"messages":[{"role":"user","content":"x"}]}`
 
-// An operator works through a session with the built program against a running
-// deployment: each command, its exit code, and what it says.
-func TestOperatorsSession(t *testing.T) {
+// TestOperatorCommands runs the operator commands of the built program against a running
+// deployment and checks exit code and output of each.
+func TestOperatorCommands(t *testing.T) {
 	s := system.Start(t, system.Options{EngineArgs: []string{"--load-millis", "10", "--model", "airworthiness"}})
 	first := s.Instances[0]
-	status, header := exchange(t, s, s.Instances[1], "kigali-flyers", http.MethodPost, "/v1/chat/completions", strings.Replace(briefing, "flight-briefing", "airworthiness", 1))
+	status, header := sendRequest(t, s, s.Instances[1], "kigali-flyers", http.MethodPost, "/v1/chat/completions", strings.Replace(briefing, "flight-briefing", "airworthiness", 1))
 	require.Equal(t, http.StatusOK, status)
 	generation := header.Get("X-Generation-Id")
-	status, header = exchange(t, s, s.Instances[2], "kigali-flyers", http.MethodPost, "/v1/chat/completions", strings.Replace(briefing, "flight-briefing", "none", 1))
+	status, header = sendRequest(t, s, s.Instances[2], "kigali-flyers", http.MethodPost, "/v1/chat/completions", strings.Replace(briefing, "flight-briefing", "none", 1))
 	require.Equal(t, http.StatusNotFound, status)
 	refused := header.Get("X-Request-Id")
 
@@ -100,8 +100,9 @@
 	labelName  = regexp.MustCompile(`(\w+)="`)
 )
 
-// A scrape has each measure; what callers send can't add series to it.
-func TestMetricsAreThereAndBounded(t *testing.T) {
+// TestMetricsPresentAndBounded checks that all metrics are exported and that requests of callers
+// can't add further series.
+func TestMetricsPresentAndBounded(t *testing.T) {
 	s := system.Start(t, system.Options{Instances: 1})
 	in := s.Instances[0]
 	scrape := func() string {
@@ -113,10 +114,10 @@
 		return string(body)
 	}
 	traffic := func(workspace string) {
-		exchange(t, s, in, workspace, http.MethodPost, "/v1/chat/completions", briefing)
-		exchange(t, s, in, workspace, http.MethodPost, "/v1/chat/completions", strings.Replace(briefing, "flight", workspace, 1))
-		exchange(t, s, in, workspace, http.MethodGet, "/v1/services/club-desk/rosters/"+workspace, "")
-		exchange(t, s, in, workspace, http.MethodGet, "/"+workspace, "")
+		sendRequest(t, s, in, workspace, http.MethodPost, "/v1/chat/completions", briefing)
+		sendRequest(t, s, in, workspace, http.MethodPost, "/v1/chat/completions", strings.Replace(briefing, "flight", workspace, 1))
+		sendRequest(t, s, in, workspace, http.MethodGet, "/v1/services/club-desk/rosters/"+workspace, "")
+		sendRequest(t, s, in, workspace, http.MethodGet, "/"+workspace, "")
 	}
 	traffic("kigali-flyers")
 	names := []string{
@@ -144,7 +145,7 @@
 			traffic(w.Name)
 		}
 	}
-	// Counters move to the endpoint together, each second.
+	// The counters are copied to the metrics endpoint together, once per second.
 	all := fmt.Sprintf(`pollenspindle_caller_failures{code="unknownModel",entry_zone="kigali-a"} %d`, 1+3*len(s.Config.Workspaces))
 	require.Eventually(t, func() bool {
 		text = scrape()
@@ -163,6 +164,6 @@
 	}
 }
 
-// maxSeries is for three availability zones, three services and all codes. At
-// 350 instances it is under 200,000 series in the whole fleet.
+// maxSeries is the limit for one instance with three availability zones, three services and all
+// codes. With 350 instances it keeps the fleet below 200,000 series.
 const maxSeries = 500
--- a/test/system/system_test.go
+++ b/test/system/resume_test.go
@@ -10,11 +10,9 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// TestResumeAfterKill: the caller sees its stream break off and goes on
-// through another instance. The instance that relayed the stream is killed
-// with -9; the generation runs on in the engine, and the id alone tells any
-// other instance where. Every token arrives once, in order, from one
-// generation.
+// TestResumeAfterKill kills the instance that relays a stream; the generation continues on the
+// engine. The caller resumes through another instance, which locates the generation by its ID
+// alone. Every token must arrive once, in order, from one generation.
 func TestResumeAfterKill(t *testing.T) {
 	s := system.Start(t, system.Options{})
 	c := s.Caller("kigali-flyers")
@@ -29,9 +27,9 @@
 	require.ErrorIs(t, err, system.ErrStreamInterrupted)
 	last := st.Tokens[len(st.Tokens)-1].Position
 
-	rest, err := c.Resume(context.Background(), t, s.Instances[1].Caller, st.ID, last)
+	resumed, err := c.Resume(context.Background(), t, s.Instances[1].Caller, st.ID, last)
 	require.NoError(t, err)
-	require.NoError(t, rest.Read(0))
-	require.Nil(t, rest.Failure)
-	system.RequireCompleteStream(t, append(st.Tokens, rest.Tokens...))
+	require.NoError(t, resumed.Read(0))
+	require.Nil(t, resumed.Failure)
+	system.RequireCompleteStream(t, append(st.Tokens, resumed.Tokens...))
 }
--- a/test/system/system.go
+++ b/test/system/system.go
@@ -1,6 +1,6 @@
-// Package system starts a whole deployment of real processes for tests:
-// entry instances, the platform, model engines and plain services, with a
-// fault-injecting proxy on each link. The product does not use it.
+// Package system starts a complete deployment of real processes for tests: entry instances, the
+// platform, model engines and plain services, with a fault-injecting proxy on each link. It is
+// not part of the product.
 //
 // # Usage
 //
@@ -40,31 +40,31 @@
 
 const (
 	operatorToken = "operator-of-the-test"
-	// WaitTimeout bounds waiting for a state that comes within seconds. It is
-	// generous, because the machine may be busy.
+	// WaitTimeout limits the wait for a state that is normally reached within seconds. It is generous
+	// because the machine may be busy.
 	WaitTimeout = 60 * time.Second
-	// PollInterval is the time between two looks at such a state.
+	// PollInterval is the time between two checks for such a state.
 	PollInterval = 20 * time.Millisecond
 )
 
-// Options says what to start. Zero fields take defaults.
+// Options configures the deployment. Zero fields take defaults.
 type Options struct {
 	// Deployment is inyange or mavuno; empty means inyange.
 	Deployment string
 	// Instances is the number of entry instances; 0 means 3.
 	Instances int
-	// AllServers starts all backend servers of the deployment, not one model
-	// engine in each availability zone and one plain server.
+	// AllServers starts all backend servers of the deployment. Otherwise one model engine per
+	// availability zone and one plain server are started.
 	AllServers bool
-	// TimeScale is how much faster than nominal the engines run; 0 means 4.
+	// TimeScale is the speed of the engines relative to the nominal one; 0 means 4.
 	TimeScale float64
-	// EngineArgs and ServiceArgs are added to the arguments of each stand-in,
-	// ServerArgs to those of one backend server.
+	// EngineArgs and ServiceArgs are appended to the arguments of each stand-in, ServerArgs to
+	// those of the backend server with that name.
 	EngineArgs, ServiceArgs []string
 	ServerArgs              map[string][]string
-	// Settings changes the settings of an instance before its start.
+	// Settings modifies the settings of each instance before it starts.
 	Settings func(s *settings.Settings)
-	// Config changes the configuration before it is applied.
+	// Config modifies the configuration before it is applied.
 	Config func(c *pollenspindle.Config)
 }
 
@@ -76,33 +76,33 @@
 	Servers map[string]*Node
 	Config  *pollenspindle.Config
 
-	// t ends the processes, also those that a subtest starts again.
-	t             testing.TB
-	opts          Options
-	bin           string
-	dir           string
-	peerKey       string
-	generationKey string
-	listed        []instancelist.Instance
-	started       int
+	// t is the outer test: processes end with it, including those that a subtest restarts.
+	t                testing.TB
+	opts             Options
+	bin              string
+	dir              string
+	peerKey          string
+	generationKey    string
+	instanceList     []instancelist.Instance
+	startedInstances int
 }
 
-// Node is a process with a proxy before it.
+// Node is a process behind a proxy.
 type Node struct {
 	Name    string
 	Process *process.Process
-	// Address is the process itself, Proxy what the others connect to.
+	// Address is the address of the process; other processes connect to Proxy.
 	Address string
 	Proxy   *faultproxy.Proxy
 	args    []string
 }
 
-// Instance is an entry instance. Each has its own proxy towards the platform,
-// so that a single one can be cut off from it.
+// Instance is an entry instance. Each has its own proxy towards the platform, so that a single
+// instance can be cut off from it.
 type Instance struct {
 	ID      string
 	Process *process.Process
-	// Caller and Peer are the addresses that others are told; each is a proxy.
+	// Caller and Peer are the advertised addresses; each is that of a proxy.
 	Caller, Peer, Operator string
 	CallerProxy, PeerProxy *faultproxy.Proxy
 	PlatformProxy          *faultproxy.Proxy
@@ -110,7 +110,7 @@
 	Zone                   string
 }
 
-// Start starts a deployment and waits until every instance serves.
+// Start starts a deployment and waits until every instance is ready.
 func Start(t testing.TB, opts Options) *System {
 	t.Helper()
 	if opts.Deployment == "" {
@@ -124,10 +124,10 @@
 	}
 	s := &System{
 		t: t, opts: opts, bin: process.Build(t), dir: t.TempDir(), Servers: map[string]*Node{},
-		peerKey: key(t), generationKey: key(t),
+		peerKey: newKey(t), generationKey: newKey(t),
 	}
 	s.Platform = s.startNode(t, "platform", "platform", "--lag-millis", "200")
-	s.Config = s.declared(t)
+	s.Config = s.deploymentConfig(t)
 	s.startServers(t)
 	for range opts.Instances {
 		s.AddInstance(t)
@@ -137,14 +137,14 @@
 	return s
 }
 
-func key(t testing.TB) string {
+func newKey(t testing.TB) string {
 	raw := make([]byte, 32)
 	_, err := rand.Read(raw)
 	require.NoError(t, err)
 	return base64.StdEncoding.EncodeToString(raw)
 }
 
-// startNode starts a stand-in behind a proxy.
+// startNode starts a stand-in process behind a proxy.
 func (s *System) startNode(t testing.TB, name, command string, args ...string) *Node {
 	t.Helper()
 	n := &Node{Name: name, Address: process.Address(t)}
@@ -163,15 +163,16 @@
 	n.Process.WaitForLine(t, "listening ")
 }
 
-// Restart starts the process of a backend server again, at its old address.
+// Restart restarts the process of a backend server at the same address.
 func (s *System) Restart(t testing.TB, n *Node) {
 	t.Helper()
 	n.Process.Kill()
 	n.start(s.t, s.bin)
 }
 
-// declared runs the deployment's own program to print its configuration.
-func (s *System) declared(t testing.TB) *pollenspindle.Config {
+// deploymentConfig runs the example program of the deployment and returns the configuration that
+// it prints.
+func (s *System) deploymentConfig(t testing.TB) *pollenspindle.Config {
 	t.Helper()
 	var args []string
 	if !s.opts.AllServers {
@@ -211,17 +212,17 @@
 	}
 }
 
-// AddInstance starts one more entry instance and lists it as live.
+// AddInstance starts another entry instance and adds it as live to the platform's instance list.
 func (s *System) AddInstance(t testing.TB) *Instance {
 	t.Helper()
 	zones := s.Config.Zones
-	s.started++
-	in := &Instance{ID: fmt.Sprintf("entry-%d", s.started), Operator: process.Address(t)}
-	in.Zone = zones[(s.started-1)%len(zones)].Name
+	s.startedInstances++
+	in := &Instance{ID: fmt.Sprintf("entry-%d", s.startedInstances), Operator: process.Address(t)}
+	in.Zone = zones[(s.startedInstances-1)%len(zones)].Name
 	caller, peer := process.Address(t), process.Address(t)
-	in.CallerProxy = s.proxy(t, caller)
-	in.PeerProxy = s.proxy(t, peer)
-	in.PlatformProxy = s.proxy(t, s.Platform.Address)
+	in.CallerProxy = s.startProxy(t, caller)
+	in.PeerProxy = s.startProxy(t, peer)
+	in.PlatformProxy = s.startProxy(t, s.Platform.Address)
 	in.Caller, in.Peer = in.CallerProxy.Address(), in.PeerProxy.Address()
 	sum := sha256.Sum256([]byte(operatorToken))
 	cfg := settings.Settings{
@@ -243,7 +244,7 @@
 	return in
 }
 
-func (s *System) proxy(t testing.TB, target string) *faultproxy.Proxy {
+func (s *System) startProxy(t testing.TB, target string) *faultproxy.Proxy {
 	t.Helper()
 	p, err := faultproxy.Listen("127.0.0.1:0", target)
 	require.NoError(t, err)
@@ -255,8 +256,8 @@
 	in.Process = process.Start(s.t, filepath.Join(s.bin, "pollenspindle"), "serve", "--settings", in.SettingsFile)
 }
 
-// RestartInstance starts the process of an instance again: the same name and
-// addresses, nothing remembered.
+// RestartInstance restarts the process of an instance with the same name and addresses and no
+// retained state.
 func (s *System) RestartInstance(t testing.TB, in *Instance) {
 	t.Helper()
 	in.Process.Kill()
@@ -270,8 +271,7 @@
 	require.NoError(t, os.WriteFile(in.SettingsFile, data, 0o600))
 }
 
-// ChangeSettings changes the settings file of an instance and starts its
-// process again.
+// ChangeSettings changes the settings file of an instance and restarts its process.
 func (s *System) ChangeSettings(t testing.TB, in *Instance, change func(s *settings.Settings)) {
 	t.Helper()
 	cfg, err := settings.Load(in.SettingsFile)
@@ -281,21 +281,21 @@
 	s.RestartInstance(t, in)
 }
 
-// SetInstanceState changes what the platform's instance list says of an instance. An
-// empty state removes it.
+// SetInstanceState sets the state of an instance in the platform's instance list. An empty state
+// removes the instance from the list.
 func (s *System) SetInstanceState(t testing.TB, in *Instance, state instancelist.State) {
 	t.Helper()
-	s.listed = slices.DeleteFunc(s.listed, func(l instancelist.Instance) bool { return l.ID == in.ID })
+	s.instanceList = slices.DeleteFunc(s.instanceList, func(l instancelist.Instance) bool { return l.ID == in.ID })
 	if state != "" {
-		s.listed = append(s.listed, instancelist.Instance{
+		s.instanceList = append(s.instanceList, instancelist.Instance{
 			ID: in.ID, Address: in.Caller, PeerAddress: in.Peer, Zone: in.Zone, State: state,
 		})
 	}
-	s.Control(t, s.Platform.Address, http.MethodPut, "/control/instances", map[string]any{"instances": s.listed})
+	s.Control(t, s.Platform.Address, http.MethodPut, "/control/instances", map[string]any{"instances": s.instanceList})
 }
 
-// Control calls a stand-in directly, not through its proxy, and returns the
-// answer's body.
+// Control sends a request to a stand-in directly, bypassing its proxy, and returns the response
+// body.
 func (s *System) Control(t testing.TB, address, method, path string, body any) []byte {
 	t.Helper()
 	data, err := json.Marshal(body)
@@ -312,7 +312,7 @@
 	return out
 }
 
-// OperatorClient returns a client for the operators' listener of an instance.
+// OperatorClient returns a client for the operator API of an instance.
 func (s *System) OperatorClient(t testing.TB, in *Instance) *operatorapi.Client {
 	t.Helper()
 	c, err := operatorapi.NewClient(in.Operator, operatorToken)
@@ -321,7 +321,8 @@
 	return c
 }
 
-// Apply puts a configuration in force through the first instance that answers.
+// Apply applies a configuration through the first instance that accepts it and returns its
+// version.
 func (s *System) Apply(t testing.TB, cfg pollenspindle.Config) int64 {
 	t.Helper()
 	var version int64
@@ -345,18 +346,18 @@
 	return version
 }
 
-// WaitReady waits until each instance is ready and names all of them to
-// callers, and the backend servers have owners that know their load.
+// WaitReady waits until each instance is ready and returns all of them to callers, and the
+// backend servers have owners that know their load.
 func (s *System) WaitReady(t testing.TB) {
 	t.Helper()
 	for _, in := range s.Instances {
 		require.Eventually(t, func() bool {
-			return s.get(t, in, "/readyz") == http.StatusOK && len(s.ListedInstances(t, in)) == len(s.Instances)
+			return s.status(t, in, "/readyz") == http.StatusOK && len(s.ListedInstances(t, in)) == len(s.Instances)
 		}, WaitTimeout, PollInterval, "%s is not ready", in.ID)
 	}
 }
 
-func (s *System) get(t testing.TB, in *Instance, path string) int {
+func (s *System) status(t testing.TB, in *Instance, path string) int {
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+in.Caller+path, nil)
 	require.NoError(t, err)
 	res, err := http.DefaultClient.Do(req)
--- a/test/system/trace_test.go
+++ b/test/system/trace_test.go
@@ -17,7 +17,7 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// span is what the file exporter writes of a span.
+// span is a span as written by the file exporter.
 type span struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
@@ -26,7 +26,7 @@
 		Key   string
 		Value struct{ Value any }
 	}
-	// instance is the one that wrote it.
+	// instance is the instance that wrote the span.
 	instance string
 }
 
@@ -55,8 +55,8 @@
 	return spans
 }
 
-// path returns the names from the caller's span to s.
-func path(spans map[string]span, s span, root string) string {
+// spanPath returns the span names from s up to the caller's span.
+func spanPath(spans map[string]span, s span, root string) string {
 	names := []string{s.Name}
 	for s.Parent.SpanID != root {
 		parent, ok := spans[s.Parent.SpanID]
@@ -69,18 +69,18 @@
 	return strings.Join(names, " < ")
 }
 
-// An operator follows requests through the whole deployment: one that is
-// streamed, one that waits in an owner's queue meanwhile, and the resume of the
-// first through another instance. Each hop has a span whose parent is the hop
-// before, up to the caller's own span, and none holds the prompt.
-func TestSpanOfEachHop(t *testing.T) {
+// TestTraceSpanPerHop traces a streamed request, a request that meanwhile waits in an owner's
+// queue, and the resume of the first through another instance. Each hop must have a span whose
+// parent is the span of the previous hop, up to the caller's span. No span may contain the
+// prompt.
+func TestTraceSpanPerHop(t *testing.T) {
 	dir := t.TempDir()
 	s := system.Start(t, system.Options{
 		Settings: func(s *settings.Settings) {
 			s.Trace = settings.Trace{Exporter: "file", Endpoint: filepath.Join(dir, s.Instance+".spans"), SampleRatio: 1}
 		},
 		Config: func(c *pollenspindle.Config) {
-			// One engine that can handle one request: all others wait for it.
+			// One engine with capacity for one request: all other requests wait for it.
 			for i := range c.Servers {
 				c.Servers[i].ColdLimit, c.Servers[i].WarmLimit = 1, 1
 				if strings.HasPrefix(c.Servers[i].Name, "briefing-") && c.Servers[i].Name != "briefing-1" {
@@ -92,7 +92,7 @@
 	})
 	c := s.Caller("kigali-flyers")
 	const root = "00f067aa0ba902b7"
-	ask := func(trace, address, last, id string, tokens string) *http.Response {
+	send := func(trace, address, last, id string, tokens string) *http.Response {
 		method, path, body := http.MethodPost, "/v1/chat/completions", `{"model":"flight-briefing","stream":true,"max_tokens":`+tokens+`,"messages":[{"role":"user","content":"secret prompt"}]}`
 		if id != "" {
 			method, path, body = http.MethodGet, "/v1/generations/"+id, ""
@@ -112,21 +112,21 @@
 		return res
 	}
 	const streamed, queued, resumed = "4bf92f3577b34da6a3ce929d0e0e4731", "4bf92f3577b34da6a3ce929d0e0e4732", "4bf92f3577b34da6a3ce929d0e0e4733"
-	first := ask(streamed, s.Instances[0].Caller, "", "", "1000")
+	first := send(streamed, s.Instances[0].Caller, "", "", "1000")
 	id := first.Header.Get("X-Generation-Id")
 	require.NoError(t, first.Body.Close())
-	ask(resumed, s.Instances[2].Caller, "1", id, "")
-	// Of three instances two don't own the engine.
+	send(resumed, s.Instances[2].Caller, "1", id, "")
+	// Two of the three instances don't own the engine.
 	for _, in := range s.Instances {
-		ask(queued, in.Caller, "", "", "2")
+		send(queued, in.Caller, "", "", "2")
 	}
 
-	has := func(trace, want string, min int) func() bool {
+	hasSpans := func(trace, want string, min int) func() bool {
 		return func() bool {
 			spans := readSpans(t, dir, trace)
 			n := 0
 			for _, s := range spans {
-				if path(spans, s, root) == want {
+				if spanPath(spans, s, root) == want {
 					n++
 				}
 			}
@@ -135,33 +135,33 @@
 	}
 	const remote = "owner.acquire < peer.Acquire < peer.Acquire < permit.acquire < caller.chat"
 	for what, test := range map[string]func() bool{
-		"engine":          has(streamed, "engine.start < caller.chat", 1),
-		"own owner":       has(queued, "owner.acquire < permit.acquire < caller.chat", 1),
-		"owner elsewhere": has(queued, remote, 2),
-		"queued start":    has(queued, "engine.start < caller.chat", 3),
-		"resume":          has(resumed, "engine.resume < caller.resume", 1),
+		"engine":          hasSpans(streamed, "engine.start < caller.chat", 1),
+		"own owner":       hasSpans(queued, "owner.acquire < permit.acquire < caller.chat", 1),
+		"owner elsewhere": hasSpans(queued, remote, 2),
+		"queued start":    hasSpans(queued, "engine.start < caller.chat", 3),
+		"resume":          hasSpans(resumed, "engine.resume < caller.resume", 1),
 	} {
 		require.Eventually(t, test, time.Minute, 100*time.Millisecond, what)
 	}
 	for _, trace := range []string{streamed, queued, resumed} {
 		spans := readSpans(t, dir, trace)
 		for _, s := range spans {
-			require.NotContains(t, path(spans, s, root), "orphan")
+			require.NotContains(t, spanPath(spans, s, root), "orphan")
 		}
 	}
-	requireIDs(t, readSpans(t, dir, streamed))
-	asks := 0
+	requireCorrelationIDs(t, readSpans(t, dir, streamed))
+	acquires := 0
 	for _, s := range readSpans(t, dir, queued) {
 		if s.Name == "owner.acquire" {
-			asks++
+			acquires++
 		}
 	}
-	require.Greater(t, asks, 3, "three requests ask once at least, and who has to wait asks again")
+	require.Greater(t, acquires, 3, "each of three requests asks at least once, and queued ones ask again")
 }
 
-// requireIDs checks that the caller's span can be joined with the journal and
-// the engine's span with the engine's own log.
-func requireIDs(t *testing.T, spans map[string]span) {
+// requireCorrelationIDs checks that the caller's span carries the IDs of the journal, and the
+// engine's span the request ID of the engine's log.
+func requireCorrelationIDs(t *testing.T, spans map[string]span) {
 	t.Helper()
 	for _, s := range spans {
 		keys := map[string]any{}
