--- a/test/process/address.go
+++ b/test/process/address.go
@@ -12,37 +12,36 @@
 )
 
 const (
-	// lowestPort and blocks bound the ports of tests. They lie below the range
-	// from which the system takes those of outgoing connections; one from that
-	// range was taken by a connection before its process came to listen.
-	lowestPort = 20000
-	blocks     = 120
-	blockSize  = 100
+	// firstPort and blockCount delimit the ports used by tests. They lie below the operating system's
+	// ephemeral range: a port from that range can be taken by an outgoing connection before the
+	// process under test listens on it.
+	firstPort     = 20000
+	blockCount    = 120
+	portsPerBlock = 100
 )
 
-// ports hands out addresses. Each test binary holds whole blocks of ports, by
-// listening on the first of each for as long as it lives, and gives every other
-// port of them once.
+// ports allocates addresses. Each test binary reserves whole blocks of ports by listening on the
+// first port of each block for its lifetime, and hands out every other port of the block once.
 //
-// A port that is found free and closed again could be drawn by another test binary
-// before its process listens.
+// Checking that a port is free and closing it again is not enough: another test binary could be
+// given the same port before the process listens.
 var ports struct {
-	mu     sync.Mutex
-	guards []net.Listener
-	next   int
-	end    int
+	mu           sync.Mutex
+	reservations []net.Listener
+	next         int
+	end          int
 }
 
-// Address returns a loopback address that no other test is given.
+// Address returns a loopback address that is given to no other test.
 func Address(t testing.TB) string {
 	t.Helper()
 	ports.mu.Lock()
 	defer ports.mu.Unlock()
 	for {
 		if ports.next == ports.end {
-			takeBlock(t)
+			reservePortBlock(t)
 		}
-		address := loopback(ports.next)
+		address := loopbackAddress(ports.next)
 		ports.next++
 		if l, err := listen(address); err == nil {
 			require.NoError(t, l.Close())
@@ -51,18 +50,18 @@
 	}
 }
 
-// takeBlock takes the next block that no other test binary holds.
-func takeBlock(t testing.TB) {
+// reservePortBlock reserves the next block that no other test binary holds.
+func reservePortBlock(t testing.TB) {
 	t.Helper()
-	first := rand.IntN(blocks)
-	for i := range blocks {
-		port := lowestPort + (first+i)%blocks*blockSize
-		l, err := listen(loopback(port))
+	first := rand.IntN(blockCount)
+	for i := range blockCount {
+		port := firstPort + (first+i)%blockCount*portsPerBlock
+		l, err := listen(loopbackAddress(port))
 		if err != nil {
 			continue
 		}
-		ports.guards = append(ports.guards, l)
-		ports.next, ports.end = port+1, port+blockSize
+		ports.reservations = append(ports.reservations, l)
+		ports.next, ports.end = port+1, port+portsPerBlock
 		return
 	}
 	require.Fail(t, "no block of ports is free")
@@ -72,6 +71,6 @@
 	return (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 }
 
-func loopback(port int) string {
+func loopbackAddress(port int) string {
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
 }
--- a/test/process/process.go
+++ b/test/process/process.go
@@ -1,11 +1,11 @@
-// Package process starts the built programs for tests that drive whole
-// processes. The product does not use it.
+// Package process builds and starts the programs for tests that run real processes. It is not
+// part of the product.
 //
 // # Usage
 //
 //	bin := process.Build(t)
 //	p := process.Start(t, filepath.Join(bin, "standin"), "platform", "--address", "127.0.0.1:0")
-//	address := p.Line(t, "listening ")
+//	address := p.WaitForLine(t, "listening ")
 package process
 
 import (
@@ -25,11 +25,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startTimeout bounds waiting for a line of output. It is generous, because
-// the race detector and a busy machine make starts slow.
+// startTimeout limits the wait for a line of output. It is generous because the race detector and
+// a busy machine slow down process starts.
 const startTimeout = 60 * time.Second
 
-// ModuleRoot returns the folder of the module.
+// ModuleRoot returns the root directory of the module.
 func ModuleRoot() string {
 	_, file, _, _ := runtime.Caller(0)
 	return filepath.Join(filepath.Dir(file), "..", "..")
@@ -48,7 +48,7 @@
 	return dir, nil
 })
 
-// Build builds all programs once for a test binary and returns their folder.
+// Build builds all programs once per test binary and returns their directory.
 func Build(t testing.TB) string {
 	t.Helper()
 	dir, err := build()
@@ -67,8 +67,8 @@
 	err   error
 }
 
-// Start starts a program and ends it with the test. Its output goes to the
-// test's log when the test fails.
+// Start starts a program and kills it when the test ends. If the test fails, the program's output
+// is written to the test log.
 func Start(t testing.TB, path string, args ...string) *Process {
 	t.Helper()
 	p := &Process{
@@ -80,7 +80,7 @@
 	p.cmd.Stdout = w
 	p.cmd.Stderr = w
 	require.NoError(t, p.cmd.Start())
-	go p.scan(r)
+	go p.collectOutput(r)
 	go func() {
 		p.err = p.cmd.Wait()
 		w.Close()
@@ -90,7 +90,7 @@
 	return p
 }
 
-func (p *Process) scan(r io.Reader) {
+func (p *Process) collectOutput(r io.Reader) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, 1<<20)
 	for s.Scan() {
@@ -98,7 +98,7 @@
 		p.lines = append(p.lines, s.Text())
 		p.mu.Unlock()
 	}
-	// Keep reading whatever is left, so that the program never blocks.
+	// Keep draining the pipe so that the program never blocks on a write.
 	_, _ = io.Copy(io.Discard, r)
 }
 
@@ -116,28 +116,28 @@
 	return append([]string(nil), p.lines...)
 }
 
-// WaitForLine waits for a line that starts with prefix and returns the rest of it.
+// WaitForLine waits for a line that starts with prefix and returns the remainder of the line.
 func (p *Process) WaitForLine(t testing.TB, prefix string) string {
 	t.Helper()
-	var rest string
+	var remainder string
 	require.Eventually(t, func() bool {
 		for _, line := range p.Output() {
 			if r, ok := strings.CutPrefix(line, prefix); ok {
-				rest = r
+				remainder = r
 				return true
 			}
 		}
 		return false
 	}, startTimeout, 5*time.Millisecond, "no line %q from %s: %v", prefix, p.Name, p)
-	return rest
+	return remainder
 }
 
-// PID returns the operating system's id of the process.
+// PID returns the process ID.
 func (p *Process) PID() int {
 	return p.cmd.Process.Pid
 }
 
-// Exited reports whether the process has ended.
+// Exited reports whether the process has exited.
 func (p *Process) Exited() bool {
 	select {
 	case <-p.done:
@@ -147,33 +147,33 @@
 	}
 }
 
-// Signal sends sig.
+// Signal sends sig to the process.
 func (p *Process) Signal(t testing.TB, sig syscall.Signal) {
 	t.Helper()
 	require.NoError(t, p.cmd.Process.Signal(sig))
 }
 
-// Kill ends the process without letting it clean up, and waits for its end.
+// Kill ends the process with SIGKILL and waits until it has exited.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Stop sends SIGTERM, waits for the end and returns the exit code.
+// Stop sends SIGTERM, waits for the process to exit and returns its exit code.
 func (p *Process) Stop(t testing.TB) int {
 	t.Helper()
 	p.Signal(t, syscall.SIGTERM)
 	return p.Wait(t)
 }
 
-// Wait waits for the end of the process and returns the exit code.
+// Wait waits for the process to exit and returns its exit code.
 func (p *Process) Wait(t testing.TB) int {
 	t.Helper()
 	select {
 	case <-p.done:
 	case <-time.After(2 * startTimeout):
-		require.Fail(t, "process does not end", p.Name)
+		require.Fail(t, "process does not exit", p.Name)
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
