--- a/test/faultproxy/proxy.go
+++ b/test/faultproxy/proxy.go
@@ -1,11 +1,11 @@
-// Package faultproxy is a TCP proxy for tests that breaks the links between
-// two processes. The product does not use it.
+// Package faultproxy is a TCP proxy that injects faults into the connections between two
+// processes. It is used by tests only.
 //
 // # Usage
 //
 //	p, err := faultproxy.Listen("127.0.0.1:0", "127.0.0.1:8080")
 //	defer p.Close()
-//	p.SilenceOpen() // open connections go silent for good, new ones work
+//	p.SilenceOpen() // existing connections stop relaying data, new ones work
 package faultproxy
 
 import (
@@ -15,22 +15,22 @@
 	"time"
 )
 
-// Mode says what happens on connections opened from now on.
+// Mode determines how the proxy treats new connections.
 type Mode int
 
-// The modes.
+// The modes of a proxy.
 const (
 	// Pass relays both directions.
 	Pass Mode = iota
-	// Refuse closes new connections at once and cuts the open ones.
+	// Refuse closes new connections immediately and closes the existing ones.
 	Refuse
-	// Silent accepts new connections and never relays a byte.
+	// Silent accepts new connections and relays no data.
 	Silent
-	// LoseAnswers relays requests and drops every byte of the answers.
+	// LoseAnswers relays requests and discards all response data.
 	LoseAnswers
 )
 
-const copyBuffer = 32 << 10
+const copyBufferSize = 32 << 10
 
 // Proxy relays TCP connections to one target.
 type Proxy struct {
@@ -48,12 +48,12 @@
 type link struct {
 	down, up net.Conn
 
-	mu          sync.Mutex
-	silent      bool
-	loseAnswers bool
+	mu               sync.Mutex
+	silent           bool
+	responsesDropped bool
 }
 
-// Listen starts a proxy at address towards target, both host:port.
+// Listen starts a proxy at address that forwards to target. Both are host:port.
 func Listen(address, target string) (*Proxy, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -64,13 +64,13 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string {
 	return p.listener.Addr().String()
 }
 
-// SetMode changes what happens from now on. Refuse and LoseAnswers also take
-// hold of the connections already open.
+// SetMode sets the mode of new connections. Refuse and LoseAnswers also apply to the existing
+// ones.
 func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,29 +80,29 @@
 		case Refuse:
 			l.close()
 		case LoseAnswers:
-			l.setLoseAnswers()
+			l.dropResponses()
 		}
 	}
 }
 
-// SetDelay holds every piece of data back for d, in both directions.
+// SetDelay delays every chunk of data by d, in both directions.
 func (p *Proxy) SetDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// SilenceOpen makes the connections open now relay nothing any more, without
-// closing them. New connections are not touched.
+// SilenceOpen stops relaying data on the existing connections without closing them. New
+// connections are not affected.
 func (p *Proxy) SilenceOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.open {
-		l.setSilent()
+		l.silence()
 	}
 }
 
-// CutOpen closes the connections open now. New connections are not touched.
+// CutOpen closes the existing connections. New connections are not affected.
 func (p *Proxy) CutOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// Close stops the proxy and its connections.
+// Close stops the proxy and closes its connections.
 func (p *Proxy) Close() error {
 	err := p.listener.Close()
 	p.CutOpen()
@@ -142,7 +142,7 @@
 		down.Close()
 		return
 	}
-	l := &link{down: down, up: up, silent: mode == Silent, loseAnswers: mode == LoseAnswers}
+	l := &link{down: down, up: up, silent: mode == Silent, responsesDropped: mode == LoseAnswers}
 	p.add(l)
 	defer p.remove(l)
 	var wg sync.WaitGroup
@@ -163,16 +163,16 @@
 	delete(p.open, l)
 }
 
-// copy relays one direction until either end closes. A silent link goes on
-// reading, so that the sender sees neither an error nor a full window.
-func (p *Proxy) copy(l *link, dst, src net.Conn, answer bool) {
+// copy relays one direction until either end closes. It keeps reading from a silent link so that
+// the sender sees neither an error nor a full TCP window.
+func (p *Proxy) copy(l *link, dst, src net.Conn, response bool) {
 	defer l.close()
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferSize)
 	for {
 		n, err := src.Read(buf)
-		if n > 0 && !l.drops(answer) {
-			p.wait()
-			if l.drops(answer) {
+		if n > 0 && !l.shouldDrop(response) {
+			p.applyDelay()
+			if l.shouldDrop(response) {
 				continue
 			}
 			if _, werr := dst.Write(buf[:n]); werr != nil {
@@ -185,7 +185,7 @@
 	}
 }
 
-func (p *Proxy) wait() {
+func (p *Proxy) applyDelay() {
 	p.mu.Lock()
 	d := p.delay
 	p.mu.Unlock()
@@ -194,22 +194,22 @@
 	}
 }
 
-func (l *link) setSilent() {
+func (l *link) silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.silent = true
 }
 
-func (l *link) setLoseAnswers() {
+func (l *link) dropResponses() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.loseAnswers = true
+	l.responsesDropped = true
 }
 
-func (l *link) drops(answer bool) bool {
+func (l *link) shouldDrop(response bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.silent || (answer && l.loseAnswers)
+	return l.silent || (response && l.responsesDropped)
 }
 
 func (l *link) close() {
--- a/test/faultproxy/proxy_test.go
+++ b/test/faultproxy/proxy_test.go
@@ -12,7 +12,7 @@
 	"pollenspindle.example/pollenspindle/test/faultproxy"
 )
 
-// startEcho answers each line with the same line.
+// startEcho starts a server that echoes each line and returns its address.
 func startEcho(t *testing.T) string {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -42,7 +42,7 @@
 	return c
 }
 
-// echoes reports whether a line comes back on c within wait.
+// echoes reports whether a line sent on c comes back within wait.
 func echoes(c net.Conn, wait time.Duration) bool {
 	if _, err := c.Write([]byte("ping\n")); err != nil {
 		return false
@@ -59,12 +59,12 @@
 		openWorks bool
 		newWorks  bool
 	}{
-		"pass":         {fault: func(*faultproxy.Proxy) {}, openWorks: true, newWorks: true},
-		"silence open": {fault: func(p *faultproxy.Proxy) { p.SilenceOpen() }, newWorks: true},
-		"cut open":     {fault: func(p *faultproxy.Proxy) { p.CutOpen() }, newWorks: true},
-		"refuse":       {fault: func(p *faultproxy.Proxy) { p.SetMode(faultproxy.Refuse) }},
-		"lose answers": {fault: func(p *faultproxy.Proxy) { p.SetMode(faultproxy.LoseAnswers) }},
-		"delay":        {fault: func(p *faultproxy.Proxy) { p.SetDelay(time.Millisecond) }, openWorks: true, newWorks: true},
+		"pass":                     {fault: func(*faultproxy.Proxy) {}, openWorks: true, newWorks: true},
+		"silence open connections": {fault: func(p *faultproxy.Proxy) { p.SilenceOpen() }, newWorks: true},
+		"close open connections":   {fault: func(p *faultproxy.Proxy) { p.CutOpen() }, newWorks: true},
+		"refuse connections":       {fault: func(p *faultproxy.Proxy) { p.SetMode(faultproxy.Refuse) }},
+		"drop responses":           {fault: func(p *faultproxy.Proxy) { p.SetMode(faultproxy.LoseAnswers) }},
+		"delay":                    {fault: func(p *faultproxy.Proxy) { p.SetDelay(time.Millisecond) }, openWorks: true, newWorks: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
