--- a/test/failure/answers_test.go
+++ b/test/failure/answers_test.go
@@ -21,19 +21,19 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// tagOf is how the stand-in marks the tokens of a generation.
-func tagOf(e engine.Entry) string {
+// generationTag returns the tag that the stand-in puts into the tokens of a generation.
+func generationTag(e engine.Entry) string {
 	return fmt.Sprintf("%08x", uint32(xxhash.Sum64String(e.Incarnation+"/"+e.RequestID)))
 }
 
-// requireOwn checks that text is the whole answer, of n tokens, of a
-// generation that ran for the prompt: its first token and its last, each once.
-func requireOwn(t *testing.T, s *system.System, prompt int, text string, n int) {
+// requireOwnOutput checks that text has n tokens and is the complete output, from the first token
+// to the last, of a generation that ran for the prompt.
+func requireOwnOutput(t *testing.T, s *system.System, prompt int, text string, n int) {
 	t.Helper()
 	tags := map[string]bool{}
 	for _, entries := range s.GenerationsByServer(t, prompt) {
 		for _, e := range entries {
-			tags[tagOf(e)] = true
+			tags[generationTag(e)] = true
 		}
 	}
 	words := strings.Fields(text)
@@ -45,8 +45,8 @@
 	}
 }
 
-// whole is an OpenAI answer that isn't streamed.
-type whole struct {
+// chatCompletion is an unstreamed OpenAI response.
+type chatCompletion struct {
 	Choices []struct {
 		Message struct {
 			Content string `json:"content"`
@@ -57,19 +57,18 @@
 	} `json:"usage"`
 }
 
-// TestOwnAnswers: each of many callers of several workspaces sees the whole
-// answer to its own request, streamed or not, or a failure, and never a word
-// of another's. Their connections to engines are shared by all, and are
-// delayed, cut and silenced meanwhile, so that answers come late and crossed.
-// Engines take another request over the same connection only after the whole
-// answer before it, and each answer names its request. When the links are whole
-// again, whoever got a failure asks again, and every one gets its answer.
-func TestOwnAnswers(t *testing.T) {
-	s := start(t, system.Options{TimeScale: 8, Settings: quickStall, EngineArgs: []string{"--cold-millis", "0"}})
+// TestCallersGetOnlyOwnAnswers checks that each of many callers in several workspaces receives the
+// complete answer to its own request, streamed or not, or a failure, and never part of another's.
+// The instances share connections to engines, which are delayed, cut and silenced, so that answers
+// arrive late and out of order. An engine connection is reused only after a complete answer, and
+// each answer names its request. Once the links work again, every failed request succeeds when
+// repeated.
+func TestCallersGetOnlyOwnAnswers(t *testing.T) {
+	s := start(t, system.Options{TimeScale: 8, Settings: shortStallTimeout, EngineArgs: []string{"--cold-millis", "0"}})
 	workspaces := []string{"kigali-flyers", "huye-gliders", "musanze-aero", "rubavu-wings"}
 	const callers, calls = 12, 6
 	failed := make(chan func() int, callers*calls)
-	stop := disturb(t, s, "briefing-1", "briefing-2", "briefing-3")
+	stop := injectLinkFaults(t, s, "briefing-1", "briefing-2", "briefing-3")
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
@@ -77,9 +76,9 @@
 			for k := range calls {
 				prompt := 200 + i*calls + k
 				in := s.Instances[(i+k)%len(s.Instances)]
-				call := func() int { return wholeOwn(t, s, c, in, prompt) }
+				call := func() int { return checkUnstreamedAnswer(t, s, c, in, prompt) }
 				if (i+k)%2 == 0 {
-					call = func() int { return streamOwn(t, s, c, in, prompt) }
+					call = func() int { return checkStreamedAnswer(t, s, c, in, prompt) }
 				}
 				if call() == 0 {
 					failed <- call
@@ -90,27 +89,27 @@
 	wg.Wait()
 	stop()
 	close(failed)
-	// How many fail while links break depends on the machine; some must not.
-	t.Logf("%d of %d answered while links broke", callers*calls-len(failed), callers*calls)
+	// The number of failures under faults depends on the machine; some requests must succeed.
+	t.Logf("%d of %d requests answered during link faults", callers*calls-len(failed), callers*calls)
 	require.Less(t, len(failed), callers*calls)
 	for call := range failed {
-		askAgain(t, call)
+		retryUntilServed(t, call)
 	}
 	s.WaitIdle(t)
 }
 
-// askAgain repeats a call until it is answered.
-func askAgain(t *testing.T, call func() int) {
+// retryUntilServed repeats a call until it is answered.
+func retryUntilServed(t *testing.T, call func() int) {
 	t.Helper()
 	pace := time.NewTicker(system.PollInterval)
 	defer pace.Stop()
 	for end := time.Now().Add(system.WaitTimeout); call() == 0; <-pace.C {
-		require.True(t, time.Now().Before(end), "no answer although links are whole")
+		require.True(t, time.Now().Before(end), "no answer although all links work")
 	}
 }
 
-func streamOwn(t *testing.T, s *system.System, c *system.Caller, in *system.Instance, prompt int) int {
-	st, err := c.Generate(context.Background(), t, in.Caller, "flight-briefing", system.Prompt(prompt), longest)
+func checkStreamedAnswer(t *testing.T, s *system.System, c *system.Caller, in *system.Instance, prompt int) int {
+	st, err := c.Generate(context.Background(), t, in.Caller, "flight-briefing", system.Prompt(prompt), maxOutputTokens)
 	if err != nil || st.Status != http.StatusOK {
 		return 0
 	}
@@ -126,7 +125,7 @@
 	if st.Failure == nil {
 		n--
 	}
-	requireOwn(t, s, prompt, text.String(), n)
+	requireOwnOutput(t, s, prompt, text.String(), n)
 	if st.Failure != nil {
 		return 0
 	}
@@ -140,9 +139,9 @@
 	return err == nil
 }
 
-func wholeOwn(t *testing.T, s *system.System, c *system.Caller, in *system.Instance, prompt int) int {
+func checkUnstreamedAnswer(t *testing.T, s *system.System, c *system.Caller, in *system.Instance, prompt int) int {
 	body, err := json.Marshal(map[string]any{
-		"model": "flight-briefing", "max_tokens": longest,
+		"model": "flight-briefing", "max_tokens": maxOutputTokens,
 		"messages": []map[string]string{{"role": "user", "content": system.Prompt(prompt)}},
 	})
 	require.NoError(t, err)
@@ -151,10 +150,10 @@
 	if r.Status != http.StatusOK {
 		return 0
 	}
-	var w whole
+	var w chatCompletion
 	require.NoError(t, json.Unmarshal(r.Body, &w))
 	require.Len(t, w.Choices, 1)
-	requireOwn(t, s, prompt, w.Choices[0].Message.Content, w.Usage.CompletionTokens)
+	requireOwnOutput(t, s, prompt, w.Choices[0].Message.Content, w.Usage.CompletionTokens)
 	finished := 0
 	for _, entries := range s.GenerationsByServer(t, prompt) {
 		for _, e := range entries {
@@ -163,13 +162,13 @@
 			}
 		}
 	}
-	require.Positive(t, finished, "the answer is cut short")
+	require.Positive(t, finished, "the answer is incomplete")
 	return 1
 }
 
-// disturb breaks the links to servers, a fault each tenth of a second, until
-// the returned function is called. It leaves them whole.
-func disturb(t *testing.T, s *system.System, servers ...string) (stop func()) {
+// injectLinkFaults injects a fault into a link to one of the servers every 100 ms until stop is
+// called. stop restores all links.
+func injectLinkFaults(t *testing.T, s *system.System, servers ...string) (stop func()) {
 	rng := rand.New(rand.NewPCG(5, 23))
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -196,7 +195,7 @@
 			case 3:
 				p.SetMode(faultproxy.Refuse)
 			case 4:
-				// A moment without a fault.
+				// No fault in this interval.
 			}
 		}
 	})
@@ -210,21 +209,20 @@
 	}
 }
 
-// TestNotRunIsTrue: a caller that is told "not run" may send its booking
-// again, so not one of them may have run. The links to the services and to the
-// platform break before and after a booking is sent, services refuse, fail and
-// lose answers, and platform answers are lost; afterwards each answer is held
-// against the services' ledgers, and so is that nothing ran twice.
-func TestNotRunIsTrue(t *testing.T) {
-	s := start(t, system.Options{Config: twoDesks})
+// TestNotRunCallsHaveNoEffect checks that a booking reported as "not run" has no effect, since its
+// caller may send it again, and that no booking runs twice. Links to services and platform break
+// before and after a booking is sent, services refuse, fail and lose responses, and the platform
+// loses responses. Each outcome is compared with the services' ledgers.
+func TestNotRunCallsHaveNoEffect(t *testing.T) {
+	s := start(t, system.Options{Config: addSecondDesk})
 	const callers, calls = 8, 25
-	type told struct {
+	type result struct {
 		note    string
 		outcome answer.Outcome
 		code    answer.Code
 	}
-	all := make(chan told, callers*calls)
-	stop := disturb(t, s, desks...)
+	results := make(chan result, callers*calls)
+	stop := injectLinkFaults(t, s, deskServers...)
 	var wg sync.WaitGroup
 	for i := range callers {
 		rng := rand.New(rand.NewPCG(uint64(i), 7))
@@ -238,37 +236,37 @@
 				}
 				switch rng.IntN(6) {
 				case 0:
-					serviceFaults(t, s, standin.Faults{Refuse: 1, FailBefore: rng.IntN(2)})
+					setServiceFaults(t, s, standin.Faults{Refuse: 1, FailBefore: rng.IntN(2)})
 				case 1:
-					serviceFaults(t, s, standin.Faults{FailAfter: 1, LoseAnswers: 1, DelayMillis: 30})
+					setServiceFaults(t, s, standin.Faults{FailAfter: 1, LoseAnswers: 1, DelayMillis: 30})
 				case 2:
-					platformFaults(t, s, map[string]any{"loseAnswers": 2})
+					setPlatformFaults(t, s, map[string]any{"loseAnswers": 2})
 				}
-				r, err := book(t, c, s.Instances[(i+k)%len(s.Instances)], key, note)
+				r, err := sendBooking(t, c, s.Instances[(i+k)%len(s.Instances)], key, note)
 				require.NoError(t, err)
-				one := told{note: note, outcome: answer.OutcomeRan}
+				res := result{note: note, outcome: answer.OutcomeRan}
 				if r.Status != http.StatusOK && r.Status != http.StatusInternalServerError {
 					failure := r.Failure(t)
-					one.outcome, one.code = failure.Outcome, failure.Code
+					res.outcome, res.code = failure.Outcome, failure.Code
 				}
-				all <- one
+				results <- res
 			}
 		})
 	}
 	wg.Wait()
 	stop()
-	close(all)
+	close(results)
 	count, codes := map[answer.Outcome]int{}, map[answer.Code]int{}
-	for one := range all {
-		count[one.outcome]++
-		codes[one.code]++
-		n := effects(t, s, one.note)
-		require.LessOrEqual(t, n, 1, "%s ran twice", one.note)
-		if one.outcome == answer.OutcomeNotRun {
-			require.Zero(t, n, "%s ran, and its caller was told that it did not", one.note)
+	for res := range results {
+		count[res.outcome]++
+		codes[res.code]++
+		n := countEffects(t, s, res.note)
+		require.LessOrEqual(t, n, 1, "%s ran twice", res.note)
+		if res.outcome == answer.OutcomeNotRun {
+			require.Zero(t, n, "%s ran although its outcome is notRun", res.note)
 		}
 	}
-	t.Logf("told: %v, codes: %v", count, codes)
+	t.Logf("outcomes: %v, codes: %v", count, codes)
 	require.Positive(t, count[answer.OutcomeNotRun])
 	require.Positive(t, count[answer.OutcomeUnknown])
 }
--- a/test/failure/claims_test.go
+++ b/test/failure/claims_test.go
@@ -16,12 +16,12 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// desks are the plain servers; a second one is where a repeat would run.
-var desks = []string{"desk-1", "desk-2"}
+// deskServers are the plain servers. With the second one, a repeated call could run elsewhere.
+var deskServers = []string{"desk-1", "desk-2"}
 
-// book calls the service once without an effect being allowed twice. An empty
-// key sends none; the note finds the effect in the ledger.
-func book(t *testing.T, c *system.Caller, in *system.Instance, key, note string) (system.Reply, error) {
+// sendBooking sends one booking, a call that must run at most once. An empty key sends no
+// Idempotency-Key. The note identifies the effect in the ledger.
+func sendBooking(t *testing.T, c *system.Caller, in *system.Instance, key, note string) (system.Reply, error) {
 	t.Helper()
 	header := []string{}
 	if key != "" {
@@ -30,11 +30,11 @@
 	return c.Call(t.Context(), t, http.MethodPost, in.Caller, "/v1/services/club-desk/bookings?note="+note, []byte(`{"field":3}`), header...)
 }
 
-// effects counts what the service did for a note.
-func effects(t *testing.T, s *system.System, note string) int {
+// countEffects returns the number of effects with a note on all desk servers.
+func countEffects(t *testing.T, s *system.System, note string) int {
 	t.Helper()
 	n := 0
-	for _, desk := range desks {
+	for _, desk := range deskServers {
 		for _, e := range s.ServiceLedger(t, desk).Effects {
 			if e.Query == "note="+note {
 				n++
@@ -44,12 +44,12 @@
 	return n
 }
 
-// serviceFaults sets the faults of both desks until the test or subtest ends. A
-// counted fault strikes one desk; on the other it would be left for the next.
-func serviceFaults(t *testing.T, s *system.System, f standin.Faults) {
+// setServiceFaults sets the faults of all desk servers until the test or subtest ends. A fault with
+// a count occurs on one server; without the reset the other would keep it for the next test.
+func setServiceFaults(t *testing.T, s *system.System, f standin.Faults) {
 	t.Helper()
 	set := func(f standin.Faults) {
-		for _, desk := range desks {
+		for _, desk := range deskServers {
 			s.Control(t, s.Servers[desk].Address, http.MethodPut, "/control/faults", f)
 		}
 	}
@@ -57,28 +57,27 @@
 	t.Cleanup(func() { set(standin.Faults{}) })
 }
 
-func platformFaults(t *testing.T, s *system.System, faults map[string]any) {
+func setPlatformFaults(t *testing.T, s *system.System, faults map[string]any) {
 	t.Helper()
 	s.Control(t, s.Platform.Address, http.MethodPut, "/control/faults", faults)
 }
 
-// requireUnknown checks that a repeat is told that the outcome isn't known.
-func requireUnknown(t *testing.T, r system.Reply, err error) {
+// requireUnknownOutcome checks that the response to a repeat says that the outcome is unknown.
+func requireUnknownOutcome(t *testing.T, r system.Reply, err error) {
 	t.Helper()
 	require.NoError(t, err)
 	require.Equal(t, http.StatusConflict, r.Status, "%s", r.Body)
 	require.Equal(t, answer.OutcomeUnknown, r.Failure(t).Outcome)
 }
 
-// twoDesks declares a second plain server. It shortens the wait for a place
-// too, so that tests are quick.
-func twoDesks(c *pollenspindle.Config) {
+// addSecondDesk declares a second plain server and shortens the queue timeout to keep tests fast.
+func addSecondDesk(c *pollenspindle.Config) {
 	for i := range c.Services {
 		c.Services[i].QueueSeconds = 5
 	}
 	for _, server := range c.Servers {
-		if server.Name == desks[0] {
-			server.Name, server.Zone = desks[1], c.Zones[1].Name
+		if server.Name == deskServers[0] {
+			server.Name, server.Zone = deskServers[1], c.Zones[1].Name
 			c.Servers = append(c.Servers, server)
 			return
 		}
@@ -86,29 +85,28 @@
 }
 
 func TestClaims(t *testing.T) {
-	s := start(t, system.Options{Config: twoDesks})
-	t.Run("same key at the same moment", func(t *testing.T) { sameMoment(t, s) })
-	t.Run("answer lost after the effect", func(t *testing.T) { answerLost(t, s) })
-	t.Run("service fails", func(t *testing.T) { serviceFails(t, s) })
-	t.Run("platform answer lost", func(t *testing.T) { platformAnswerLost(t, s) })
-	t.Run("platform down", func(t *testing.T) { platformDown(t, s) })
-	t.Run("holder paused", func(t *testing.T) { holderPaused(t, s) })
-	t.Run("holder killed", func(t *testing.T) { holderKilled(t, s) })
+	s := start(t, system.Options{Config: addSecondDesk})
+	t.Run("concurrent calls with the same key", func(t *testing.T) { testConcurrentCalls(t, s) })
+	t.Run("response lost after the effect", func(t *testing.T) { testResponseLost(t, s) })
+	t.Run("service fails", func(t *testing.T) { testServiceFailure(t, s) })
+	t.Run("platform response lost", func(t *testing.T) { testPlatformResponseLost(t, s) })
+	t.Run("platform down", func(t *testing.T) { testPlatformDown(t, s) })
+	t.Run("holder paused", func(t *testing.T) { testHolderPaused(t, s) })
+	t.Run("holder killed", func(t *testing.T) { testHolderKilled(t, s) })
 }
 
-// Three callers see one booking: one has the service's answer, the others the
-// same answer again or that it is under way. They send the same key at the
-// same moment through three instances; each tries to create the claim in the
-// platform, one create wins, and only its holder sends.
-func sameMoment(t *testing.T, s *system.System) {
-	serviceFaults(t, s, standin.Faults{DelayMillis: 50})
+// testConcurrentCalls sends the same key through three instances at once. All try to create the
+// claim in the platform, and only the one that succeeds sends the booking. One caller gets the
+// service's response; the others get the same response replayed or an unknown outcome.
+func testConcurrentCalls(t *testing.T, s *system.System) {
+	setServiceFaults(t, s, standin.Faults{DelayMillis: 50})
 	c := s.Caller("kigali-flyers")
 	for _, key := range []string{"moment-1", "moment-2", "moment-3", "moment-4", "moment-5"} {
 		replies := make([]system.Reply, len(s.Instances))
 		errs := make([]error, len(s.Instances))
 		var wg sync.WaitGroup
 		for i, in := range s.Instances {
-			wg.Go(func() { replies[i], errs[i] = book(t, c, in, key, key) })
+			wg.Go(func() { replies[i], errs[i] = sendBooking(t, c, in, key, key) })
 		}
 		wg.Wait()
 		first := 0
@@ -118,44 +116,44 @@
 			case r.Status == http.StatusOK && r.Header.Get("Idempotent-Replayed") == "":
 				first++
 			case r.Status != http.StatusOK:
-				requireUnknown(t, r, nil)
+				requireUnknownOutcome(t, r, nil)
 			}
 		}
-		require.Equal(t, 1, first, "answers that aren't repeats")
-		require.Equal(t, 1, effects(t, s, key))
+		require.Equal(t, 1, first, "responses that aren't replayed")
+		require.Equal(t, 1, countEffects(t, s, key))
 	}
-	serviceFaults(t, s, standin.Faults{})
+	setServiceFaults(t, s, standin.Faults{})
 }
 
-// The caller is told that its booking may have run, and no repeat runs it. The
-// service makes the booking and its connection breaks before the answer.
-// Without a key there is nothing to repeat under, and it is sent once.
-func answerLost(t *testing.T, s *system.System) {
+// testResponseLost breaks the connection after the service has made the booking and before it
+// responds. The caller gets an unknown outcome, and no repeat runs the booking. A booking without a
+// key can't be recognized as a repeat and is sent only once.
+func testResponseLost(t *testing.T, s *system.System) {
 	c := s.Caller("kigali-flyers")
 	for _, key := range []string{"lost", ""} {
 		note := "lost" + key
-		serviceFaults(t, s, standin.Faults{LoseAnswers: 1})
-		r, err := book(t, c, s.Instances[0], key, note)
+		setServiceFaults(t, s, standin.Faults{LoseAnswers: 1})
+		r, err := sendBooking(t, c, s.Instances[0], key, note)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusBadGateway, r.Status)
 		require.Equal(t, answer.OutcomeUnknown, r.Failure(t).Outcome)
-		require.Equal(t, 1, effects(t, s, note))
+		require.Equal(t, 1, countEffects(t, s, note))
 	}
 	for _, in := range s.Instances {
-		r, err := book(t, c, in, "lost", "lostlost")
-		requireUnknown(t, r, err)
+		r, err := sendBooking(t, c, in, "lost", "lostlost")
+		requireUnknownOutcome(t, r, err)
 	}
-	require.Equal(t, 1, effects(t, s, "lostlost"))
+	require.Equal(t, 1, countEffects(t, s, "lostlost"))
 }
 
-// The caller sees the service's own failure, and the same again when it
-// repeats; a refusal before running says "not run", and its repeat runs.
-func serviceFails(t *testing.T, s *system.System) {
+// testServiceFailure checks that a failure of the service is returned and is replayed to a repeat,
+// and that a refusal before running is reported as not run, so that its repeat runs.
+func testServiceFailure(t *testing.T, s *system.System) {
 	c := s.Caller("kigali-flyers")
 	tests := map[string]struct {
 		faults standin.Faults
 		status int
-		// ran and repeat count the effects after the call and after a repeat.
+		// ran and repeat are the expected effects after the call and after its repeat.
 		ran, repeat int
 	}{
 		"before": {standin.Faults{FailBefore: 1}, http.StatusInternalServerError, 0, 0},
@@ -164,57 +162,55 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			serviceFaults(t, s, tt.faults)
-			r, err := book(t, c, s.Instances[0], "fails-"+name, name)
+			setServiceFaults(t, s, tt.faults)
+			r, err := sendBooking(t, c, s.Instances[0], "fails-"+name, name)
 			require.NoError(t, err)
 			require.Equal(t, tt.status, r.Status, "%s", r.Body)
-			require.Equal(t, tt.ran, effects(t, s, name))
+			require.Equal(t, tt.ran, countEffects(t, s, name))
 			if tt.repeat > tt.ran {
 				require.Equal(t, answer.OutcomeNotRun, r.Failure(t).Outcome)
 			}
-			again, err := book(t, c, s.Instances[1], "fails-"+name, name)
+			again, err := sendBooking(t, c, s.Instances[1], "fails-"+name, name)
 			require.NoError(t, err)
 			if tt.repeat == tt.ran {
 				require.Equal(t, "true", again.Header.Get("Idempotent-Replayed"))
 				require.Equal(t, r.Body, again.Body)
 			}
-			require.Equal(t, tt.repeat, effects(t, s, name))
+			require.Equal(t, tt.repeat, countEffects(t, s, name))
 		})
 	}
 }
 
-// The caller sees its booking made, or that it wasn't run and may be repeated.
-// The platform takes the claim and its answer is lost; the holder finds its
-// own claim by the attempt in it and neither sends twice nor gives up a key
-// that it holds.
-func platformAnswerLost(t *testing.T, s *system.System) {
+// testPlatformResponseLost loses the platform's response to a stored claim. The holder recognizes
+// its own claim by the attempt in it: it must neither send the booking twice nor give up the key.
+// The booking is made, or reported as not run and can be repeated.
+func testPlatformResponseLost(t *testing.T, s *system.System) {
 	c := s.Caller("kigali-flyers")
 	for i, key := range []string{"gone-1", "gone-2", "gone-3", "gone-4", "gone-5"} {
-		platformFaults(t, s, map[string]any{"loseAnswers": i + 1})
+		setPlatformFaults(t, s, map[string]any{"loseAnswers": i + 1})
 		in := s.Instances[i%len(s.Instances)]
-		r, err := book(t, c, in, key, key)
+		r, err := sendBooking(t, c, in, key, key)
 		require.NoError(t, err)
 		if r.Status != http.StatusOK {
 			require.Equal(t, answer.OutcomeNotRun, r.Failure(t).Outcome)
-			require.Zero(t, effects(t, s, key))
+			require.Zero(t, countEffects(t, s, key))
 		}
-		platformFaults(t, s, map[string]any{})
+		setPlatformFaults(t, s, map[string]any{})
 		require.Eventually(t, func() bool {
-			again, err := book(t, c, s.Instances[(i+1)%len(s.Instances)], key, key)
+			again, err := sendBooking(t, c, s.Instances[(i+1)%len(s.Instances)], key, key)
 			return err == nil && again.Status == http.StatusOK
-		}, patience, pollEach, "the key stays blocked")
-		require.Equal(t, 1, effects(t, s, key))
+		}, waitTimeout, pollInterval, "the key stays blocked")
+		require.Equal(t, 1, countEffects(t, s, key))
 	}
 }
 
-// The caller is told at once that its booking wasn't run; rosters are still
-// read. The platform is down, so no key can be claimed. When it is back, the
-// same key runs.
-func platformDown(t *testing.T, s *system.System) {
+// testPlatformDown checks that a booking is refused at once as not run while the platform is down
+// and no key can be claimed, that reads still work, and that the key works after the outage.
+func testPlatformDown(t *testing.T, s *system.System) {
 	c := s.Caller("kigali-flyers")
-	platformFaults(t, s, map[string]any{"down": true})
+	setPlatformFaults(t, s, map[string]any{"down": true})
 	for _, in := range s.Instances {
-		r, err := book(t, c, in, "down", "down")
+		r, err := sendBooking(t, c, in, "down", "down")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusServiceUnavailable, r.Status)
 		require.Equal(t, answer.OutcomeNotRun, r.Failure(t).Outcome)
@@ -222,26 +218,26 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, read.Status, "%s", read.Body)
 	}
-	require.Zero(t, effects(t, s, "down"))
-	platformFaults(t, s, map[string]any{})
+	require.Zero(t, countEffects(t, s, "down"))
+	setPlatformFaults(t, s, map[string]any{})
 	require.Eventually(t, func() bool {
-		r, err := book(t, c, s.Instances[0], "down", "down")
+		r, err := sendBooking(t, c, s.Instances[0], "down", "down")
 		return err == nil && r.Status == http.StatusOK
-	}, patience, pollEach)
-	require.Equal(t, 1, effects(t, s, "down"))
+	}, waitTimeout, pollInterval)
+	require.Equal(t, 1, countEffects(t, s, "down"))
 }
 
-// slowBooking sends a booking that takes seconds and waits until the service
-// has begun it, by its ledger: load reports lag, and one that still showed the
-// booking before let the holder be paused with nothing sent. The channel gives
-// the answer's status, 0 for none.
-func slowBooking(t *testing.T, s *system.System, in *system.Instance, key string) <-chan int {
+// startSlowBooking sends a booking that takes seconds and waits until the service's ledger shows
+// that it has started. Load reports lag: one that still showed an earlier booking would let the
+// test pause the holder before it has sent anything. The channel returns the status, 0 if the
+// connection failed.
+func startSlowBooking(t *testing.T, s *system.System, in *system.Instance, key string) <-chan int {
 	t.Helper()
-	serviceFaults(t, s, standin.Faults{DelayMillis: 2000})
+	setServiceFaults(t, s, standin.Faults{DelayMillis: 2000})
 	status := make(chan int, 1)
 	c := s.Caller("kigali-flyers")
 	go func() {
-		r, err := book(t, c, in, key, key)
+		r, err := sendBooking(t, c, in, key, key)
 		if err != nil {
 			r.Status = 0
 		}
@@ -249,57 +245,55 @@
 		status <- r.Status
 	}()
 	require.Eventually(t, func() bool {
-		return slices.ContainsFunc(desks, func(desk string) bool {
+		return slices.ContainsFunc(deskServers, func(desk string) bool {
 			return slices.Contains(s.ServiceLedger(t, desk).StartedQueries, "note="+key)
 		})
-	}, patience, pollEach)
+	}, waitTimeout, pollInterval)
 	return status
 }
 
-// A repeat learns that the booking may have run, and later gets its answer.
-// The holder of the claim is paused while the service works. The platform
-// lists it no more, its lease lapses and another owns its servers; nobody
-// takes its claim over. When it goes on it stores the answer.
-func holderPaused(t *testing.T, s *system.System) {
+// testHolderPaused pauses the holder of a claim while the service works. It is removed from the
+// instance list, its lease expires and its servers get another owner, but nobody takes over the
+// claim. Repeats get an unknown outcome until the holder resumes and stores the response.
+func testHolderPaused(t *testing.T, s *system.System) {
 	holder, other := s.Instances[0], s.Instances[1]
-	first := slowBooking(t, s, holder, "paused")
+	first := startSlowBooking(t, s, holder, "paused")
 	holder.Process.Signal(t, syscall.SIGSTOP)
 	c := s.Caller("kigali-flyers")
-	r, err := book(t, c, other, "paused", "paused")
-	requireUnknown(t, r, err)
+	r, err := sendBooking(t, c, other, "paused", "paused")
+	requireUnknownOutcome(t, r, err)
 	s.SetInstanceState(t, holder, "")
-	require.Eventually(t, func() bool { return len(s.ListedInstances(t, other)) == len(s.Instances)-1 }, patience, pollEach)
-	require.Eventually(t, func() bool { return effects(t, s, "paused") == 1 }, patience, pollEach)
-	r, err = book(t, c, other, "paused", "paused")
-	requireUnknown(t, r, err)
+	require.Eventually(t, func() bool { return len(s.ListedInstances(t, other)) == len(s.Instances)-1 }, waitTimeout, pollInterval)
+	require.Eventually(t, func() bool { return countEffects(t, s, "paused") == 1 }, waitTimeout, pollInterval)
+	r, err = sendBooking(t, c, other, "paused", "paused")
+	requireUnknownOutcome(t, r, err)
 	holder.Process.Signal(t, syscall.SIGCONT)
 	s.SetInstanceState(t, holder, instancelist.StateLive)
 	require.Equal(t, http.StatusOK, <-first)
 	require.Eventually(t, func() bool {
-		r, err := book(t, c, other, "paused", "paused")
+		r, err := sendBooking(t, c, other, "paused", "paused")
 		return err == nil && r.Status == http.StatusOK && r.Header.Get("Idempotent-Replayed") == "true"
-	}, patience, pollEach)
-	require.Equal(t, 1, effects(t, s, "paused"))
+	}, waitTimeout, pollInterval)
+	require.Equal(t, 1, countEffects(t, s, "paused"))
 	s.WaitReady(t)
 }
 
-// A repeat learns that the booking may have run, for good. The holder is
-// killed between the claim and the answer; the service goes on and makes the
-// booking, and nobody can know what it answered.
-func holderKilled(t *testing.T, s *system.System) {
+// testHolderKilled kills the holder of a claim between the claim and the response. The service
+// completes the booking but its response is lost, so repeats get an unknown outcome permanently.
+func testHolderKilled(t *testing.T, s *system.System) {
 	holder := s.Instances[0]
-	first := slowBooking(t, s, holder, "killed")
+	first := startSlowBooking(t, s, holder, "killed")
 	holder.Process.Kill()
 	require.Zero(t, <-first)
 	c := s.Caller("kigali-flyers")
 	for _, in := range s.Instances[1:] {
-		r, err := book(t, c, in, "killed", "killed")
-		requireUnknown(t, r, err)
+		r, err := sendBooking(t, c, in, "killed", "killed")
+		requireUnknownOutcome(t, r, err)
 	}
-	require.Eventually(t, func() bool { return effects(t, s, "killed") == 1 }, patience, pollEach)
+	require.Eventually(t, func() bool { return countEffects(t, s, "killed") == 1 }, waitTimeout, pollInterval)
 	s.RestartInstance(t, holder)
 	s.WaitReady(t)
-	r, err := book(t, c, holder, "killed", "killed")
-	requireUnknown(t, r, err)
-	require.Equal(t, 1, effects(t, s, "killed"))
+	r, err := sendBooking(t, c, holder, "killed", "killed")
+	requireUnknownOutcome(t, r, err)
+	require.Equal(t, 1, countEffects(t, s, "killed"))
 }
--- a/test/failure/membership_test.go
+++ b/test/failure/cold_servers_test.go
@@ -1,5 +1,5 @@
-// Package failure_test breaks real processes and the links between them, and
-// checks what callers, engines and services saw.
+// Package failure_test injects faults into real processes and the links between them, and checks
+// the results at callers, engines and services.
 //
 // # Usage
 //
@@ -18,28 +18,26 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// slots bounds the systems that run at once: each is eight processes.
-var slots = make(chan struct{}, 3)
+// systemSlots limits the number of concurrent systems; each has eight processes.
+var systemSlots = make(chan struct{}, 3)
 
 func start(t *testing.T, opts system.Options) *system.System {
 	t.Helper()
 	t.Parallel()
-	slots <- struct{}{}
-	t.Cleanup(func() { <-slots })
+	systemSlots <- struct{}{}
+	t.Cleanup(func() { <-systemSlots })
 	return system.Start(t, opts)
 }
 
-// coldEngines stay cold for 20 s of the clock at time scale 4, and die above
-// two requests at once. They come back in the same process, so that the ledger
-// tells of it.
-var coldEngines = []string{"--cold-limit", "2", "--cold-overload", "crash", "--crash", "restart", "--cold-millis", "80000"}
+// coldEngineArgs makes engines stay cold for 20 s of real time at time scale 4 and crash above two
+// concurrent requests. They restart in the same process, so that the ledger records the crash.
+var coldEngineArgs = []string{"--cold-limit", "2", "--cold-overload", "crash", "--crash", "restart", "--cold-millis", "80000"}
 
-// TestColdServersNeverCrash: callers send bursts through all instances to
-// engines that have just started, and that die above two requests at once. In
-// the middle the owner of an engine's limit is killed, frozen past its lease
-// so that two believe they own it, or can't reach the others, so that its
-// deputy gives permits too. Whoever gives the permits, together they stay
-// within the cold limit, because each right ends before the next one begins.
+// TestColdServersNeverCrash sends bursts through all instances to engines that have just started
+// and crash above two concurrent requests. Meanwhile the owner of an engine's limit is killed, is
+// frozen past its lease so that two instances believe they own the engine, or can't reach the
+// others, so that its deputy grants permits too. All permits together must stay within the cold
+// limit, because each right to grant ends before the next one begins.
 func TestColdServersNeverCrash(t *testing.T) {
 	cut := func(mode faultproxy.Mode) func(t *testing.T, s *system.System, owner *system.Instance) {
 		return func(t *testing.T, s *system.System, _ *system.Instance) {
@@ -49,7 +47,7 @@
 					in.PeerProxy.SilenceOpen()
 				}
 			}
-			lasts(t, time.Now(), 6*time.Second)
+			waitElapsed(t, time.Now(), 6*time.Second)
 			for _, in := range s.Instances {
 				in.PeerProxy.SetMode(faultproxy.Pass)
 				in.PeerProxy.CutOpen()
@@ -57,7 +55,7 @@
 		}
 	}
 	tests := map[string]func(t *testing.T, s *system.System, owner *system.Instance){
-		"nothing else fails": func(*testing.T, *system.System, *system.Instance) {},
+		"no further fault": func(*testing.T, *system.System, *system.Instance) {},
 		"owner killed": func(t *testing.T, s *system.System, owner *system.Instance) {
 			owner.Process.Kill()
 			s.SetInstanceState(t, owner, "")
@@ -65,7 +63,7 @@
 		"owner frozen past its lease": func(t *testing.T, s *system.System, owner *system.Instance) {
 			owner.Process.Signal(t, syscall.SIGSTOP)
 			s.SetInstanceState(t, owner, "")
-			lasts(t, time.Now(), 7*time.Second)
+			waitElapsed(t, time.Now(), 7*time.Second)
 			owner.Process.Signal(t, syscall.SIGCONT)
 		},
 		"peer links cut":    cut(faultproxy.Refuse),
@@ -73,31 +71,30 @@
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, system.Options{EngineArgs: coldEngines})
+			s := start(t, system.Options{EngineArgs: coldEngineArgs})
 			d := deployments["inyange"]
-			all := engines(s, "")
+			all := engineNames(s, "")
 			before := incarnations(t, s, all)
 			l := startLoad(t, s, d, 24, s.Instances, generate(d, 30))
-			l.requireServes(t, 10)
+			l.waitServed(t, 10)
 			fault(t, s, ownerOf(t, s, all[0]))
-			l.requireServes(t, 20)
+			l.waitServed(t, 20)
 			records := l.Stop()
 			require.Equal(t, before, incarnations(t, s, all), "an engine crashed")
-			requireSound(t, records)
+			requireCompleteStreams(t, records)
 		})
 	}
 }
 
-// TestServerTurnsCold: a caller's burst meets engines that were warm and have
-// lost their warm state without a new start; only their load reports say so.
-// From the report on the owners give no more than the cold limit, however
-// often requests succeed, until the report says warm.
+// TestServerTurnsCold sends a burst to engines that have turned cold again without a restart, which
+// only their load reports show. After such a report owners must keep to the cold limit, regardless
+// of successful requests, until a report says warm.
 func TestServerTurnsCold(t *testing.T) {
 	s := start(t, system.Options{EngineArgs: []string{"--cold-limit", "2", "--cold-overload", "crash", "--crash", "restart", "--cold-millis", "400"}})
 	d := deployments["inyange"]
-	all := engines(s, "")
+	all := engineNames(s, "")
 	l := startLoad(t, s, d, 24, s.Instances, generate(d, 30))
-	l.requireServes(t, 100)
+	l.waitServed(t, 100)
 	l.Stop()
 	before := incarnations(t, s, all)
 	for _, name := range all {
@@ -112,39 +109,37 @@
 			}
 		}
 		return err == nil && cold == len(all)
-	}, patience, pollEach, "the report is not known")
+	}, waitTimeout, pollInterval, "not all engines are reported as cold")
 	l = startLoad(t, s, d, 24, s.Instances, generate(d, 30))
-	l.requireServes(t, 40)
-	requireSound(t, l.Stop())
+	l.waitServed(t, 40)
+	requireCompleteStreams(t, l.Stop())
 	require.Equal(t, before, incarnations(t, s, all), "an engine crashed")
 }
 
-// TestServerRestartsUnderLoad: callers' streams break when a warm engine dies
-// under its full load and is back at once, cold. Its owner learns of that from
-// the next load report only, half a second later, and callers repeat at once.
-// A broken stream is the first sign of a restart, so the owner gives nothing
-// until a report measured after it; the engine doesn't crash a second time.
+// TestServerRestartsUnderLoad crashes a warm engine under full load; it restarts at once, cold. The
+// next load report comes up to half a second later, while callers repeat immediately. A broken
+// stream is the first sign of a restart: the owner must grant no permits until it has a report
+// measured after it, so that the engine doesn't crash again.
 func TestServerRestartsUnderLoad(t *testing.T) {
 	args := []string{"--cold-limit", "2", "--cold-overload", "crash", "--crash", "restart", "--cold-millis", "6000"}
 	s := start(t, system.Options{EngineArgs: args})
 	d := deployments["inyange"]
-	all := engines(s, "")
+	all := engineNames(s, "")
 	l := startLoad(t, s, d, 40, s.Instances, generate(d, 60))
-	l.requireServes(t, 150)
+	l.waitServed(t, 150)
 	s.Control(t, s.Servers[all[0]].Address, http.MethodPost, "/control/crash", nil)
 	after := incarnations(t, s, all)
-	l.requireServes(t, 150)
-	requireSound(t, l.Stop())
+	l.waitServed(t, 150)
+	requireCompleteStreams(t, l.Stop())
 	require.Equal(t, after, incarnations(t, s, all), "an engine crashed again")
 }
 
-// TestLeavingServer: callers' streams run on an engine that is told to leave,
-// by an operator or by whoever reclaims it. The streams end whole; after three
-// seconds no new generation arrives there, while callers are served elsewhere.
+// TestLeavingServer drains or reclaims an engine with running streams. The streams must complete,
+// and after three seconds no new generation may arrive there, while callers are served elsewhere.
 func TestLeavingServer(t *testing.T) {
 	tests := map[string]func(t *testing.T, s *system.System, name string){
 		"drained by operators": func(t *testing.T, s *system.System, name string) {
-			_, err := s.OperatorClient(t, s.Instances[1]).DrainServer(t.Context(), name, changeBy("drain"))
+			_, err := s.OperatorClient(t, s.Instances[1]).DrainServer(t.Context(), name, changeRequest("drain"))
 			require.NoError(t, err)
 		},
 		"reclaimed": func(t *testing.T, s *system.System, name string) {
@@ -155,18 +150,18 @@
 		t.Run(name, func(t *testing.T) {
 			s := start(t, system.Options{EngineArgs: []string{"--cold-millis", "400"}})
 			d := deployments["inyange"]
-			leaving := engines(s, "")[0]
+			leaving := engineNames(s, "")[0]
 			l := startLoad(t, s, d, 12, s.Instances, generate(d, 40))
-			l.requireServes(t, 30)
+			l.waitServed(t, 30)
 			running := s.EngineLedger(t, leaving).Generations
 			leave(t, s, leaving)
-			left := time.Now()
-			lasts(t, left, promised)
-			l.requireServes(t, 60)
+			leftAt := time.Now()
+			waitElapsed(t, leftAt, propagationLimit)
+			l.waitServed(t, 60)
 			records := l.Stop()
-			require.Zero(t, arrivals(t, s, []string{leaving}, left.Add(promised)))
-			requireSound(t, records)
-			requireNoneCut(t, records)
+			require.Zero(t, countArrivals(t, s, []string{leaving}, leftAt.Add(propagationLimit)))
+			requireCompleteStreams(t, records)
+			requireNoBrokenStreams(t, records)
 			for i, g := range s.EngineLedger(t, leaving).Generations[:len(running)] {
 				require.Equal(t, "finished", string(g.Status), "generation %d", i)
 			}
@@ -174,8 +169,8 @@
 	}
 }
 
-// requireNoneCut checks that no stream that had begun was broken off.
-func requireNoneCut(t *testing.T, records []record) {
+// requireNoBrokenStreams checks that no stream failed after its first token.
+func requireNoBrokenStreams(t *testing.T, records []record) {
 	t.Helper()
 	for _, r := range records {
 		if r.stream != nil && len(r.stream.Tokens) > 0 {
--- a/test/failure/crashing_test.go
+++ b/test/failure/crashing_test.go
@@ -15,34 +15,32 @@
 )
 
 const (
-	// crashMarker is a prompt that crashes the engines, crashTokens its size.
+	// crashMarker is a prompt that crashes the engines; crashTokens is its size.
 	crashMarker = "fatal-prompt"
 	crashTokens = 5
 )
 
-// TestCrashingRequest: one caller's request crashes each engine that runs it,
-// and the caller sends it again each second, through one instance after
-// another. It may cost two engines and is then refused everywhere; a neighbour that ran beside
-// it loses its generation once, is sent again and finishes, and other work
-// goes on. Without the refusal the one request empties the deployment.
+// TestCrashingRequest repeats a request that crashes each engine on which it runs, once per second
+// through one instance after another. Without a refusal this one request takes down all engines.
+// After two crashes it must be refused everywhere. A request that ran on a crashed engine loses
+// its generation once and completes when repeated.
 func TestCrashingRequest(t *testing.T) {
 	s := start(t, system.Options{
 		TimeScale:  2,
 		EngineArgs: []string{"--poison-marker", crashMarker, "--crash", "restart", "--cold-millis", "0"},
 	})
 	const neighbourPrompt = 120
-	begin(t, s.Caller("huye-gliders"), s.Instances[0], neighbourPrompt, 1)
+	startStream(t, s.Caller("huye-gliders"), s.Instances[0], neighbourPrompt, 1)
 
 	c := s.Caller("kigali-flyers")
 	refusals := 0
-	// The caller's own pace: owners read of a crash and tell each other within
-	// a heartbeat, half a second.
+	// One request per second: owners learn of a crash and exchange it within a heartbeat, 0.5 s.
 	pace := time.NewTicker(time.Second)
 	defer pace.Stop()
 	for i := 0; refusals < len(s.Instances); i++ {
 		require.Less(t, i, 60, "the request isn't refused")
 		in := s.Instances[i%len(s.Instances)]
-		st, err := c.Generate(context.Background(), t, in.Caller, "flight-briefing", crashMarker, longest)
+		st, err := c.Generate(context.Background(), t, in.Caller, "flight-briefing", crashMarker, maxOutputTokens)
 		require.NoError(t, err)
 		require.NotNil(t, st.Failure, "a crashing request has no answer")
 		if st.Failure.Code != answer.Code(permit.ReasonSuspect) {
@@ -53,7 +51,7 @@
 		refusals++
 		require.Equal(t, http.StatusUnprocessableEntity, st.Status)
 	}
-	require.Equal(t, 2, crashesOf(t, s), "engines lost to one request")
+	require.Equal(t, 2, countCrashes(t, s), "engines crashed by one request")
 
 	for _, in := range s.Instances {
 		again, err := s.Caller("huye-gliders").Generate(context.Background(), t, in.Caller, "flight-briefing", system.Prompt(neighbourPrompt), 20)
@@ -65,8 +63,8 @@
 	s.WaitIdle(t)
 }
 
-// crashesOf counts the engines that ran the crashing request.
-func crashesOf(t *testing.T, s *system.System) int {
+// countCrashes returns the number of engines on which the crashing request ran.
+func countCrashes(t *testing.T, s *system.System) int {
 	t.Helper()
 	n := 0
 	for _, entries := range s.GenerationsByServer(t, crashTokens) {
@@ -75,17 +73,16 @@
 	return n
 }
 
-// TestCrashingRequestWithDeadEngines: the same request, but the engines that it
-// crashes stay dead. They report no new start, so nothing but the refused
-// connection tells that they have crashed. The caller sends its request again
-// each second; two engines are lost and the third goes on for all others.
+// TestCrashingRequestWithDeadEngines repeats the crashing request while crashed engines stay down.
+// They report no new incarnation, so only refused connections reveal the crash. Two engines are
+// lost; the third keeps serving all other requests.
 func TestCrashingRequestWithDeadEngines(t *testing.T) {
 	s := start(t, system.Options{
 		TimeScale:  2,
 		EngineArgs: []string{"--poison-marker", crashMarker, "--crash", "exit", "--cold-millis", "0"},
 	})
-	// A proxy accepts for a dead process; instances must see the engines'
-	// own addresses.
+	// A proxy accepts connections for a dead process, so the instances use the engines' own
+	// addresses.
 	direct := *s.Config
 	direct.Servers = slices.Clone(direct.Servers)
 	var engines []*system.Node
@@ -105,7 +102,7 @@
 	defer pace.Stop()
 	for i := 0; refusals < len(s.Instances); i++ {
 		require.Less(t, i, 30, "the request isn't refused")
-		st, err := c.Generate(context.Background(), t, s.Instances[i%len(s.Instances)].Caller, "flight-briefing", crashMarker, longest)
+		st, err := c.Generate(context.Background(), t, s.Instances[i%len(s.Instances)].Caller, "flight-briefing", crashMarker, maxOutputTokens)
 		require.NoError(t, err)
 		require.NotNil(t, st.Failure, "a crashing request has no answer")
 		if st.Failure.Code == answer.Code(permit.ReasonSuspect) {
@@ -115,13 +112,13 @@
 			<-pace.C
 		}
 	}
-	dead := 0
+	exited := 0
 	for _, n := range engines {
 		if n.Process.Exited() {
-			dead++
+			exited++
 		}
 	}
-	require.Equal(t, 2, dead, "engines lost to one request")
+	require.Equal(t, 2, exited, "engines crashed by one request")
 	again, err := s.Caller("huye-gliders").Generate(context.Background(), t, s.Instances[0].Caller, "flight-briefing", system.Prompt(120), 20)
 	require.NoError(t, err)
 	require.NoError(t, again.Read(0), "%v", again.Failure)
--- a/test/failure/load_test.go
+++ b/test/failure/load_test.go
@@ -16,10 +16,10 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// promised is the time within which a change has to be in force.
-const promised = 3 * time.Second
+// propagationLimit is the time within which a change must be in force.
+const propagationLimit = 3 * time.Second
 
-// deployment names what a load asks of a deployment.
+// deployment holds the workspace, model and plain calls that the load uses.
 type deployment struct {
 	workspace, model string
 	read, write      string
@@ -30,11 +30,11 @@
 	"mavuno":  {"nairobi-schools", "menu-planner", "/v1/services/orders/stock/greens", "/v1/services/orders/confirmations"},
 }
 
-// record is one request as its caller saw it.
+// record is one request as seen by its caller.
 type record struct {
-	began, ended time.Time
-	instance     string
-	// key is that of a non-idempotent call; generations have none.
+	startedAt, endedAt time.Time
+	instance           string
+	// key is the idempotency key of a call; generations have none.
 	key     string
 	status  int
 	stream  *system.Stream
@@ -44,39 +44,39 @@
 
 func (r record) served() bool { return r.err == nil && r.failure == nil && r.status == http.StatusOK }
 
-// load sends requests through all instances from many callers at once and
-// keeps what they saw.
+// load sends requests through all instances from many concurrent callers and records the
+// results.
 type load struct {
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	all    []record
-	// through are the instances that callers draw from.
-	through []*system.Instance
+	cancel  context.CancelFunc
+	wg      sync.WaitGroup
+	mu      sync.Mutex
+	records []record
+	// instances are those from which callers pick.
+	instances []*system.Instance
 }
 
-// request is one kind of request of a load.
+// request sends one kind of request.
 type request func(ctx context.Context, t *testing.T, c *system.Caller, in *system.Instance, tag string) record
 
-// startLoad runs workers, each with requests one after the other until Stop.
-// Requests under way then are waited for.
-// Instances are drawn anew for each, as callers with old answers would.
+// startLoad starts workers that each send requests one after the other until Stop, which waits
+// for the requests in flight. Each request goes to a random instance, like those of callers that
+// still use old addresses.
 func startLoad(t *testing.T, s *system.System, d deployment, workers int, instances []*system.Instance, do request) *load {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &load{cancel: cancel, through: instances}
+	l := &load{cancel: cancel, instances: instances}
 	t.Cleanup(func() { l.Stop() })
 	for w := range workers {
 		l.wg.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(w), 7))
 			c := s.Caller(d.workspace)
 			for i := 0; ctx.Err() == nil; i++ {
-				in := l.draw(rng)
-				began := time.Now()
+				in := l.pickInstance(rng)
+				startedAt := time.Now()
 				r := do(context.Background(), t, c, in, fmt.Sprintf("%s-%d-%d", t.Name(), w, i))
-				r.began, r.ended, r.instance = began, time.Now(), in.ID
-				l.add(r)
+				r.startedAt, r.endedAt, r.instance = startedAt, time.Now(), in.ID
+				l.addRecord(r)
 				if !r.served() {
-					pause(ctx, 20*time.Millisecond)
+					sleep(ctx, 20*time.Millisecond)
 				}
 			}
 		})
@@ -84,60 +84,60 @@
 	return l
 }
 
-func (l *load) draw(rng *rand.Rand) *system.Instance {
+func (l *load) pickInstance(rng *rand.Rand) *system.Instance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.through[rng.IntN(len(l.through))]
+	return l.instances[rng.IntN(len(l.instances))]
 }
 
-// Through changes the instances that callers draw from.
-func (l *load) Through(instances []*system.Instance) {
+// SetInstances replaces the instances from which callers pick.
+func (l *load) SetInstances(instances []*system.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.through = append([]*system.Instance(nil), instances...)
+	l.instances = append([]*system.Instance(nil), instances...)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
 	<-ctx.Done()
 }
 
-func (l *load) add(r record) {
+func (l *load) addRecord(r record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all = append(l.all, r)
+	l.records = append(l.records, r)
 }
 
-// Records returns what was seen so far.
+// Records returns the records so far.
 func (l *load) Records() []record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]record(nil), l.all...)
+	return append([]record(nil), l.records...)
 }
 
-// Served counts the whole answers of requests begun after a moment.
-func (l *load) Served(after time.Time) int {
+// CountServed returns the number of complete answers to requests started after a point in time.
+func (l *load) CountServed(after time.Time) int {
 	n := 0
 	for _, r := range l.Records() {
-		if r.served() && r.began.After(after) {
+		if r.served() && r.startedAt.After(after) {
 			n++
 		}
 	}
 	return n
 }
 
-// Stop ends the load and returns what was seen.
+// Stop ends the load and returns the records.
 func (l *load) Stop() []record {
 	l.cancel()
 	l.wg.Wait()
 	return l.Records()
 }
 
-// generate asks for a streamed generation of at most n tokens and reads it.
+// generate returns a request for a streamed generation of at most n tokens.
 func generate(d deployment, n int) request {
 	return func(ctx context.Context, t *testing.T, c *system.Caller, in *system.Instance, tag string) record {
-		ctx, cancel := context.WithTimeout(ctx, patience)
+		ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 		defer cancel()
 		st, err := c.Generate(ctx, t, in.Caller, d.model, tag, n)
 		if err != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-// write sends a non-idempotent call with a key of its own.
+// write returns a request for a non-idempotent call with a unique key.
 func write(d deployment) request {
 	return func(ctx context.Context, t *testing.T, c *system.Caller, in *system.Instance, tag string) record {
 		return call(ctx, t, c, http.MethodPost, in, d.write, tag, "Idempotency-Key", tag)
@@ -165,7 +165,7 @@
 }
 
 func call(ctx context.Context, t *testing.T, c *system.Caller, method string, in *system.Instance, path, tag string, header ...string) record {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	var body []byte
 	if tag != "" {
@@ -180,9 +180,8 @@
 	return r
 }
 
-// requireSound checks what holds for every record, whatever failed: whole
-// answers are whole, and parts of answers are the start of one.
-func requireSound(t *testing.T, records []record) {
+// requireCompleteStreams checks that every successful generation is complete.
+func requireCompleteStreams(t *testing.T, records []record) {
 	t.Helper()
 	for _, r := range records {
 		if r.served() && r.stream != nil {
@@ -191,9 +190,9 @@
 	}
 }
 
-// requireNotRunIsTrue checks refusals and effects against the ledger of the
-// plain server: nothing refused as not run has an effect, nothing has two.
-func requireNotRunIsTrue(t *testing.T, records []record, ledger service.Ledger) {
+// requireConsistentEffects compares outcomes with the ledger of the plain server: a call reported
+// as not run must have no effect, a served one exactly one, and none more than one.
+func requireConsistentEffects(t *testing.T, records []record, ledger service.Ledger) {
 	t.Helper()
 	effects := map[string]int{}
 	for _, e := range ledger.Effects {
@@ -205,7 +204,7 @@
 		}
 		require.LessOrEqual(t, effects[r.key], 1, "key %s", r.key)
 		if r.failure != nil && r.failure.Outcome == answer.OutcomeNotRun {
-			require.Zero(t, effects[r.key], "key %s was said not to have run", r.key)
+			require.Zero(t, effects[r.key], "key %s has an effect although its outcome is notRun", r.key)
 		}
 		if r.served() {
 			require.Equal(t, 1, effects[r.key], "key %s", r.key)
@@ -213,7 +212,7 @@
 	}
 }
 
-// incarnations returns the start of each model engine. It changes when one
+// incarnations returns the incarnation of each model engine, which changes when the engine
 // crashes.
 func incarnations(t *testing.T, s *system.System, servers []string) map[string]string {
 	t.Helper()
@@ -224,8 +223,9 @@
 	return out
 }
 
-// engines names the model engines, of one availability zone or of all.
-func engines(s *system.System, zone string) []string {
+// engineNames returns the names of the model engines in one availability zone, or in all if zone
+// is empty.
+func engineNames(s *system.System, zone string) []string {
 	var names []string
 	for _, server := range s.Config.Servers {
 		if len(server.Models) > 0 && (zone == "" || server.Zone == zone) {
@@ -235,8 +235,8 @@
 	return names
 }
 
-// arrivals counts the generations that arrived at servers after a moment.
-func arrivals(t *testing.T, s *system.System, servers []string, after time.Time) int {
+// countArrivals returns the number of generations that arrived at servers after a point in time.
+func countArrivals(t *testing.T, s *system.System, servers []string, after time.Time) int {
 	t.Helper()
 	n := 0
 	for _, name := range servers {
@@ -249,18 +249,17 @@
 	return n
 }
 
-// requireServes waits until n further requests were served.
-func (l *load) requireServes(t *testing.T, n int) {
+// waitServed waits until n further requests have been served.
+func (l *load) waitServed(t *testing.T, n int) {
 	t.Helper()
 	from := time.Now()
-	require.Eventually(t, func() bool { return l.Served(from) >= n }, patience, pollEach, "%d more requests are not served", n)
+	require.Eventually(t, func() bool { return l.CountServed(from) >= n }, waitTimeout, pollInterval, "%d more requests were not served", n)
 }
 
-// lasts waits until d has passed since from: what is checked is that nothing
-// happens in that time.
-func lasts(t *testing.T, from time.Time, d time.Duration) {
+// waitElapsed waits until d has passed since from, for checks that nothing happens in that time.
+func waitElapsed(t *testing.T, from time.Time, d time.Duration) {
 	t.Helper()
-	pause(t.Context(), time.Until(from.Add(d)))
+	sleep(t.Context(), time.Until(from.Add(d)))
 }
 
 // ownerOf returns the instance that owns a backend server.
@@ -278,18 +277,18 @@
 			}
 		}
 		return owner != ""
-	}, patience, pollEach, "%s has no owner", server)
+	}, waitTimeout, pollInterval, "%s has no owner", server)
 	for _, in := range s.Instances {
 		if in.ID == owner {
 			return in
 		}
 	}
-	require.Fail(t, "owner is no instance", owner)
+	require.Fail(t, "owner is not an instance", owner)
 	return nil
 }
 
-// faults sets what goes wrong at the platform.
-func faults(t *testing.T, s *system.System, set map[string]any) {
+// putPlatformFaults sets the faults of the platform.
+func putPlatformFaults(t *testing.T, s *system.System, set map[string]any) {
 	t.Helper()
 	s.Control(t, s.Platform.Address, http.MethodPut, "/control/faults", set)
 }
--- a/test/failure/crossed_test.go
+++ b/test/failure/misrouted_responses_test.go
@@ -12,15 +12,13 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// TestCrossedAnswers: callers of several workspaces read streams, whole answers
-// and rosters at the same time. Engines answer each third request with another
-// caller's stream, and the plain server sends each answer once more a moment
-// later, when its connection may carry another caller's request. Each caller
-// sees its own answer or a failure, because engines' answers name their request
-// and a connection to a plain server carries one exchange only.
-func TestCrossedAnswers(t *testing.T) {
+// TestMisroutedResponses checks that callers of several workspaces get only their own answers when
+// engines answer each third request with another caller's stream, and the plain server repeats
+// each response a moment later, when the connection may carry another caller's request. Engine
+// answers name their request, and a connection to a plain server carries one exchange only.
+func TestMisroutedResponses(t *testing.T) {
 	s := start(t, system.Options{
-		TimeScale: 8, Settings: quickStall,
+		TimeScale: 8, Settings: shortStallTimeout,
 		EngineArgs:  []string{"--cold-millis", "0", "--cross-every", "3"},
 		ServiceArgs: []string{"--cold-millis", "0", "--delay-millis", "6", "--repeat-millis", "2"},
 	})
@@ -33,11 +31,11 @@
 			for k := range calls {
 				prompt := 400 + i*calls + k
 				in := s.Instances[(i+k)%len(s.Instances)]
-				call := func() int { return wholeOwn(t, s, c, in, prompt) }
+				call := func() int { return checkUnstreamedAnswer(t, s, c, in, prompt) }
 				if (i+k)%2 == 0 {
-					call = func() int { return streamOwn(t, s, c, in, prompt) }
+					call = func() int { return checkStreamedAnswer(t, s, c, in, prompt) }
 				}
-				askAgain(t, call)
+				retryUntilServed(t, call)
 			}
 		})
 		wg.Go(func() {
@@ -45,7 +43,7 @@
 			pace := time.NewTicker(time.Millisecond)
 			defer pace.Stop()
 			for k := range 10 * calls {
-				readOwn(t, c, s.Instances[(i+k)%len(s.Instances)], fmt.Sprintf("/rosters/%d-%d", i, k))
+				checkRoster(t, c, s.Instances[(i+k)%len(s.Instances)], fmt.Sprintf("/rosters/%d-%d", i, k))
 				<-pace.C
 			}
 		})
@@ -54,8 +52,8 @@
 	s.WaitIdle(t)
 }
 
-// readOwn reads a roster and checks that an answer is that of the same path.
-func readOwn(t *testing.T, c *system.Caller, in *system.Instance, path string) {
+// checkRoster reads a roster and checks that a successful response is for the same path.
+func checkRoster(t *testing.T, c *system.Caller, in *system.Instance, path string) {
 	r, err := c.Call(t.Context(), t, http.MethodGet, in.Caller, "/v1/services/club-desk"+path, nil)
 	if !requireNoError(t, err) || r.Status != http.StatusOK {
 		return
--- a/test/failure/outage_test.go
+++ b/test/failure/outage_test.go
@@ -14,27 +14,26 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// outageFor is far above every lease and retry of the system, so that what
-// still works then works for any length of outage.
-const outageFor = 15 * time.Second
+// outageDuration is far longer than every lease and retry, so that what still works at its end
+// works during an outage of any length.
+const outageDuration = 15 * time.Second
 
-// TestPlatformOutage: the platform is down, slow or silent for long, and an
-// instance, perhaps the owner of servers, is killed meanwhile. Callers of the
-// others get generations and reads all the time: the instances confirm owners
-// and configuration among themselves, and deputies serve what the dead one
-// owned. Keyed calls need a claim, so they are refused soon, truly not run.
-// When the platform is back, its calls don't come in a surge.
+// TestPlatformOutage makes the platform down, slow or silent for a long time and kills an instance,
+// possibly an owner, meanwhile. Generations and reads through the other instances must keep
+// working: they confirm owners and configuration among themselves, and deputies stand in for the
+// killed owner. Calls with a key need a claim and must be refused soon, as not run. After the
+// outage there must be no surge of platform calls.
 func TestPlatformOutage(t *testing.T) {
 	tests := map[string]struct {
 		begin, end func(t *testing.T, s *system.System)
 	}{
 		"down": {
-			begin: func(t *testing.T, s *system.System) { faults(t, s, map[string]any{"down": true}) },
-			end:   func(t *testing.T, s *system.System) { faults(t, s, map[string]any{}) },
+			begin: func(t *testing.T, s *system.System) { putPlatformFaults(t, s, map[string]any{"down": true}) },
+			end:   func(t *testing.T, s *system.System) { putPlatformFaults(t, s, map[string]any{}) },
 		},
 		"slow": {
-			begin: func(t *testing.T, s *system.System) { faults(t, s, map[string]any{"delayMillis": 15000}) },
-			end:   func(t *testing.T, s *system.System) { faults(t, s, map[string]any{}) },
+			begin: func(t *testing.T, s *system.System) { putPlatformFaults(t, s, map[string]any{"delayMillis": 15000}) },
+			end:   func(t *testing.T, s *system.System) { putPlatformFaults(t, s, map[string]any{}) },
 		},
 		"silent": {
 			begin: func(_ *testing.T, s *system.System) {
@@ -52,46 +51,45 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, system.Options{EngineArgs: quickWarm, Instances: 4})
+			s := start(t, system.Options{EngineArgs: warmEngineArgs, Instances: 4})
 			d := deployments["inyange"]
-			usual := platformCalls(t, s, promised)
+			baseline := countPlatformCalls(t, s, propagationLimit)
 			streams := startLoad(t, s, d, 8, s.Instances, generate(d, 20))
 			reads := startLoad(t, s, d, 4, s.Instances, read(d))
-			streams.requireServes(t, 40)
+			streams.waitServed(t, 40)
 
 			tt.begin(t, s)
-			began := time.Now()
-			lasts(t, began, promised)
+			startedAt := time.Now()
+			waitElapsed(t, startedAt, propagationLimit)
 			writes := startLoad(t, s, d, 2, s.Instances[1:], write(d))
-			streams.requireServes(t, 40)
+			streams.waitServed(t, 40)
 			s.Instances[0].Process.Kill()
 			killed := time.Now()
-			streams.Through(s.Instances[1:])
-			reads.Through(s.Instances[1:])
-			streams.requireServes(t, 40)
-			reads.requireServes(t, 40)
-			lasts(t, began, outageFor)
+			streams.SetInstances(s.Instances[1:])
+			reads.SetInstances(s.Instances[1:])
+			streams.waitServed(t, 40)
+			reads.waitServed(t, 40)
+			waitElapsed(t, startedAt, outageDuration)
 			for _, in := range s.Instances[1:] {
 				requireServing(t, s, d, in)
 			}
 			refused := writes.Stop()
 			tt.end(t, s)
 
-			surge := platformCalls(t, s, promised)
-			require.Less(t, surge, 2*usual+int64(10*len(s.Instances)), "calls after the outage, %d before", usual)
+			surge := countPlatformCalls(t, s, propagationLimit)
+			require.Less(t, surge, 2*baseline+int64(10*len(s.Instances)), "calls after the outage, %d before", baseline)
 			require.Eventually(t, func() bool {
 				return write(d)(t.Context(), t, s.Caller(d.workspace), s.Instances[1], t.Name()+"/after").served()
-			}, patience, pollEach, "keyed calls do not come back")
-			requireSound(t, append(streams.Stop(), reads.Stop()...))
-			requireUnharmed(t, append(streams.Records(), reads.Records()...), s.Instances[0], killed)
-			requireRefused(t, refused)
-			requireNotRunIsTrue(t, refused, s.ServiceLedger(t, "desk-1"))
+			}, waitTimeout, pollInterval, "calls with a key are not served after the outage")
+			requireCompleteStreams(t, append(streams.Stop(), reads.Stop()...))
+			requireOnlyExpectedFailures(t, append(streams.Records(), reads.Records()...), s.Instances[0], killed)
+			requireRefusedAsNotRun(t, refused)
+			requireConsistentEffects(t, refused, s.ServiceLedger(t, "desk-1"))
 		})
 	}
 }
 
-// requireServing checks that an instance serves a generation and a read at
-// once.
+// requireServing checks that an instance serves a generation and a read on the first attempt.
 func requireServing(t *testing.T, s *system.System, d deployment, in *system.Instance) {
 	t.Helper()
 	r := generate(d, 5)(t.Context(), t, s.Caller(d.workspace), in, "serving")
@@ -100,35 +98,35 @@
 	require.True(t, r.served(), "%s: %+v", in.ID, r)
 }
 
-// requireRefused checks that keyed calls were refused soon and as not run.
-func requireRefused(t *testing.T, records []record) {
+// requireRefusedAsNotRun checks that all calls were refused soon and as not run.
+func requireRefusedAsNotRun(t *testing.T, records []record) {
 	t.Helper()
 	require.NotEmpty(t, records)
 	for _, r := range records {
 		require.NoError(t, r.err)
 		require.NotNil(t, r.failure)
 		require.Equal(t, answer.OutcomeNotRun, r.failure.Outcome, "%+v", r.failure)
-		require.Less(t, r.ended.Sub(r.began), 2*promised)
+		require.Less(t, r.endedAt.Sub(r.startedAt), 2*propagationLimit)
 	}
 }
 
-// requireUnharmed checks that no request failed but those through the killed
-// instance, and those whose owner it was, which are refused as not run while
-// the others notice.
-func requireUnharmed(t *testing.T, records []record, dead *system.Instance, killed time.Time) {
+// requireOnlyExpectedFailures checks that only two kinds of requests failed: those through the
+// killed instance, and those refused as not run after the kill, because the killed instance owned
+// their server and the others had not noticed yet.
+func requireOnlyExpectedFailures(t *testing.T, records []record, dead *system.Instance, killed time.Time) {
 	t.Helper()
 	for _, r := range records {
 		switch {
 		case r.served() || r.instance == dead.ID:
-		case r.failure != nil && r.failure.Outcome == answer.OutcomeNotRun && r.ended.After(killed):
+		case r.failure != nil && r.failure.Outcome == answer.OutcomeNotRun && r.endedAt.After(killed):
 		default:
 			require.Fail(t, "request failed", "%+v %+v", r, r.failure)
 		}
 	}
 }
 
-// platformCalls counts the calls that the platform gets within d.
-func platformCalls(t *testing.T, s *system.System, d time.Duration) int64 {
+// countPlatformCalls returns the number of calls that the platform receives within d.
+func countPlatformCalls(t *testing.T, s *system.System, d time.Duration) int64 {
 	t.Helper()
 	count := func() int64 {
 		var stats platform.Stats
@@ -141,41 +139,40 @@
 		return n
 	}
 	before := count()
-	lasts(t, time.Now(), d)
+	waitElapsed(t, time.Now(), d)
 	return count() - before
 }
 
-// TestAllInstancesReplaced: every instance is killed and replaced by a new one
-// within a minute, under load, while engines are cold and die above two
-// requests at once. Callers of live instances go on being served; no engine
-// crashes, no keyed call runs twice, and the new instances have the newest
-// configuration, because all that lasts lies in the platform.
+// TestAllInstancesReplaced replaces every instance within a minute under load while cold engines
+// crash above two concurrent requests. Callers of live instances must be served, no engine may
+// crash, no call may run twice, and the new instances must get the newest configuration, because
+// all persistent state is in the platform.
 func TestAllInstancesReplaced(t *testing.T) {
-	s := start(t, system.Options{EngineArgs: coldEngines})
+	s := start(t, system.Options{EngineArgs: coldEngineArgs})
 	d := deployments["inyange"]
-	all := engines(s, "")
+	all := engineNames(s, "")
 	before := incarnations(t, s, all)
 	base, err := s.OperatorClient(t, s.Instances[0]).Configuration(t.Context())
 	require.NoError(t, err)
-	version := s.Apply(t, weighted(base.Config, 0, 77))
+	version := s.Apply(t, withWeight(base.Config, 0, 77))
 	streams := startLoad(t, s, d, 12, s.Instances, generate(d, 20))
 	writes := startLoad(t, s, d, 4, s.Instances, write(d))
-	streams.requireServes(t, 10)
-	began := time.Now()
+	streams.waitServed(t, 10)
+	startedAt := time.Now()
 	for range 3 {
 		old := s.Instances[0]
 		s.AddInstance(t)
 		s.Instances = s.Instances[1:]
 		old.Process.Kill()
 		s.SetInstanceState(t, old, "")
-		streams.Through(s.Instances)
-		writes.Through(s.Instances)
+		streams.SetInstances(s.Instances)
+		writes.SetInstances(s.Instances)
 		s.WaitReady(t)
-		streams.requireServes(t, 10)
+		streams.waitServed(t, 10)
 	}
-	require.Less(t, time.Since(began), time.Minute)
-	require.Eventually(t, func() bool { return inForce(t, s, version) }, patience, pollEach)
-	requireSound(t, streams.Stop())
-	requireNotRunIsTrue(t, writes.Stop(), s.ServiceLedger(t, "desk-1"))
+	require.Less(t, time.Since(startedAt), time.Minute)
+	require.Eventually(t, func() bool { return inForceEverywhere(t, s, version) }, waitTimeout, pollInterval)
+	requireCompleteStreams(t, streams.Stop())
+	requireConsistentEffects(t, writes.Stop(), s.ServiceLedger(t, "desk-1"))
 	require.Equal(t, before, incarnations(t, s, all), "an engine crashed")
 }
--- a/test/failure/shutdown_test.go
+++ b/test/failure/shutdown_test.go
@@ -19,55 +19,51 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// answerTime is the default time for which callers keep an answer of
-// /v1/instances.
-var answerTime = time.Duration(settings.DefaultTiming.AddressSeconds) * time.Second
-
-// TestRollingReplacementCutsNoRequest: callers stream all the time while all
-// seven entry instances are replaced, two at a time under their old names, and
-// then all at once by new ones under new names. Callers keep an answer of
-// /v1/instances while it is valid, so they go on coming to an instance after it
-// was told to leave. None of their streams is cut, none is told to resume
-// elsewhere, and each instance ends with exit code 0.
-func TestRollingReplacementCutsNoRequest(t *testing.T) {
+// addressTTL is how long callers by default cache a response of /v1/instances.
+var addressTTL = time.Duration(settings.DefaultTiming.AddressSeconds) * time.Second
+
+// TestRollingReplacementBreaksNoStream replaces seven entry instances under streaming load, first two
+// at a time under their old names, then all at once by instances with new names. Callers use a
+// cached response of /v1/instances while it is valid, so they still reach an instance that is
+// shutting down. No stream may break or be sent elsewhere, and each instance exits with code 0.
+func TestRollingReplacementBreaksNoStream(t *testing.T) {
 	const instances, together = 7, 2
 	s := system.Start(t, system.Options{TimeScale: 8, Instances: instances})
 	l := startShutdownLoad(t, s)
-	began := time.Now()
+	startedAt := time.Now()
 	for batch := range slices.Chunk(slices.Clone(s.Instances), together) {
-		leave(t, s, batch)
+		shutDown(t, s, batch)
 		for _, in := range batch {
 			s.RestartInstance(t, in)
 			s.SetInstanceState(t, in, instancelist.StateLive)
 		}
 		s.WaitReady(t)
 	}
-	t.Logf("replaced under their names within %s", time.Since(began))
+	t.Logf("replaced under the same names in %s", time.Since(startedAt))
 
 	old := slices.Clone(s.Instances)
-	began = time.Now()
+	startedAt = time.Now()
 	for range instances {
 		s.AddInstance(t)
 	}
 	s.WaitReady(t)
 	s.Instances = s.Instances[instances:]
-	l.directory.set(s.Instances)
-	leave(t, s, old)
+	l.pool.set(s.Instances)
+	shutDown(t, s, old)
 	for _, in := range old {
 		s.SetInstanceState(t, in, "")
 	}
-	t.Logf("replaced under new names within %s", time.Since(began))
+	t.Logf("replaced under new names in %s", time.Since(startedAt))
 	counts := l.stop()
 	t.Log(counts)
-	require.Greater(t, counts["whole"], 20)
-	require.Len(t, counts, 1, "every stream is whole: %v", counts)
+	require.Greater(t, counts["complete"], 20)
+	require.Len(t, counts, 1, "not every stream is complete: %v", counts)
 }
 
-// TestShutdownWithoutPlatform: an instance is told to leave while the platform
-// is down, slow or silent, so no roster can say that it leaves. The others
-// learn it from the instance itself and name it to callers no more; it serves
-// those who hold older answers. No stream is cut, no caller meets a closed
-// listener, and the instance ends.
+// TestShutdownWithoutPlatform shuts down an instance while the platform is down, slow or silent, so
+// that no roster can list it as leaving. The others learn it from the instance itself and stop
+// returning its address; it serves callers with older responses. No stream may break, no caller
+// may meet a closed listener, and the instance must exit.
 func TestShutdownWithoutPlatform(t *testing.T) {
 	silence := func(s *system.System, mode faultproxy.Mode) {
 		for _, in := range s.Instances {
@@ -76,31 +72,31 @@
 		}
 	}
 	tests := map[string]func(t *testing.T, s *system.System){
-		"down":   func(t *testing.T, s *system.System) { faults(t, s, map[string]any{"down": true}) },
-		"slow":   func(t *testing.T, s *system.System) { faults(t, s, map[string]any{"delayMillis": 15000}) },
+		"down":   func(t *testing.T, s *system.System) { putPlatformFaults(t, s, map[string]any{"down": true}) },
+		"slow":   func(t *testing.T, s *system.System) { putPlatformFaults(t, s, map[string]any{"delayMillis": 15000}) },
 		"silent": func(_ *testing.T, s *system.System) { silence(s, faultproxy.Silent) },
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, system.Options{TimeScale: 8})
 			l := startShutdownLoad(t, s)
-			require.Eventually(t, func() bool { return len(l.results) > 20 }, patience, pollEach)
+			require.Eventually(t, func() bool { return len(l.results) > 20 }, waitTimeout, pollInterval)
 			fault(t, s)
-			// The others' rights are by now those of an outage.
-			lasts(t, time.Now(), 2*promised)
+			// By now the other instances hold the rights to grant that apply during an outage.
+			waitElapsed(t, time.Now(), 2*propagationLimit)
 			before := len(l.results)
-			l.directory.set(s.Instances[1:])
-			leave(t, s, s.Instances[:1])
-			require.Eventually(t, func() bool { return len(l.results) > before+20 }, patience, pollEach)
+			l.pool.set(s.Instances[1:])
+			shutDown(t, s, s.Instances[:1])
+			require.Eventually(t, func() bool { return len(l.results) > before+20 }, waitTimeout, pollInterval)
 			counts := l.stop()
 			t.Log(counts)
-			require.Len(t, counts, 1, "every stream is whole: %v", counts)
+			require.Len(t, counts, 1, "not every stream is complete: %v", counts)
 		})
 	}
 }
 
-// leave has instances leave at the same time and waits for their end.
-func leave(t *testing.T, s *system.System, instances []*system.Instance) {
+// shutDown shuts down instances at the same time and waits until they exit.
+func shutDown(t *testing.T, s *system.System, instances []*system.Instance) {
 	t.Helper()
 	for _, in := range instances {
 		s.SetInstanceState(t, in, instancelist.StateLeaving)
@@ -111,32 +107,32 @@
 	}
 }
 
-// shutdownLoad streams all the time.
+// shutdownLoad runs callers that stream continuously.
 type shutdownLoad struct {
-	directory *instances
-	cancel    context.CancelFunc
-	callers   sync.WaitGroup
-	results   chan string
+	pool    *instancePool
+	cancel  context.CancelFunc
+	callers sync.WaitGroup
+	results chan string
 }
 
 func startShutdownLoad(t *testing.T, s *system.System) *shutdownLoad {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &shutdownLoad{directory: &instances{}, cancel: cancel, results: make(chan string, 100000)}
-	l.directory.set(s.Instances)
+	l := &shutdownLoad{pool: &instancePool{}, cancel: cancel, results: make(chan string, 100000)}
+	l.pool.set(s.Instances)
 	t.Cleanup(func() { l.cancel(); l.callers.Wait() })
 	for i := range 6 {
 		rng := rand.New(rand.NewPCG(uint64(i), 1))
-		entry := &directory{s: s, first: l.directory}
+		entry := &addressCache{s: s, pool: l.pool}
 		l.callers.Go(func() {
 			for ctx.Err() == nil {
-				l.results <- oneStream(t, s, entry, rng)
+				l.results <- streamOnce(t, s, entry, rng)
 			}
 		})
 	}
 	return l
 }
 
-// stop ends the load and counts what came of the streams.
+// stop ends the load and returns the number of streams by result.
 func (l *shutdownLoad) stop() map[string]int {
 	l.cancel()
 	l.callers.Wait()
@@ -148,49 +144,49 @@
 	return counts
 }
 
-// instances are those that a caller may ask first.
-type instances struct {
+// instancePool holds the instances from which a caller fetches addresses.
+type instancePool struct {
 	mu  sync.Mutex
 	all []*system.Instance
 }
 
-func (i *instances) set(all []*system.Instance) {
+func (i *instancePool) set(all []*system.Instance) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.all = slices.Clone(all)
 }
 
-func (i *instances) get() []*system.Instance {
+func (i *instancePool) get() []*system.Instance {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.all
 }
 
-// directory is what a caller knows of the instances. It keeps an answer for as
-// long as the answer allows, as callers do, and uses it to the end.
-type directory struct {
-	s       *system.System
-	first   *instances
-	known   []caller.InstanceAnswer
-	askedAt time.Time
+// addressCache holds the instance addresses known to one caller. Like real callers, it uses a
+// response of /v1/instances until it expires.
+type addressCache struct {
+	s         *system.System
+	pool      *instancePool
+	addresses []caller.InstanceAnswer
+	fetchedAt time.Time
 }
 
-// address returns the instance to use next.
-func (d *directory) address(t *testing.T, rng *rand.Rand) string {
-	for _, in := range d.first.get() {
-		if time.Since(d.askedAt) < answerTime {
+// address returns the address of a random known instance.
+func (d *addressCache) address(t *testing.T, rng *rand.Rand) string {
+	for _, in := range d.pool.get() {
+		if time.Since(d.fetchedAt) < addressTTL {
 			break
 		}
 		asked := time.Now()
 		if a := d.s.ListedInstances(t, in); len(a) > 0 {
-			d.known, d.askedAt = a, asked
+			d.addresses, d.fetchedAt = a, asked
 		}
 	}
-	return d.known[rng.IntN(len(d.known))].Address
+	return d.addresses[rng.IntN(len(d.addresses))].Address
 }
 
-// oneStream streams one generation and says what came of it.
-func oneStream(t *testing.T, s *system.System, d *directory, rng *rand.Rand) string {
+// streamOnce streams one generation and returns its result.
+func streamOnce(t *testing.T, s *system.System, d *addressCache, rng *rand.Rand) string {
 	c := s.Caller("kigali-flyers")
 	defer c.Client.CloseIdleConnections()
 	st, err := c.Generate(context.Background(), t, d.address(t, rng), "flight-briefing", "briefing for the roll", 20+rng.IntN(60))
@@ -202,11 +198,11 @@
 		return "refused: " + string(st.Failure.Code)
 	}
 	if err := st.Read(0); err != nil {
-		return "cut"
+		return "interrupted"
 	}
 	if st.Failure != nil {
 		return "failed: " + string(st.Failure.Code)
 	}
 	system.RequireCompleteStream(t, st.Tokens)
-	return "whole"
+	return "complete"
 }
--- a/test/failure/streams_test.go
+++ b/test/failure/streams_test.go
@@ -18,23 +18,22 @@
 )
 
 const (
-	// patience and pollEach bound waiting for a state that comes within
-	// seconds.
-	patience = 60 * time.Second
-	pollEach = 20 * time.Millisecond
-	// standstill slows engines so far that the next token is seconds away.
-	standstill = 400
-	// longest bounds a test's outputs, in tokens.
-	longest = 300
+	// waitTimeout and pollInterval are for states that are normally reached within seconds.
+	waitTimeout  = 60 * time.Second
+	pollInterval = 20 * time.Millisecond
+	// stallFactor slows engines down so far that the next token is seconds away.
+	stallFactor = 400
+	// maxOutputTokens limits the output of a test's generations.
+	maxOutputTokens = 300
 )
 
-// quickStall has silent streams probed soon, so that tests are quick.
-func quickStall(s *settings.Settings) { s.Timing.StallMillis = 400 }
+// shortStallTimeout makes instances probe silent streams soon, to keep tests fast.
+func shortStallTimeout(s *settings.Settings) { s.Timing.StallMillis = 400 }
 
-// begin starts a stream and reads its first n tokens.
-func begin(t *testing.T, c *system.Caller, in *system.Instance, prompt, n int) *system.Stream {
+// startStream starts a stream and reads its first n tokens.
+func startStream(t *testing.T, c *system.Caller, in *system.Instance, prompt, n int) *system.Stream {
 	t.Helper()
-	st, err := c.Generate(context.Background(), t, in.Caller, "flight-briefing", system.Prompt(prompt), longest)
+	st, err := c.Generate(context.Background(), t, in.Caller, "flight-briefing", system.Prompt(prompt), maxOutputTokens)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, st.Status, "%v", st.Failure)
 	t.Cleanup(st.Close)
@@ -42,8 +41,9 @@
 	return st
 }
 
-// place returns the server that alone has run the prompt, and its entry.
-func place(t *testing.T, s *system.System, prompt int) (string, engine.Entry) {
+// requireSingleRun checks that the prompt ran once, on one server, and returns the server and its
+// ledger entry.
+func requireSingleRun(t *testing.T, s *system.System, prompt int) (string, engine.Entry) {
 	t.Helper()
 	ran := s.GenerationsByServer(t, prompt)
 	require.Len(t, ran, 1)
@@ -54,7 +54,7 @@
 	return "", engine.Entry{}
 }
 
-// requirePrefix checks that the tokens are the first ones of one generation.
+// requirePrefix checks that the tokens are the first tokens of one generation.
 func requirePrefix(t *testing.T, tokens []system.Token) {
 	t.Helper()
 	end := system.Token{Position: int64(len(tokens) + 1), Finish: "stop"}
@@ -62,23 +62,23 @@
 }
 
 func TestStreams(t *testing.T) {
-	s := start(t, system.Options{TimeScale: 2, Settings: quickStall})
-	t.Run("engine killed before the first token", func(t *testing.T) { engineKilledBefore(t, s) })
-	t.Run("engine replaced after some tokens", func(t *testing.T) { engineReplaced(t, s) })
-	t.Run("engine paused", func(t *testing.T) { enginePaused(t, s) })
-	t.Run("instance paused and two readers", func(t *testing.T) { instancePaused(t, s) })
-	t.Run("link to the engine", func(t *testing.T) { linkFaults(t, s) })
-	t.Run("all links to the engine silent", func(t *testing.T) { engineSilent(t, s) })
-	t.Run("cancelled through another instance", func(t *testing.T) { cancelledElsewhere(t, s) })
+	s := start(t, system.Options{TimeScale: 2, Settings: shortStallTimeout})
+	t.Run("engine killed before the first token", func(t *testing.T) { testEngineKilledBeforeFirstToken(t, s) })
+	t.Run("engine replaced after some tokens", func(t *testing.T) { testEngineReplaced(t, s) })
+	t.Run("engine paused", func(t *testing.T) { testEnginePaused(t, s) })
+	t.Run("instance paused and two readers", func(t *testing.T) { testInstancePaused(t, s) })
+	t.Run("link to the engine", func(t *testing.T) { testLinkFaults(t, s) })
+	t.Run("all links to the engine silent", func(t *testing.T) { testEngineSilent(t, s) })
+	t.Run("cancelled through another instance", func(t *testing.T) { testCancelledElsewhere(t, s) })
 	s.WaitIdle(t)
 }
 
-// The caller sees one whole answer, a little late. The engine that accepted the
-// request is killed before its first token; nothing has reached the caller,
-// so the request is started again on another engine.
-func engineKilledBefore(t *testing.T, s *system.System) {
+// testEngineKilledBeforeFirstToken kills the engine that accepted a request before its first token.
+// The caller has received nothing yet, so the request must be restarted on another engine and
+// complete.
+func testEngineKilledBeforeFirstToken(t *testing.T, s *system.System) {
 	const prompt = 101
-	s.SlowEngines(t, standstill)
+	s.SlowEngines(t, stallFactor)
 	type opened struct {
 		st  *system.Stream
 		err error
@@ -86,11 +86,11 @@
 	done := make(chan opened, 1)
 	c := s.Caller("kigali-flyers")
 	go func() {
-		st, err := c.Generate(context.Background(), t, s.Instances[0].Caller, "flight-briefing", system.Prompt(prompt), longest)
+		st, err := c.Generate(context.Background(), t, s.Instances[0].Caller, "flight-briefing", system.Prompt(prompt), maxOutputTokens)
 		done <- opened{st, err}
 	}()
-	require.Eventually(t, func() bool { return len(s.GenerationsByServer(t, prompt)) == 1 }, patience, pollEach)
-	server, entry := place(t, s, prompt)
+	require.Eventually(t, func() bool { return len(s.GenerationsByServer(t, prompt)) == 1 }, waitTimeout, pollInterval)
+	server, entry := requireSingleRun(t, s, prompt)
 	require.Zero(t, entry.OutputTokens)
 	s.Servers[server].Process.Kill()
 	s.SlowEngines(t, 1)
@@ -102,25 +102,24 @@
 	require.NoError(t, o.st.Read(0))
 	require.Nil(t, o.st.Failure)
 	system.RequireCompleteStream(t, o.st.Tokens)
-	other, _ := place(t, s, prompt)
+	other, _ := requireSingleRun(t, s, prompt)
 	require.NotEqual(t, server, other)
 	s.Restart(t, s.Servers[server])
 }
 
-// The caller sees its stream end with an error that says how far it came. The
-// engine is killed while tokens flow, and a new start at the same address runs
-// another generation under the same request id, as an engine that takes its
-// callers' ids may. Going on with that one would splice two generations, so
-// neither the open stream nor a resume by the old id may give a token of it.
-func engineReplaced(t *testing.T, s *system.System) {
+// testEngineReplaced restarts an engine at the same address in the middle of a stream, and runs
+// another generation there under the same request ID, as can happen on an engine that accepts
+// callers' IDs. Continuing with it would splice two generations, so the stream must end with an
+// error at its position, and neither it nor a resume may return tokens of the other generation.
+func testEngineReplaced(t *testing.T, s *system.System) {
 	const prompt = 102
 	c := s.Caller("kigali-flyers")
-	st := begin(t, c, s.Instances[0], prompt, 10)
-	server, entry := place(t, s, prompt)
+	st := startStream(t, c, s.Instances[0], prompt, 10)
+	server, entry := requireSingleRun(t, s, prompt)
 	node := s.Servers[server]
 	node.Proxy.SetMode(faultproxy.Refuse)
 	s.Restart(t, node)
-	plant(t, node.Address, entry.RequestID)
+	startForeignGeneration(t, node.Address, entry.RequestID)
 	node.Proxy.SetMode(faultproxy.Pass)
 
 	require.NoError(t, st.Read(0))
@@ -130,17 +129,17 @@
 	require.Equal(t, answer.OutcomeRan, st.Failure.Outcome)
 	require.Equal(t, int64(len(st.Tokens)), st.Failure.Position)
 
-	rest, err := c.Resume(context.Background(), t, s.Instances[1].Caller, st.ID, st.Failure.Position)
+	resumed, err := c.Resume(context.Background(), t, s.Instances[1].Caller, st.ID, st.Failure.Position)
 	require.NoError(t, err)
-	defer rest.Close()
-	require.Equal(t, http.StatusBadGateway, rest.Status)
-	require.NotNil(t, rest.Failure)
-	require.Equal(t, answer.CodeGenerationLost, rest.Failure.Code)
-	require.Equal(t, answer.OutcomeRan, rest.Failure.Outcome)
+	defer resumed.Close()
+	require.Equal(t, http.StatusBadGateway, resumed.Status)
+	require.NotNil(t, resumed.Failure)
+	require.Equal(t, answer.CodeGenerationLost, resumed.Failure.Code)
+	require.Equal(t, answer.OutcomeRan, resumed.Failure.Outcome)
 }
 
-// plant starts a long generation on an engine itself and leaves it running.
-func plant(t *testing.T, address, requestID string) {
+// startForeignGeneration starts a long generation directly on an engine and leaves it running.
+func startForeignGeneration(t *testing.T, address, requestID string) {
 	t.Helper()
 	body := `{"model":"flight-briefing","stream":true,"prompt":"plan of another caller"}`
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+address+"/v1/completions", strings.NewReader(body))
@@ -152,66 +151,64 @@
 	require.Equal(t, http.StatusOK, res.StatusCode)
 }
 
-// The caller sees a pause and then the rest. The engine stands still in the
-// middle of a stream, the entry instance probes it on new connections, which
-// it accepts without answering, and it goes on where it was.
-func enginePaused(t *testing.T, s *system.System) {
+// testEnginePaused freezes the engine in the middle of a stream. The entry instance probes it on new
+// connections, which are accepted and not answered. When the engine continues, the stream must
+// continue where it stopped.
+func testEnginePaused(t *testing.T, s *system.System) {
 	const prompt = 103
-	st := begin(t, s.Caller("kigali-flyers"), s.Instances[0], prompt, 10)
-	server, _ := place(t, s, prompt)
+	st := startStream(t, s.Caller("kigali-flyers"), s.Instances[0], prompt, 10)
+	server, _ := requireSingleRun(t, s, prompt)
 	probes := s.Metric(t, s.Instances[0], "probes")
 	s.Servers[server].Process.Signal(t, syscall.SIGSTOP)
-	require.Eventually(t, func() bool { return s.Metric(t, s.Instances[0], "probes") >= probes+2 }, patience, pollEach)
+	require.Eventually(t, func() bool { return s.Metric(t, s.Instances[0], "probes") >= probes+2 }, waitTimeout, pollInterval)
 	s.Servers[server].Process.Signal(t, syscall.SIGCONT)
 	require.NoError(t, st.Read(0))
 	require.Nil(t, st.Failure)
 	system.RequireCompleteStream(t, st.Tokens)
-	place(t, s, prompt)
+	requireSingleRun(t, s, prompt)
 }
 
-// The caller sees its stream stand still, resumes it through another instance
-// and gets the rest there. The first instance was only paused: it goes on
-// afterwards, and whoever still reads from it gets the rest too. Two readers
-// of one generation each get every token once.
-func instancePaused(t *testing.T, s *system.System) {
+// testInstancePaused freezes the instance that relays a stream. The caller resumes through another
+// instance and gets the remaining tokens there. When the first instance continues, it must also
+// deliver them to its own readers. Each reader of the generation gets every token once.
+func testInstancePaused(t *testing.T, s *system.System) {
 	const prompt = 104
 	c := s.Caller("kigali-flyers")
-	st := begin(t, c, s.Instances[0], prompt, 10)
-	early, err := c.Resume(context.Background(), t, s.Instances[2].Caller, st.ID, 0)
+	st := startStream(t, c, s.Instances[0], prompt, 10)
+	secondReader, err := c.Resume(context.Background(), t, s.Instances[2].Caller, st.ID, 0)
 	require.NoError(t, err)
-	defer early.Close()
+	defer secondReader.Close()
 	s.Instances[0].Process.Signal(t, syscall.SIGSTOP)
-	rest, err := c.Resume(context.Background(), t, s.Instances[1].Caller, st.ID, 10)
+	resumed, err := c.Resume(context.Background(), t, s.Instances[1].Caller, st.ID, 10)
 	require.NoError(t, err)
-	defer rest.Close()
-	require.NoError(t, rest.Read(0))
-	require.Nil(t, rest.Failure)
-	system.RequireCompleteStream(t, append(append([]system.Token(nil), st.Tokens...), rest.Tokens...))
+	defer resumed.Close()
+	require.NoError(t, resumed.Read(0))
+	require.Nil(t, resumed.Failure)
+	system.RequireCompleteStream(t, append(append([]system.Token(nil), st.Tokens...), resumed.Tokens...))
 	s.Instances[0].Process.Signal(t, syscall.SIGCONT)
-	for _, reader := range []*system.Stream{st, early} {
+	for _, reader := range []*system.Stream{st, secondReader} {
 		require.NoError(t, reader.Read(0))
 		require.Nil(t, reader.Failure)
 		system.RequireCompleteStream(t, reader.Tokens)
 	}
-	place(t, s, prompt)
+	requireSingleRun(t, s, prompt)
 	s.WaitReady(t)
 }
 
-// The caller sees a pause at most. The connection that carries the stream
-// breaks, goes silent for good while new ones work, or the link is down or
-// slow for a while; the entry instance goes on after the last position on a
-// new connection, and drops what comes twice.
-func linkFaults(t *testing.T, s *system.System) {
+// testLinkFaults cuts or silences the connection of a stream, or makes the link slow or unavailable
+// for a while. The entry instance must reconnect, continue after the last position and drop
+// duplicates, so that the caller sees at most a pause.
+func testLinkFaults(t *testing.T, s *system.System) {
 	prompt := 110
 	faults := map[string]func(t *testing.T, p *faultproxy.Proxy){
 		"cut":     func(_ *testing.T, p *faultproxy.Proxy) { p.CutOpen() },
 		"silent":  func(_ *testing.T, p *faultproxy.Proxy) { p.SilenceOpen() },
 		"delayed": func(_ *testing.T, p *faultproxy.Proxy) { p.SetDelay(30 * time.Millisecond) },
-		"down and up again": func(t *testing.T, p *faultproxy.Proxy) {
+		"down for a while": func(t *testing.T, p *faultproxy.Proxy) {
 			probes := s.Metric(t, s.Instances[0], "probes")
 			p.SetMode(faultproxy.Silent)
 			p.SilenceOpen()
-			require.Eventually(t, func() bool { return s.Metric(t, s.Instances[0], "probes") >= probes+2 }, patience, pollEach)
+			require.Eventually(t, func() bool { return s.Metric(t, s.Instances[0], "probes") >= probes+2 }, waitTimeout, pollInterval)
 			p.SetMode(faultproxy.Refuse)
 			p.SetMode(faultproxy.Pass)
 		},
@@ -219,8 +216,8 @@
 	for name, fault := range faults {
 		prompt++
 		t.Run(name, func(t *testing.T) {
-			st := begin(t, s.Caller("kigali-flyers"), s.Instances[0], prompt, 10)
-			server, entry := place(t, s, prompt)
+			st := startStream(t, s.Caller("kigali-flyers"), s.Instances[0], prompt, 10)
+			server, entry := requireSingleRun(t, s, prompt)
 			proxy := s.Servers[server].Proxy
 			require.Equal(t, engine.StatusRunning, entry.Status)
 			fault(t, proxy)
@@ -229,19 +226,19 @@
 			require.NoError(t, st.Read(0))
 			require.Nil(t, st.Failure)
 			system.RequireCompleteStream(t, st.Tokens)
-			_, entry = place(t, s, prompt)
+			_, entry = requireSingleRun(t, s, prompt)
 			require.Equal(t, engine.StatusFinished, entry.Status)
 		})
 	}
 }
 
-// The caller sees its stream end with an error that says it was cancelled. It
-// asked another instance than the one that relays; that one ends the
-// generation on its engine, whose memory is free at once.
-func cancelledElsewhere(t *testing.T, s *system.System) {
+// testCancelledElsewhere cancels a generation through another instance than the one that relays it.
+// The generation must end on its engine, which frees its memory at once, and the stream must end
+// with an error that says that it was cancelled.
+func testCancelledElsewhere(t *testing.T, s *system.System) {
 	const prompt = 105
 	c := s.Caller("kigali-flyers")
-	st := begin(t, c, s.Instances[0], prompt, 5)
+	st := startStream(t, c, s.Instances[0], prompt, 5)
 	reply, err := c.Call(t.Context(), t, http.MethodDelete, s.Instances[1].Caller, "/v1/generations/"+st.ID, nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusNoContent, reply.Status, "%s", reply.Body)
@@ -250,7 +247,7 @@
 	require.Equal(t, answer.OutcomeRan, st.Failure.Outcome)
 	require.Equal(t, int64(len(st.Tokens)), st.Failure.Position)
 	requirePrefix(t, st.Tokens)
-	_, entry := place(t, s, prompt)
+	_, entry := requireSingleRun(t, s, prompt)
 	require.Equal(t, engine.StatusCancelled, entry.Status)
 
 	stranger, err := s.Caller("huye-gliders").Call(t.Context(), t, http.MethodDelete, s.Instances[1].Caller, "/v1/generations/"+st.ID, nil)
--- a/test/failure/zone_test.go
+++ b/test/failure/zone_test.go
@@ -13,81 +13,79 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// quickWarm are engines that are warm soon and keep their ledger.
-var quickWarm = []string{"--cold-millis", "400", "--crash", "restart"}
+// warmEngineArgs makes engines warm up quickly and keep their ledger across crashes.
+var warmEngineArgs = []string{"--cold-millis", "400", "--crash", "restart"}
 
-// TestZoneTakenOut: operators take an availability zone out under load, while
-// one instance can't hear of it from the platform, or is frozen and acts on
-// what was true before when it thaws. Callers go on being served; three
-// seconds after the change was accepted no generation arrives in the zone,
-// because an instance hears of it from peers, or takes no new work while it
-// can't confirm that its configuration is the newest.
-func TestZoneTakenOut(t *testing.T) {
+// TestZoneDrained drains an availability zone under load while one instance can't learn of it from
+// the platform, or is frozen and continues with outdated state. Callers must be served. Three
+// seconds after the change was accepted no generation may arrive in the zone: an instance learns of
+// the change from its peers, or accepts no requests while it can't confirm its configuration.
+func TestZoneDrained(t *testing.T) {
 	tests := map[string]struct {
 		before, after func(t *testing.T, s *system.System, in *system.Instance)
-		// refuses says that the instance must refuse all new work.
+		// refuses means that the instance must refuse all new requests.
 		refuses bool
 	}{
-		"all instances hear of it": {},
-		"one can't reach the platform": {before: func(_ *testing.T, _ *system.System, in *system.Instance) {
+		"all instances are reachable": {},
+		"one instance can't reach the platform": {before: func(_ *testing.T, _ *system.System, in *system.Instance) {
 			in.PlatformProxy.SetMode(faultproxy.Refuse)
 		}},
-		"one's links to the platform are silent": {before: func(_ *testing.T, _ *system.System, in *system.Instance) {
+		"one instance's platform links are silent": {before: func(_ *testing.T, _ *system.System, in *system.Instance) {
 			in.PlatformProxy.SetMode(faultproxy.Silent)
 			in.PlatformProxy.SilenceOpen()
 		}},
-		"one is cut off from all": {refuses: true, before: func(_ *testing.T, s *system.System, in *system.Instance) {
+		"one instance is isolated": {refuses: true, before: func(_ *testing.T, s *system.System, in *system.Instance) {
 			isolate(s, in)
 		}},
-		"one is frozen and thaws": {
+		"one instance is frozen for a while": {
 			before: func(t *testing.T, _ *system.System, in *system.Instance) { in.Process.Signal(t, syscall.SIGSTOP) },
 			after:  func(t *testing.T, _ *system.System, in *system.Instance) { in.Process.Signal(t, syscall.SIGCONT) },
 		},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, system.Options{EngineArgs: quickWarm})
+			s := start(t, system.Options{EngineArgs: warmEngineArgs})
 			d := deployments["inyange"]
 			zone := s.Config.Zones[0].Name
-			in, out := engines(s, zone), engines(s, s.Config.Zones[1].Name)
-			odd := ownerOf(t, s, in[0])
-			hears := s.Instances[0]
-			if odd == hears {
-				hears = s.Instances[1]
+			drainedEngines, otherEngines := engineNames(s, zone), engineNames(s, s.Config.Zones[1].Name)
+			faulty := ownerOf(t, s, drainedEngines[0])
+			healthy := s.Instances[0]
+			if faulty == healthy {
+				healthy = s.Instances[1]
 			}
 			l := startLoad(t, s, d, 16, s.Instances, generate(d, 20))
-			l.requireServes(t, 40)
+			l.waitServed(t, 40)
 			if tt.before != nil {
-				tt.before(t, s, odd)
+				tt.before(t, s, faulty)
 			}
-			_, err := s.OperatorClient(t, hears).DrainZone(t.Context(), zone, changeBy("take the zone out"))
+			_, err := s.OperatorClient(t, healthy).DrainZone(t.Context(), zone, changeRequest("drain zone"))
 			require.NoError(t, err)
-			drained := time.Now()
-			lasts(t, drained, promised)
+			drainedAt := time.Now()
+			waitElapsed(t, drainedAt, propagationLimit)
 			if tt.after != nil {
-				tt.after(t, s, odd)
+				tt.after(t, s, faulty)
 			}
 			if !tt.refuses {
-				l.requireServes(t, 100)
+				l.waitServed(t, 100)
 			}
-			lasts(t, drained, 2*promised)
+			waitElapsed(t, drainedAt, 2*propagationLimit)
 			if tt.refuses {
-				requireRefusing(t, s, d, odd)
+				requireRefusesNewWork(t, s, d, faulty)
 			}
 			records := l.Stop()
-			require.Zero(t, arrivals(t, s, in, drained.Add(promised)), "new work in a zone taken out")
+			require.Zero(t, countArrivals(t, s, drainedEngines, drainedAt.Add(propagationLimit)), "new generations in a drained zone")
 			if !tt.refuses {
-				require.Positive(t, arrivals(t, s, out, drained.Add(promised)))
+				require.Positive(t, countArrivals(t, s, otherEngines, drainedAt.Add(propagationLimit)))
 			}
-			requireSound(t, records)
-			requireNoneCut(t, records)
+			requireCompleteStreams(t, records)
+			requireNoBrokenStreams(t, records)
 		})
 	}
 }
 
-// isolate cuts an instance off from the platform and from its peers, but not
-// from its callers and the backend servers. A proxy doesn't know who calls, so
-// the others lose each other too; they have the platform.
+// isolate cuts an instance off from the platform and its peers, but not from its callers and the
+// backend servers. A proxy can't tell its clients apart, so the other instances lose their peer
+// connections too; they still reach the platform.
 func isolate(s *system.System, in *system.Instance) {
 	in.PlatformProxy.SetMode(faultproxy.Refuse)
 	for _, other := range s.Instances {
@@ -95,9 +93,8 @@
 	}
 }
 
-// requireRefusing checks that an instance takes no new work and says that it
-// wasn't run.
-func requireRefusing(t *testing.T, s *system.System, d deployment, in *system.Instance) {
+// requireRefusesNewWork checks that an instance refuses new requests as not run.
+func requireRefusesNewWork(t *testing.T, s *system.System, d deployment, in *system.Instance) {
 	t.Helper()
 	for range 5 {
 		r := generate(d, 5)(t.Context(), t, s.Caller(d.workspace), in, "refused")
@@ -107,40 +104,38 @@
 	}
 }
 
-// TestZoneRestored: operators bring an availability zone back under full load;
-// its engines were warm when it left. Callers' requests wait for places there
-// at that moment. Until one of them has shown a token, no more arrive than a
-// cold server can handle, because each owner takes a server whose zone returns for
-// cold: nobody knows what it went through.
+// TestZoneRestored restores an availability zone under full load, with requests queued. Its engines
+// were warm when it was drained, but their state is now unknown, so owners must treat them as cold:
+// until a server has produced a token, it gets no more requests than its cold limit.
 func TestZoneRestored(t *testing.T) {
-	s := start(t, system.Options{EngineArgs: quickWarm})
+	s := start(t, system.Options{EngineArgs: warmEngineArgs})
 	d := deployments["inyange"]
 	zone := s.Config.Zones[0].Name
-	in := engines(s, zone)
+	restoredEngines := engineNames(s, zone)
 	l := startLoad(t, s, d, 40, s.Instances, generate(d, 20))
-	l.requireServes(t, 200)
+	l.waitServed(t, 200)
 	ops := s.OperatorClient(t, s.Instances[0])
-	_, err := ops.DrainZone(t.Context(), zone, changeBy("take the zone out"))
+	_, err := ops.DrainZone(t.Context(), zone, changeRequest("drain zone"))
 	require.NoError(t, err)
-	lasts(t, time.Now(), promised)
-	restored := time.Now()
-	_, err = ops.RestoreZone(t.Context(), zone, changeBy("bring the zone back"))
+	waitElapsed(t, time.Now(), propagationLimit)
+	restoredAt := time.Now()
+	_, err = ops.RestoreZone(t.Context(), zone, changeRequest("restore zone"))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return arrivals(t, s, in, restored) >= 20 }, patience, pollEach, "no work returns")
-	requireSound(t, l.Stop())
-	for _, name := range in {
-		early, shown := 0, time.Time{}
+	require.Eventually(t, func() bool { return countArrivals(t, s, restoredEngines, restoredAt) >= 20 }, waitTimeout, pollInterval, "no requests after the zone was restored")
+	requireCompleteStreams(t, l.Stop())
+	for _, name := range restoredEngines {
+		beforeFirstToken, firstToken := 0, time.Time{}
 		for _, g := range s.EngineLedger(t, name).Generations {
-			if g.ArrivedAt.Before(restored) {
+			if g.ArrivedAt.Before(restoredAt) {
 				continue
 			}
-			if first := g.ArrivedAt.Add(time.Duration(g.QueueMillis) * time.Millisecond); shown.IsZero() || first.Before(shown) {
-				shown = first
+			if first := g.ArrivedAt.Add(time.Duration(g.QueueMillis) * time.Millisecond); firstToken.IsZero() || first.Before(firstToken) {
+				firstToken = first
 			}
-			if !g.ArrivedAt.After(shown) {
-				early++
+			if !g.ArrivedAt.After(firstToken) {
+				beforeFirstToken++
 			}
 		}
-		require.LessOrEqual(t, early, s.Config.Servers[0].ColdLimit, "requests before the first token on %s", name)
+		require.LessOrEqual(t, beforeFirstToken, s.Config.Servers[0].ColdLimit, "requests before the first token on %s", name)
 	}
 }
