--- a/test/session/session_test.go
+++ b/test/session/session_test.go
@@ -1,6 +1,5 @@
-// Package session_test records whole sessions of a caller with real processes
-// as golden files: what is sent and what comes back, with ids, times and
-// addresses made alike.
+// Package session_test records complete sessions of a caller with real processes as golden files:
+// requests and responses, with IDs, times and addresses normalized.
 package session_test
 
 import (
@@ -23,34 +22,34 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// work is what a session of one deployment asks for.
-type work struct {
-	workspace, other string
-	model, prompt    string
-	service, server  string
-	lookup, change   string
-	first, second    string
-	zone             string
+// scenario holds the names and requests that a session of one deployment uses.
+type scenario struct {
+	workspace, otherWorkspace string
+	model, prompt             string
+	service, server           string
+	readPath, writePath       string
+	firstBody, secondBody     string
+	zone                      string
 }
 
-var deployments = map[string]work{
+var deployments = map[string]scenario{
 	"inyange": {
-		workspace: "kigali-flyers", other: "huye-gliders",
+		workspace: "kigali-flyers", otherWorkspace: "huye-gliders",
 		model: "flight-briefing", prompt: "briefing for the glider meeting",
-		service: "club-desk", server: "desk-1", lookup: "/rosters/saturday", change: "/bookings",
-		first: `{"field":3,"slot":"saturday"}`, second: `{"field":4,"slot":"saturday"}`,
+		service: "club-desk", server: "desk-1", readPath: "/rosters/saturday", writePath: "/bookings",
+		firstBody: `{"field":3,"slot":"saturday"}`, secondBody: `{"field":4,"slot":"saturday"}`,
 		zone: "kigali-b",
 	},
 	"mavuno": {
-		workspace: "nairobi-schools", other: "limuru-greens",
+		workspace: "nairobi-schools", otherWorkspace: "limuru-greens",
 		model: "menu-planner", prompt: "plan for Monday's lunch",
-		service: "orders", server: "orders-1", lookup: "/stock/kale", change: "/confirmations",
-		first: `{"order":17,"truck":2}`, second: `{"order":18,"truck":2}`,
+		service: "orders", server: "orders-1", readPath: "/stock/kale", writePath: "/confirmations",
+		firstBody: `{"order":17,"truck":2}`, secondBody: `{"order":18,"truck":2}`,
 		zone: "nairobi-b",
 	},
 }
 
-// transcript is the record of a session.
+// transcript records a session.
 type transcript struct {
 	t   *testing.T
 	s   *system.System
@@ -58,10 +57,10 @@
 	out bytes.Buffer
 }
 
-// normal makes alike what differs from run to run.
-var normal = []struct {
-	pattern *regexp.Regexp
-	with    string
+// normalizers replace values that differ between runs.
+var normalizers = []struct {
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`gen-[A-Za-z0-9_-]+`), "gen-ID"},
 	{regexp.MustCompile(`req-[A-Za-z0-9_-]+`), "req-ID"},
@@ -73,15 +72,15 @@
 	{regexp.MustCompile(`"retryAfterMs":\d+`), `"retryAfterMs":TIME`},
 }
 
-func (r *transcript) note(format string, args ...any) {
+func (r *transcript) recordf(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
-	for _, n := range normal {
-		line = n.pattern.ReplaceAllString(line, n.with)
+	for _, n := range normalizers {
+		line = n.pattern.ReplaceAllString(line, n.replacement)
 	}
 	r.out.WriteString(line + "\n")
 }
 
-// call does one call and records it.
+// call sends one request and records it with its response.
 func (r *transcript) call(method, path, body string, header ...string) {
 	r.t.Helper()
 	var data []byte
@@ -93,44 +92,43 @@
 	if len(body) > 120 {
 		body = body[:120] + "..."
 	}
-	r.note("> %s %s %s %s", method, path, strings.Join(header, " "), body)
-	r.note("< %d %s", reply.Status, strings.TrimSpace(string(reply.Body)))
+	r.recordf("> %s %s %s %s", method, path, strings.Join(header, " "), body)
+	r.recordf("< %d %s", reply.Status, strings.TrimSpace(string(reply.Body)))
 	if replayed := reply.Header.Get("Idempotent-Replayed"); replayed != "" {
-		r.note("< Idempotent-Replayed: %s", replayed)
+		r.recordf("< Idempotent-Replayed: %s", replayed)
 	}
 }
 
-// stream records the tokens of a stream from position from on.
-func (r *transcript) stream(what string, tokens []system.Token) {
+// recordTokens records the texts of tokens.
+func (r *transcript) recordTokens(what string, tokens []system.Token) {
 	texts := make([]string, 0, len(tokens))
 	for _, tok := range tokens {
 		texts = append(texts, strings.TrimSpace(tok.Text)+tok.Finish)
 	}
-	r.note("%s: %s", what, strings.Join(texts, " "))
+	r.recordf("%s: %s", what, strings.Join(texts, " "))
 }
 
-// TestSession: a caller asks which instances to use, streams, asks for a whole
-// answer, resumes through another instance after the first was killed, cancels,
-// calls the plain service with a key and repeats it, and errs in every way an
-// API can be erred with. Operators take a zone out and bring it back.
-func TestSession(t *testing.T) {
-	for name, w := range deployments {
+// TestCallerSession records a session: a caller lists instances, streams, requests a complete
+// response, resumes through another instance after the first was killed, cancels, repeats a call
+// with an idempotency key, and sends invalid requests. Operators drain and restore a zone.
+func TestCallerSession(t *testing.T) {
+	for name, sc := range deployments {
 		t.Run(name, func(t *testing.T) {
-			// Cold engines refuse by chance of timing; sessions start warm.
+			// Cold engines refuse requests depending on timing, so sessions start with warm ones.
 			s := system.Start(t, system.Options{Deployment: name, TimeScale: 2, EngineArgs: []string{"--seed", "7", "--cold-millis", "0"}})
-			r := &transcript{t: t, s: s, c: s.Caller(w.workspace)}
-			r.generations(w)
-			r.mistakes(w)
-			r.effects(w)
-			r.zones(w)
-			r.resumeAfterKill(w)
+			r := &transcript{t: t, s: s, c: s.Caller(sc.workspace)}
+			r.generations(sc)
+			r.invalidRequests(sc)
+			r.serviceCalls(sc)
+			r.zones(sc)
+			r.resumeAfterInstanceKill(sc)
 			goldie.New(t).Assert(t, name, r.out.Bytes())
 		})
 	}
 }
 
-func (r *transcript) generations(w work) {
-	r.note("# generations")
+func (r *transcript) generations(sc scenario) {
+	r.recordf("# generations")
 	answer, err := r.c.Call(r.t.Context(), r.t, http.MethodGet, r.s.Instances[0].Caller, "/v1/instances", nil)
 	require.NoError(r.t, err)
 	var instances struct {
@@ -139,40 +137,40 @@
 	}
 	require.NoError(r.t, json.Unmarshal(answer.Body, &instances))
 	// The order depends on the caller's address.
-	r.note("%d instances, kept for %d s", len(instances.Instances), instances.TTLSeconds)
+	r.recordf("%d instances, kept for %d s", len(instances.Instances), instances.TTLSeconds)
 	r.call(http.MethodGet, "/v1/models", "")
-	st, err := r.c.Generate(r.t.Context(), r.t, r.s.Instances[0].Caller, w.model, w.prompt, 8)
+	st, err := r.c.Generate(r.t.Context(), r.t, r.s.Instances[0].Caller, sc.model, sc.prompt, 8)
 	require.NoError(r.t, err)
 	require.NoError(r.t, st.Read(0))
 	system.RequireCompleteStream(r.t, st.Tokens)
-	r.stream("streamed", st.Tokens)
+	r.recordTokens("streamed", st.Tokens)
 	r.call(http.MethodPost, "/v1/chat/completions", fmt.Sprintf(
-		`{"model":%q,"max_tokens":4,"messages":[{"role":"user","content":%q}]}`, w.model, w.prompt))
-	r.call(http.MethodPost, "/v1/completions", fmt.Sprintf(`{"model":%q,"max_tokens":4,"prompt":%q}`, w.model, w.prompt))
+		`{"model":%q,"max_tokens":4,"messages":[{"role":"user","content":%q}]}`, sc.model, sc.prompt))
+	r.call(http.MethodPost, "/v1/completions", fmt.Sprintf(`{"model":%q,"max_tokens":4,"prompt":%q}`, sc.model, sc.prompt))
 
-	long, err := r.c.Generate(r.t.Context(), r.t, r.s.Instances[0].Caller, w.model, w.prompt, 4000)
+	long, err := r.c.Generate(r.t.Context(), r.t, r.s.Instances[0].Caller, sc.model, sc.prompt, 4000)
 	require.NoError(r.t, err)
 	require.NoError(r.t, long.Read(3))
-	other := r.s.Caller(w.other)
+	other := r.s.Caller(sc.otherWorkspace)
 	reply, err := other.Call(r.t.Context(), r.t, http.MethodDelete, r.s.Instances[0].Caller, "/v1/generations/"+long.ID, nil)
 	require.NoError(r.t, err)
-	r.note("another workspace cancels: %d %s", reply.Status, reply.Body)
+	r.recordf("another workspace cancels: %d %s", reply.Status, reply.Body)
 	r.call(http.MethodDelete, "/v1/generations/"+long.ID, "")
 	require.NoError(r.t, long.Read(0))
-	r.note("the cancelled stream ends with: %s, outcome %s", long.Failure.Code, long.Failure.Outcome)
+	r.recordf("the cancelled stream ends with: %s, outcome %s", long.Failure.Code, long.Failure.Outcome)
 }
 
-func (r *transcript) mistakes(w work) {
-	r.note("# mistakes")
+func (r *transcript) invalidRequests(sc scenario) {
+	r.recordf("# mistakes")
 	chat := func(body string) { r.call(http.MethodPost, "/v1/chat/completions", body) }
 	chat(`{"model":`)
-	chat(fmt.Sprintf(`{"model":%q}`, w.model))
-	chat(fmt.Sprintf(`{"model":%q,"max_tokens":-1,"messages":[{"role":"user","content":"x"}]}`, w.model))
+	chat(fmt.Sprintf(`{"model":%q}`, sc.model))
+	chat(fmt.Sprintf(`{"model":%q,"max_tokens":-1,"messages":[{"role":"user","content":"x"}]}`, sc.model))
 	chat(`{"model":"nobody","messages":[{"role":"user","content":"x"}]}`)
-	chat(fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}]}`, w.model, strings.Repeat("x", 2<<20)))
+	chat(fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}]}`, sc.model, strings.Repeat("x", 2<<20)))
 	r.call(http.MethodGet, "/v1/generations/gen-forged", "")
 	r.call(http.MethodGet, "/v1/services/nobody/x", "")
-	r.call(http.MethodPatch, "/v1/services/"+w.service+w.change, "{}")
+	r.call(http.MethodPatch, "/v1/services/"+sc.service+sc.writePath, "{}")
 	r.call(http.MethodGet, "/v1/nothing", "")
 	token := r.c.Token
 	r.c.Token = "wrong"
@@ -182,31 +180,31 @@
 	r.c.Token = token
 }
 
-func (r *transcript) effects(w work) {
-	r.note("# effects")
-	path := "/v1/services/" + w.service
-	r.call(http.MethodGet, path+w.lookup, "")
-	r.call(http.MethodPost, path+w.change, w.first, "Idempotency-Key", "key-1")
-	r.call(http.MethodPost, path+w.change, w.first, "Idempotency-Key", "key-1")
-	r.call(http.MethodPost, path+w.change, w.second, "Idempotency-Key", "key-1")
-	r.call(http.MethodPost, path+w.change, w.second)
-	r.note("effects in the ledger: %d", len(r.s.ServiceLedger(r.t, w.server).Effects))
+func (r *transcript) serviceCalls(sc scenario) {
+	r.recordf("# effects")
+	path := "/v1/services/" + sc.service
+	r.call(http.MethodGet, path+sc.readPath, "")
+	r.call(http.MethodPost, path+sc.writePath, sc.firstBody, "Idempotency-Key", "key-1")
+	r.call(http.MethodPost, path+sc.writePath, sc.firstBody, "Idempotency-Key", "key-1")
+	r.call(http.MethodPost, path+sc.writePath, sc.secondBody, "Idempotency-Key", "key-1")
+	r.call(http.MethodPost, path+sc.writePath, sc.secondBody)
+	r.recordf("effects in the ledger: %d", len(r.s.ServiceLedger(r.t, sc.server).Effects))
 }
 
-func (r *transcript) zones(w work) {
-	r.note("# zones")
+func (r *transcript) zones(sc scenario) {
+	r.recordf("# zones")
 	for _, args := range [][]string{
-		{"zone", "drain", w.zone}, {"zone", "list"}, {"zone", "restore", w.zone}, {"zone", "list"},
+		{"zone", "drain", sc.zone}, {"zone", "list"}, {"zone", "restore", sc.zone}, {"zone", "list"},
 	} {
 		code, stdout, _ := r.s.RunCommand(r.t, r.s.Instances[0], "", args...)
-		r.note("$ pollenspindle %s\n%sexit %d", strings.Join(args, " "), stdout, code)
+		r.recordf("$ pollenspindle %s\n%sexit %d", strings.Join(args, " "), stdout, code)
 	}
 }
 
-// resumeAfterKill is last, as it costs an instance.
-func (r *transcript) resumeAfterKill(w work) {
-	r.note("# resume after kill -9")
-	st, err := r.c.Generate(r.t.Context(), r.t, r.s.Instances[0].Caller, w.model, w.prompt, 60)
+// resumeAfterInstanceKill must run last because it kills an instance.
+func (r *transcript) resumeAfterInstanceKill(sc scenario) {
+	r.recordf("# resume after kill -9")
+	st, err := r.c.Generate(r.t.Context(), r.t, r.s.Instances[0].Caller, sc.model, sc.prompt, 60)
 	require.NoError(r.t, err)
 	require.NoError(r.t, st.Read(5))
 	r.s.Instances[0].Process.Kill()
@@ -214,16 +212,16 @@
 		_, err = st.Next()
 	}
 	require.ErrorIs(r.t, err, system.ErrStreamInterrupted)
-	rest, err := r.c.Resume(r.t.Context(), r.t, r.s.Instances[1].Caller, st.ID, int64(len(st.Tokens)))
+	resumed, err := r.c.Resume(r.t.Context(), r.t, r.s.Instances[1].Caller, st.ID, int64(len(st.Tokens)))
 	require.NoError(r.t, err)
-	require.NoError(r.t, rest.Read(0))
-	all := slices.Concat(st.Tokens, rest.Tokens)
+	require.NoError(r.t, resumed.Read(0))
+	all := slices.Concat(st.Tokens, resumed.Tokens)
 	system.RequireCompleteStream(r.t, all)
-	r.stream("both parts", all)
+	r.recordTokens("both parts", all)
 }
 
-// TestOfficialClient: the OpenAI client for Go gets a streamed and a whole
-// answer by setting only the base URL and the key, and shows our failures.
+// TestOfficialClient checks that the OpenAI client for Go works with only the base URL and the key
+// set: it receives streamed and complete responses and exposes the errors.
 func TestOfficialClient(t *testing.T) {
 	s := system.Start(t, system.Options{TimeScale: 8, EngineArgs: []string{"--cold-millis", "0"}})
 	client := openai.NewClient(
