--- a/test/outcome/outcome_test.go
+++ b/test/outcome/outcome_test.go
@@ -11,226 +11,223 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// calm is a rate, in requests a second, that six servers can handle easily;
-// saturating is about one and a half times what they can handle.
 const (
-	calm       = 3
-	saturating = 8
+	// lowRate is a request rate, in requests per second, that six servers handle easily;
+	// saturatingRate is about 1.5 times their capacity.
+	lowRate        = 3
+	saturatingRate = 8
 )
 
-// drained is long after the last arrival: the longest output takes some six
-// minutes.
-const drained = 700 * time.Second
+// drainTime is a time long after the last arrival: the longest output takes about six minutes.
+const drainTime = 700 * time.Second
 
-func briefing(rng *rand.Rand) *call { return draw(rng, "club", 260) }
+func briefing(rng *rand.Rand) *call { return newCall(rng, "club", 260) }
 
 func mixed(rng *rand.Rand) *call {
 	if rng.IntN(2) == 0 {
-		return draw(rng, "verdicts", 24)
+		return newCall(rng, "verdicts", 24)
 	}
-	return draw(rng, "plans", 500)
+	return newCall(rng, "plans", 500)
 }
 
-func (w *world) of(workspace string) (asked, done, refused int, firsts []float64) {
-	for _, c := range w.calls {
+func (sim *simulation) workspaceStats(workspace string) (arrived, completed, refused int, firstTokens []float64) {
+	for _, c := range sim.calls {
 		if c.workspace != workspace {
 			continue
 		}
-		asked++
+		arrived++
 		if c.done {
-			done++
+			completed++
 		}
 		if c.refused {
 			refused++
 		}
-		if c.first > 0 {
-			firsts = append(firsts, c.first.Seconds())
+		if c.firstTokenLatency > 0 {
+			firstTokens = append(firstTokens, c.firstTokenLatency.Seconds())
 		}
 	}
-	return asked, done, refused, firsts
+	return arrived, completed, refused, firstTokens
 }
 
 func TestOutcomes(t *testing.T) {
 	tests := map[string]struct {
 		servers int
-		run     func(t *testing.T, w *world)
+		run     func(t *testing.T, sim *simulation)
 	}{
-		"calm demand is served whole": {run: func(t *testing.T, w *world) {
-			w.poisson(calm, 0, 100*time.Second, briefing)
-			w.run(200 * time.Second)
-			s := w.summary(200 * time.Second)
+		"low load is served without refusals or stalls": {run: func(t *testing.T, sim *simulation) {
+			sim.schedulePoisson(lowRate, 0, 100*time.Second, briefing)
+			sim.runUntil(200 * time.Second)
+			s := sim.summary(200 * time.Second)
 			require.Zero(t, s.Refused+s.Preemptions)
 			require.Zero(t, s.Stall)
-			require.Less(t, s.First95, 410.0, "milliseconds")
+			require.Less(t, s.FirstTokenP95, 410.0, "milliseconds")
 			require.Less(t, s.P95, 42.0, "milliseconds")
 		}},
-		"a burst waits or is refused, and stalls nobody": {run: func(t *testing.T, w *world) {
-			w.poisson(calm, 0, 60*time.Second, briefing)
+		"a burst is queued or refused and stalls no stream": {run: func(t *testing.T, sim *simulation) {
+			sim.schedulePoisson(lowRate, 0, 60*time.Second, briefing)
 			for range 150 {
-				w.after(30*time.Second, func() { w.arrive(briefing(w.rng)) })
+				sim.schedule(30*time.Second, func() { sim.arrive(briefing(sim.rng)) })
 			}
-			w.run(drained)
-			s := w.summary(drained)
-			require.Equal(t, len(w.calls), s.Completed+s.Refused, "an answer for each")
-			require.Greater(t, s.Completed, len(w.calls)/2)
+			sim.runUntil(drainTime)
+			s := sim.summary(drainTime)
+			require.Equal(t, len(sim.calls), s.Completed+s.Refused, "every request completes or is refused")
+			require.Greater(t, s.Completed, len(sim.calls)/2)
 			require.LessOrEqual(t, s.Preemptions, 3)
 		}},
-		"half of all share one prefix": {run: func(t *testing.T, w *world) {
-			w.poisson(calm, 0, 100*time.Second, func(rng *rand.Rand) *call {
+		"half of the requests share one prefix": {run: func(t *testing.T, sim *simulation) {
+			sim.schedulePoisson(lowRate, 0, 100*time.Second, func(rng *rand.Rand) *call {
 				c := briefing(rng)
 				if rng.IntN(2) == 0 {
 					c.prefix = 99
 				}
 				return c
 			})
-			w.run(200 * time.Second)
-			s := w.summary(200 * time.Second)
+			sim.runUntil(200 * time.Second)
+			s := sim.summary(200 * time.Second)
 			require.Zero(t, s.Refused)
 			require.LessOrEqual(t, s.Preemptions, 2)
-			for _, n := range w.nodes {
+			for _, n := range sim.nodes {
 				require.Positive(t, n.started, n.server.Name)
 			}
 		}},
-		"one server is slow": {run: func(t *testing.T, w *world) {
-			// It does not fail: its steps take four times as long.
-			slow := w.nodes[2]
-			w.after(40*time.Second, func() { slow.slow = 4 })
-			w.poisson(calm, 0, 300*time.Second, briefing)
-			w.run(70 * time.Second)
+		"one server is slow": {run: func(t *testing.T, sim *simulation) {
+			// The server doesn't fail: its steps take four times as long.
+			slow := sim.nodes[2]
+			sim.schedule(40*time.Second, func() { slow.slowdown = 4 })
+			sim.schedulePoisson(lowRate, 0, 300*time.Second, briefing)
+			sim.runUntil(70 * time.Second)
 			before := slow.started
-			w.run(130 * time.Second)
-			// One probe in five seconds, and some that nobody else had room for.
+			sim.runUntil(130 * time.Second)
+			// One probe every five seconds, plus requests for which no other server had capacity.
 			require.LessOrEqual(t, slow.started-before, 14)
-			w.after(0, func() { slow.slow = 1 })
+			sim.schedule(0, func() { slow.slowdown = 1 })
 			before = slow.started
-			w.run(300 * time.Second)
-			require.Greater(t, slow.started-before, 50, "it recovered")
+			sim.runUntil(300 * time.Second)
+			require.Greater(t, slow.started-before, 50, "the recovered server gets requests again")
 		}},
-		"short work beside long": {run: func(t *testing.T, w *world) {
-			w.poisson(5, 0, 120*time.Second, mixed)
-			w.run(200 * time.Second)
-			_, _, _, firsts := w.of("verdicts")
-			require.Less(t, quantile(firsts, 0.5), 1.0, "seconds")
-			require.LessOrEqual(t, w.summary(200*time.Second).Preemptions, 8)
+		"short outputs beside long ones": {run: func(t *testing.T, sim *simulation) {
+			sim.schedulePoisson(5, 0, 120*time.Second, mixed)
+			sim.runUntil(200 * time.Second)
+			_, _, _, firstTokens := sim.workspaceStats("verdicts")
+			require.Less(t, quantile(firstTokens, 0.5), 1.0, "seconds")
+			require.LessOrEqual(t, sim.summary(200*time.Second).Preemptions, 8)
 		}},
-		"a large workspace does not crowd out small ones": {run: func(t *testing.T, w *world) {
-			w.poisson(saturating, 0, 120*time.Second, func(rng *rand.Rand) *call { return draw(rng, "large", 260) })
-			w.poisson(0.4, 0, 120*time.Second, func(rng *rand.Rand) *call { return draw(rng, "small", 120) })
-			w.run(250 * time.Second)
-			asked, _, refused, _ := w.of("small")
-			require.Greater(t, asked, 30)
-			require.LessOrEqual(t, refused, asked/10)
-			_, _, refused, _ = w.of("large")
-			require.Greater(t, refused, 50, "the large one pays")
+		"a large workspace does not starve small ones": {run: func(t *testing.T, sim *simulation) {
+			sim.schedulePoisson(saturatingRate, 0, 120*time.Second, func(rng *rand.Rand) *call { return newCall(rng, "large", 260) })
+			sim.schedulePoisson(0.4, 0, 120*time.Second, func(rng *rand.Rand) *call { return newCall(rng, "small", 120) })
+			sim.runUntil(250 * time.Second)
+			arrived, _, refused, _ := sim.workspaceStats("small")
+			require.Greater(t, arrived, 30)
+			require.LessOrEqual(t, refused, arrived/10)
+			_, _, refused, _ = sim.workspaceStats("large")
+			require.Greater(t, refused, 50, "the large workspace is the one that is refused")
 		}},
-		"patient work finishes under interactive saturation": {run: func(t *testing.T, w *world) {
-			w.poisson(saturating, 0, 200*time.Second, briefing)
-			w.poisson(0.2, 0, 100*time.Second, func(rng *rand.Rand) *call {
-				c := draw(rng, "school", 260)
-				c.class, c.wait = pollenspindle.ClassPatient, 10*time.Minute
+		"patient requests finish under interactive saturation": {run: func(t *testing.T, sim *simulation) {
+			sim.schedulePoisson(saturatingRate, 0, 200*time.Second, briefing)
+			sim.schedulePoisson(0.2, 0, 100*time.Second, func(rng *rand.Rand) *call {
+				c := newCall(rng, "school", 260)
+				c.class, c.maxWait = pollenspindle.ClassPatient, 10*time.Minute
 				return c
 			})
-			w.run(2 * drained)
-			asked, done, _, _ := w.of("school")
-			require.Greater(t, asked, 10)
-			require.Equal(t, asked, done)
+			sim.runUntil(2 * drainTime)
+			arrived, completed, _, _ := sim.workspaceStats("school")
+			require.Greater(t, arrived, 10)
+			require.Equal(t, arrived, completed)
 		}},
-		"a cold fleet gets no more than it can handle": {run: func(t *testing.T, w *world) {
-			w.poisson(40, 0, 10*time.Second, briefing)
-			// Before the first report that can show a success.
-			w.run(450 * time.Millisecond)
-			for _, n := range w.nodes {
-				require.LessOrEqual(t, n.peak, 2, n.server.Name)
+		"cold servers stay within their cold limit": {run: func(t *testing.T, sim *simulation) {
+			sim.schedulePoisson(40, 0, 10*time.Second, briefing)
+			// Stop before the first load report that can show a success.
+			sim.runUntil(450 * time.Millisecond)
+			for _, n := range sim.nodes {
+				require.LessOrEqual(t, n.peakRunning, 2, n.server.Name)
 			}
-			w.run(20 * time.Second)
-			require.Greater(t, w.nodes[0].peak, 4, "successes raise the limit")
+			sim.runUntil(20 * time.Second)
+			require.Greater(t, sim.nodes[0].peakRunning, 4, "successes must raise the limit")
 		}},
-		"an availability zone leaves and returns": {run: zoneLeavesAndReturns},
-		"an availability zone leaves during a burst": {run: func(t *testing.T, w *world) {
-			w.poisson(calm, 0, 100*time.Second, briefing)
-			w.after(40*time.Second, func() { w.out[leaving] = true })
+		"an availability zone is drained and restored": {run: testZoneDrainedAndRestored},
+		"an availability zone is drained during a burst": {run: func(t *testing.T, sim *simulation) {
+			sim.schedulePoisson(lowRate, 0, 100*time.Second, briefing)
+			sim.schedule(40*time.Second, func() { sim.drainedZones[drainedZone] = true })
 			for range 100 {
-				w.after(40*time.Second, func() { w.arrive(briefing(w.rng)) })
+				sim.schedule(40*time.Second, func() { sim.arrive(briefing(sim.rng)) })
 			}
-			w.run(40 * time.Second)
-			before := w.startedInLeaving()
-			w.run(drained)
-			s := w.summary(drained)
-			require.Equal(t, before, w.startedInLeaving())
-			require.Equal(t, len(w.calls), s.Completed+s.Refused, "an answer for each")
+			sim.runUntil(40 * time.Second)
+			before := sim.startedInDrainedZone()
+			sim.runUntil(drainTime)
+			s := sim.summary(drainTime)
+			require.Equal(t, before, sim.startedInDrainedZone())
+			require.Equal(t, len(sim.calls), s.Completed+s.Refused, "every request completes or is refused")
 			require.LessOrEqual(t, s.Preemptions, 8)
 		}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			tt.run(t, newWorld(predicted, 6, 2, 1))
+			tt.run(t, newSimulation(predicted, 6, 2, 1))
 		})
 	}
 }
 
-// leaving is the availability zone that is taken out.
-const leaving = "zone-1"
+// drainedZone is the availability zone that the tests drain.
+const drainedZone = "zone-1"
 
-func (w *world) startedInLeaving() (n int) {
-	for _, node := range w.nodes {
-		if node.server.Zone == leaving {
+func (sim *simulation) startedInDrainedZone() (n int) {
+	for _, node := range sim.nodes {
+		if node.server.Zone == drainedZone {
 			n += node.started
 		}
 	}
 	return n
 }
 
-// zoneLeavesAndReturns takes a third of the servers out and brings them back
-// as cold ones. Nothing new starts there meanwhile, the others take the load
-// without stalling their streams, and each returning server starts at its cold
-// limit.
-func zoneLeavesAndReturns(t *testing.T, w *world) {
-	w.poisson(calm, 0, 160*time.Second, briefing)
-	w.after(60*time.Second, func() { w.out[leaving] = true })
-	w.run(60 * time.Second)
-	before := w.startedInLeaving()
-	w.run(100 * time.Second)
-	require.Equal(t, before, w.startedInLeaving(), "new work in the zone taken out")
-	for _, n := range w.nodes {
-		if n.server.Zone == leaving {
+// testZoneDrainedAndRestored drains a third of the servers and restores them as cold ones. While
+// they are drained, no new request starts there and the other servers take over the load without
+// stalling their streams. Each restored server starts at its cold limit.
+func testZoneDrainedAndRestored(t *testing.T, sim *simulation) {
+	sim.schedulePoisson(lowRate, 0, 160*time.Second, briefing)
+	sim.schedule(60*time.Second, func() { sim.drainedZones[drainedZone] = true })
+	sim.runUntil(60 * time.Second)
+	before := sim.startedInDrainedZone()
+	sim.runUntil(100 * time.Second)
+	require.Equal(t, before, sim.startedInDrainedZone(), "new requests in the drained zone")
+	for _, n := range sim.nodes {
+		if n.server.Zone == drainedZone {
 			n.state.ResetToCold()
-			n.peak = 0
+			n.peakRunning = 0
 		}
 	}
-	delete(w.out, leaving)
+	delete(sim.drainedZones, drainedZone)
 	running := 0
-	for _, n := range w.nodes {
-		if n.server.Zone == leaving {
+	for _, n := range sim.nodes {
+		if n.server.Zone == drainedZone {
 			running += len(n.running)
 		}
 	}
-	w.run(101 * time.Second)
-	for _, n := range w.nodes {
-		if n.server.Zone == leaving {
-			require.LessOrEqual(t, n.peak, 2+running, n.server.Name)
+	sim.runUntil(101 * time.Second)
+	for _, n := range sim.nodes {
+		if n.server.Zone == drainedZone {
+			require.LessOrEqual(t, n.peakRunning, 2+running, n.server.Name)
 		}
 	}
-	w.run(drained)
-	s := w.summary(drained)
-	require.Equal(t, len(w.calls), s.Completed+s.Refused, "an answer for each")
-	require.LessOrEqual(t, s.Refused, len(w.calls)/20)
-	require.Greater(t, w.startedInLeaving(), before, "it serves again")
+	sim.runUntil(drainTime)
+	s := sim.summary(drainTime)
+	require.Equal(t, len(sim.calls), s.Completed+s.Refused, "every request completes or is refused")
+	require.LessOrEqual(t, s.Refused, len(sim.calls)/20)
+	require.Greater(t, sim.startedInDrainedZone(), before, "the restored zone gets requests again")
 }
 
-// TestSaturationAgainstBaselines offers one and a half times what six servers
-// can handle, the same requests to each policy. The baselines have the limit that
-// served them best in trials: 16, the most that keeps the time between tokens
-// near its target.
-func TestSaturationAgainstBaselines(t *testing.T) {
+// TestSaturationComparedWithBaselines offers 1.5 times the capacity of six servers, with the same
+// requests for each policy. The baselines have a limit of 16, the highest that keeps the time
+// between tokens near its target and the one that gives them their best results.
+func TestSaturationComparedWithBaselines(t *testing.T) {
 	const length = 150 * time.Second
 	run := func(p policy) summary {
 		var sum summary
 		for seed := range uint64(2) {
 			for _, kind := range []func(*rand.Rand) *call{briefing, mixed} {
-				w := newWorld(p, 6, 2, seed)
-				w.poisson(saturating, time.Duration(seed), length, kind)
-				w.run(length)
-				s := w.summary(length)
+				sim := newSimulation(p, 6, 2, seed)
+				sim.schedulePoisson(saturatingRate, time.Duration(seed), length, kind)
+				sim.runUntil(length)
+				s := sim.summary(length)
 				sum.Preemptions += s.Preemptions
 				sum.Stall += s.Stall
 				sum.Goodput += s.Goodput / 4
@@ -241,10 +238,10 @@
 			p.name, sum.Preemptions, sum.Stall.Seconds(), sum.Goodput, sum.P99)
 		return sum
 	}
-	calmWorld := newWorld(predicted, 6, 2, 1)
-	calmWorld.poisson(calm, 0, length, mixed)
-	calmWorld.run(length)
-	unloaded := calmWorld.summary(length)
+	unloadedSim := newSimulation(predicted, 6, 2, 1)
+	unloadedSim.schedulePoisson(lowRate, 0, length, mixed)
+	unloadedSim.runUntil(length)
+	unloaded := unloadedSim.summary(length)
 
 	ours := run(predicted)
 	baselines := map[string]summary{
