--- a/test/soak/observe_test.go
+++ b/test/soak/observe_test.go
@@ -10,9 +10,9 @@
 	"pollenspindle.example/pollenspindle/test/system"
 )
 
-// watchVersions asks each instance for the version of the configuration that
-// it has in force, until ctx ends. It never falls. An instance that has just
-// started has none yet, and takes no work then.
+// watchVersions polls each instance for its configuration version in force until ctx ends. The
+// version must never decrease. An instance that has just started has none yet and accepts no
+// requests in that state.
 func watchVersions(ctx context.Context, t *testing.T, s *system.System) {
 	highest := map[string]int64{}
 	seen := 0
@@ -24,17 +24,17 @@
 			if version == 0 {
 				continue
 			}
-			assert.GreaterOrEqual(t, version, highest[in.ID], "version of %s fell", in.ID)
+			assert.GreaterOrEqual(t, version, highest[in.ID], "version of %s decreased", in.ID)
 			highest[in.ID] = version
 			seen++
 		}
-		pause(ctx, 5*pollEach)
+		sleep(ctx, 5*pollInterval)
 	}
-	t.Logf("versions looked at %d times, highest %v", seen, highest)
+	t.Logf("%d versions observed, highest %v", seen, highest)
 }
 
-// arrivals returns when the requests of a server arrived.
-func (f *injector) arrivals(t *testing.T, server string) []time.Time {
+// arrivalTimes returns when the requests of a server arrived.
+func (f *injector) arrivalTimes(t *testing.T, server string) []time.Time {
 	t.Helper()
 	for _, each := range f.s.Config.Servers {
 		if each.Name == server && len(each.Models) == 0 {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,6 +1,5 @@
-// Package soak_test mixes faults at random under load and checks what must
-// always hold. script/soak runs it for long; a seed that shows a fault becomes
-// a test of its own in test/failure.
+// Package soak_test injects random faults under load and checks invariants. script/soak runs it
+// for a long time; a seed that shows a fault becomes a test of its own in test/failure.
 //
 // # Usage
 //
@@ -30,21 +29,21 @@
 
 var (
 	seed     = flag.Uint64("seed", 1, "seed of the faults and of the load")
-	duration = flag.Duration("for", 20*time.Second, "how long faults go on")
+	duration = flag.Duration("for", 20*time.Second, "how long faults are injected")
 )
 
 const (
 	generators, writers = 10, 3
-	// instances is how many each deployment has today, maxTogether how many
-	// faults strike at the same time.
-	instances, maxTogether = 7, 3
-	// promised is when a zone taken out gets no new work any more.
-	promised = 3 * time.Second
-	patience = 60 * time.Second
-	pollEach = 20 * time.Millisecond
+	// instances is the number of entry instances per deployment, as in production.
+	// maxConcurrentFaults is the number of faults active at the same time.
+	instances, maxConcurrentFaults = 7, 3
+	// drainLimit is the time after which a drained zone gets no new requests.
+	drainLimit   = 3 * time.Second
+	waitTimeout  = 60 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
-// deployment names what the load asks of a deployment.
+// deployment holds the workspace, model and plain call that the load uses.
 type deployment struct{ workspace, model, write string }
 
 var deployments = map[string]deployment{
@@ -52,13 +51,12 @@
 	"mavuno":  {"nairobi-schools", "menu-planner", "/v1/services/orders/confirmations"},
 }
 
-// TestSoak: callers read streams and send keyed calls while faults strike at
-// random, up to three at once: instances killed, frozen, cut off; links cut
-// and silent; the platform down, slow, losing answers; a zone taken out and
-// brought back. Whatever the order, every stream is one generation in order,
-// every key has at most one effect and none that was said not to have run, a
-// zone taken out gets nothing after three seconds, no cold engine crashes,
-// and when the faults end every instance serves again.
+// TestSoak injects random faults, up to three at once, while callers read streams and send calls
+// with idempotency keys: instances are killed, frozen or cut off, links are cut or silent, the
+// platform is down, slow or loses responses, zones are drained and restored. Throughout, every
+// stream must be one generation in order; every key must have at most one effect, and none if it
+// was reported as not run; a drained zone must get no requests after three seconds; no cold
+// engine may crash. After the faults every instance must serve again.
 func TestSoak(t *testing.T) {
 	for name, d := range deployments {
 		t.Run(name, func(t *testing.T) {
@@ -78,25 +76,25 @@
 	defer cancel()
 	var load sync.WaitGroup
 	for i := range generators + writers {
-		load.Go(func() { c.work(ctx, t, i) })
+		load.Go(func() { c.runWorker(ctx, t, i) })
 	}
 	load.Go(func() { watchVersions(ctx, t, s) })
-	f := &injector{s: s, rng: rand.New(rand.NewPCG(*seed, uint64(len(name)))), count: map[string]int{}}
+	f := &injector{s: s, rng: rand.New(rand.NewPCG(*seed, uint64(len(name)))), faultCounts: map[string]int{}}
 	for ctx.Err() == nil {
-		f.strike(ctx, t)
+		f.injectFaults(ctx, t)
 	}
-	f.heal(t)
+	f.restoreZones(t)
 	load.Wait()
-	t.Logf("seed %d: faults %v, streams %d of which whole %d, refused %d, keys %d, effects checked",
-		*seed, f.count, len(c.history.streams), c.history.whole, c.history.refused, len(c.history.keys))
-	c.requireHolds(t)
-	f.requireHolds(t)
+	t.Logf("seed %d: faults %v, %d streams, %d of them complete, %d refused, %d keys",
+		*seed, f.faultCounts, len(c.history.streams), c.history.complete, c.history.refused, len(c.history.outcomesByKey))
+	c.requireInvariants(t)
+	f.requireInvariants(t)
 	for _, in := range s.Instances {
-		require.Eventually(t, func() bool { return serves(t, s, d, in) }, patience, pollEach, "%s does not serve again", in.ID)
+		require.Eventually(t, func() bool { return isServing(t, s, d, in) }, waitTimeout, pollInterval, "%s does not recover", in.ID)
 	}
 }
 
-func (c *callers) work(ctx context.Context, t *testing.T, worker int) {
+func (c *callers) runWorker(ctx context.Context, t *testing.T, worker int) {
 	rng := rand.New(rand.NewPCG(*seed, uint64(worker)))
 	caller := c.s.Caller(c.d.workspace)
 	for i := 0; ctx.Err() == nil; i++ {
@@ -106,11 +104,11 @@
 		} else {
 			c.write(t, rng, caller, tag)
 		}
-		pause(ctx, 10*time.Millisecond)
+		sleep(ctx, 10*time.Millisecond)
 	}
 }
 
-func serves(t *testing.T, s *system.System, d deployment, in *system.Instance) bool {
+func isServing(t *testing.T, s *system.System, d deployment, in *system.Instance) bool {
 	ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 	defer cancel()
 	st, err := s.Caller(d.workspace).Generate(ctx, t, in.Caller, d.model, "after all", 5)
@@ -121,49 +119,49 @@
 	return st.Failure == nil && st.Read(0) == nil && st.Failure == nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
 	<-ctx.Done()
 }
 
-// injector strikes with faults and keeps what the checks need.
+// injector injects faults and keeps what the checks need.
 type injector struct {
-	s     *system.System
-	rng   *rand.Rand
-	count map[string]int
-	outs  []out
-	// hit is what the faults of the present strike have hit.
-	hit map[string]bool
+	s           *system.System
+	rng         *rand.Rand
+	faultCounts map[string]int
+	drains      []drainPeriod
+	// targets holds the components affected by the current faults.
+	targets map[string]bool
 }
 
-// out is a time in which a zone gets no new work.
-type out struct {
+// drainPeriod is a period in which a drained zone must get no new requests.
+type drainPeriod struct {
 	servers  []string
 	from, to time.Time
 }
 
-// strike lets one to three faults strike for some seconds, and ends them.
-func (f *injector) strike(ctx context.Context, t *testing.T) {
+// injectFaults starts one to three faults and ends them after a few seconds.
+func (f *injector) injectFaults(ctx context.Context, t *testing.T) {
 	var ends []func()
-	f.hit = map[string]bool{}
-	for range 1 + f.rng.IntN(maxTogether) {
-		ends = append(ends, f.fault(t))
+	f.targets = map[string]bool{}
+	for range 1 + f.rng.IntN(maxConcurrentFaults) {
+		ends = append(ends, f.startFault(t))
 	}
-	pause(ctx, time.Duration(500+f.rng.IntN(4500))*time.Millisecond)
+	sleep(ctx, time.Duration(500+f.rng.IntN(4500))*time.Millisecond)
 	for _, end := range ends {
 		end()
 	}
-	pause(ctx, time.Duration(f.rng.IntN(1500))*time.Millisecond)
+	sleep(ctx, time.Duration(f.rng.IntN(1500))*time.Millisecond)
 }
 
-// fault begins one fault and returns what ends it.
-func (f *injector) fault(t *testing.T) func() {
+// startFault starts one random fault and returns the function that ends it.
+func (f *injector) startFault(t *testing.T) func() {
 	s := f.s
 	in := s.Instances[f.rng.IntN(len(s.Instances))]
 	names := []string{"kill", "freeze", "peerCut", "peerSilent", "platformCut", "down", "slow", "loseAnswers", "zone", "engineSilent", "engineCut"}
 	name := names[f.rng.IntN(len(names))]
-	// Two faults of the same thing would be ended by the end of the first.
+	// The end of one fault would also end a second fault on the same target.
 	target := in.ID
 	switch name {
 	case "down", "slow", "loseAnswers":
@@ -173,11 +171,11 @@
 	case "engineSilent", "engineCut":
 		target = ""
 	}
-	if f.hit[target] {
+	if f.targets[target] {
 		return func() {}
 	}
-	f.hit[target] = target != ""
-	f.count[name]++
+	f.targets[target] = target != ""
+	f.faultCounts[name]++
 	switch name {
 	case "kill":
 		in.Process.Kill()
@@ -192,13 +190,13 @@
 	case "platformCut":
 		return breakLinks(in.PlatformProxy, faultproxy.Refuse)
 	case "down":
-		return f.platform(t, map[string]any{"down": true})
+		return f.setPlatformFaults(t, map[string]any{"down": true})
 	case "slow":
-		return f.platform(t, map[string]any{"delayMillis": 2000})
+		return f.setPlatformFaults(t, map[string]any{"delayMillis": 2000})
 	case "loseAnswers":
-		return f.platform(t, map[string]any{"loseAnswers": 3})
+		return f.setPlatformFaults(t, map[string]any{"loseAnswers": 3})
 	case "zone":
-		return f.zone(t)
+		return f.drainRandomZone(t)
 	}
 	server := s.Config.Servers[f.rng.IntN(len(s.Config.Servers))]
 	if name == "engineSilent" {
@@ -217,19 +215,19 @@
 	return func() { p.SetMode(faultproxy.Pass) }
 }
 
-func (f *injector) platform(t *testing.T, set map[string]any) func() {
+func (f *injector) setPlatformFaults(t *testing.T, set map[string]any) func() {
 	f.s.Control(t, f.s.Platform.Address, http.MethodPut, "/control/faults", set)
 	return func() { f.s.Control(t, f.s.Platform.Address, http.MethodPut, "/control/faults", struct{}{}) }
 }
 
-// zone takes a zone out, through the first instance that accepts it. It can
-// fail, with the platform down; then nothing was promised.
-func (f *injector) zone(t *testing.T) func() {
+// drainRandomZone drains a zone through the first instance that accepts the change. If none does,
+// for example because the platform is down, nothing is checked.
+func (f *injector) drainRandomZone(t *testing.T) func() {
 	zone := f.s.Config.Zones[f.rng.IntN(len(f.s.Config.Zones))].Name
-	if !f.change(t, zone, (*operatorapi.Client).DrainZone) {
+	if !f.changeZone(t, zone, (*operatorapi.Client).DrainZone) {
 		return func() {}
 	}
-	o := out{from: time.Now().Add(promised)}
+	o := drainPeriod{from: time.Now().Add(drainLimit)}
 	for _, server := range f.s.Config.Servers {
 		if server.Zone == zone {
 			o.servers = append(o.servers, server.Name)
@@ -237,16 +235,16 @@
 	}
 	return func() {
 		o.to = time.Now()
-		f.outs = append(f.outs, o)
-		f.change(t, zone, (*operatorapi.Client).RestoreZone)
+		f.drains = append(f.drains, o)
+		f.changeZone(t, zone, (*operatorapi.Client).RestoreZone)
 	}
 }
 
 type zoneCall func(c *operatorapi.Client, ctx context.Context, zone string, change operatorapi.ChangeRequest) (operatorapi.Accepted, error)
 
-func (f *injector) change(t *testing.T, zone string, call zoneCall) bool {
+func (f *injector) changeZone(t *testing.T, zone string, call zoneCall) bool {
 	for _, in := range f.s.Instances {
-		ctx, cancel := context.WithTimeout(t.Context(), promised)
+		ctx, cancel := context.WithTimeout(t.Context(), drainLimit)
 		_, err := call(f.s.OperatorClient(t, in), ctx, zone, operatorapi.ChangeRequest{Author: "soak"})
 		cancel()
 		if err == nil {
@@ -256,23 +254,23 @@
 	return false
 }
 
-// heal brings every zone back once the platform is there again.
-func (f *injector) heal(t *testing.T) {
+// restoreZones restores every zone once the platform is reachable again.
+func (f *injector) restoreZones(t *testing.T) {
 	for _, zone := range f.s.Config.Zones {
 		require.Eventually(t, func() bool {
-			return f.change(t, zone.Name, (*operatorapi.Client).RestoreZone)
-		}, patience, pollEach, "zone %s is not restored", zone.Name)
+			return f.changeZone(t, zone.Name, (*operatorapi.Client).RestoreZone)
+		}, waitTimeout, pollInterval, "zone %s is not restored", zone.Name)
 	}
 }
 
-// requireHolds checks the engines' ledgers.
-func (f *injector) requireHolds(t *testing.T) {
+// requireInvariants checks the ledgers of the engines.
+func (f *injector) requireInvariants(t *testing.T) {
 	t.Helper()
-	for _, o := range f.outs {
+	for _, o := range f.drains {
 		for _, name := range o.servers {
-			for _, at := range f.arrivals(t, name) {
+			for _, at := range f.arrivalTimes(t, name) {
 				late := at.After(o.from) && at.Before(o.to)
-				require.False(t, late, "%s got work %s after its zone was out", name, at.Sub(o.from)+promised)
+				require.False(t, late, "%s got a request %s after its zone was drained", name, at.Sub(o.from)+drainLimit)
 			}
 		}
 	}
@@ -280,7 +278,7 @@
 		if len(server.Models) == 0 {
 			continue
 		}
-		// The name of an incarnation is NAME-START-RANDOM.
+		// An incarnation is named SERVER-START-RANDOM, where START counts its starts.
 		incarnation := f.s.EngineLedger(t, server.Name).Incarnation
 		parts := strings.Split(strings.TrimPrefix(incarnation, server.Name+"-"), "-")
 		starts, err := strconv.Atoi(parts[0])
@@ -289,4 +287,4 @@
 	}
 }
 
-func newHistory() *history { return &history{keys: map[string][]answer.Outcome{}} }
+func newHistory() *history { return &history{outcomesByKey: map[string][]answer.Outcome{}} }
