--- a/examples/internal/example/example.go
+++ b/examples/internal/example/example.go
@@ -1,4 +1,4 @@
-// Package example holds what the example programs share: their flags and the
+// Package example contains the common parts of the example programs: their flags and the
 // addresses of their backend servers.
 //
 // # Usage
@@ -26,39 +26,38 @@
 	ExitUsage  = 2
 )
 
-// firstPort is the port of the first backend server that got no address by
-// flag; the next one has the next port.
-const firstPort = 19001
+// firstDefaultPort is the port of the first backend server without an address flag; each further
+// one gets the next port.
+const firstDefaultPort = 19001
 
 // Flags are the flags of an example program.
 type Flags struct {
-	Small  bool              `help:"Print one model engine a zone and one plain server in all."`
-	Server map[string]string `help:"Address of a backend server, as name=host:port by IP number. May be repeated." mapsep:"," placeholder:"NAME=ADDRESS"`
+	Small  bool              `help:"Print one model engine per zone and a single plain server."`
+	Server map[string]string `help:"Address of a backend server as name=host:port, where host is an IP address. May be repeated." mapsep:"," placeholder:"NAME=ADDRESS"`
 }
 
-// Addresses gives each backend server its address.
+// Addresses assigns an address to each backend server.
 type Addresses struct {
-	given map[string]string
-	used  map[string]bool
-	next  int
+	fromFlags map[string]string
+	used      map[string]bool
+	nextPort  int
 }
 
-// Of returns the address given for the backend server, or the next loopback
-// address.
+// Of returns the address set by flag for the backend server, or the next loopback address.
 func (a *Addresses) Of(server string) string {
 	a.used[server] = true
-	if address, ok := a.given[server]; ok {
+	if address, ok := a.fromFlags[server]; ok {
 		return address
 	}
-	address := fmt.Sprintf("127.0.0.1:%d", a.next)
-	a.next++
+	address := fmt.Sprintf("127.0.0.1:%d", a.nextPort)
+	a.nextPort++
 	return address
 }
 
-// unused names the servers that were given an address and never declared.
+// unused returns the servers that have an address flag but are not declared.
 func (a *Addresses) unused() []string {
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(a.given)) {
+	for _, name := range slices.Sorted(maps.Keys(a.fromFlags)) {
 		if !a.used[name] {
 			names = append(names, name)
 		}
@@ -69,8 +68,7 @@
 // Build declares a deployment.
 type Build func(small bool, addresses *Addresses) *pollenspindle.Config
 
-// Main parses args, prints the configuration that build declares and returns
-// the exit code.
+// Main parses args, prints the configuration declared by build and returns the exit code.
 func Main(name string, build Build, args []string, stdout, stderr io.Writer) int {
 	var flags Flags
 	exited := false
@@ -96,9 +94,9 @@
 	return ExitOK
 }
 
-// Print writes the configuration that build declares under flags.
+// Print writes the configuration that build declares with flags.
 func Print(build Build, flags Flags, w io.Writer) error {
-	addresses := &Addresses{given: flags.Server, used: map[string]bool{}, next: firstPort}
+	addresses := &Addresses{fromFlags: flags.Server, used: map[string]bool{}, nextPort: firstDefaultPort}
 	cfg := build(flags.Small, addresses)
 	if unused := addresses.unused(); len(unused) > 0 {
 		return merry.Errorf("no such backend server: %s", strings.Join(unused, ", "))
--- a/examples/inyange/main.go
+++ b/examples/inyange/main.go
@@ -20,8 +20,8 @@
 	enginesPerZone = 4
 )
 
-// clubs are the workspaces. The three large clubs have a larger share, since
-// their instructors read most of the briefings.
+// clubs are the workspaces. The larger clubs have a higher weight because their instructors read
+// most of the briefings.
 var clubs = []struct {
 	name   string
 	weight int
@@ -60,8 +60,8 @@
 	return cfg
 }
 
-// addBriefing declares the model engines. Briefings are read live, so the
-// waits are short and the time between tokens is held low.
+// addBriefing declares the model engines. Briefings are read live, so queueing is short and the
+// time between tokens is kept low.
 func addBriefing(cfg *pollenspindle.Config, zones []pollenspindle.ZoneRef, small bool, addresses *example.Addresses) {
 	briefing := cfg.AddGenerationService("briefing", pollenspindle.Queueing{Seconds: 20, PatientSeconds: 300})
 	models := []pollenspindle.ModelRef{
@@ -81,8 +81,8 @@
 	}
 }
 
-// addClubDesk declares the club desk. Rosters are read; a field booked twice
-// or a fee charged twice harms a club, so both run at most once.
+// addClubDesk declares the club desk. Rosters are read-only; booking a field or charging a fee
+// twice harms a club, so both run at most once.
 func addClubDesk(cfg *pollenspindle.Config, zones []pollenspindle.ZoneRef, small bool, addresses *example.Addresses) {
 	desk := cfg.AddPlainService("club-desk", 15)
 	desk.Idempotent("GET", "/rosters")
--- a/examples/mavuno/main.go
+++ b/examples/mavuno/main.go
@@ -18,13 +18,13 @@
 const (
 	region         = "nairobi"
 	enginesPerZone = 4
-	// patientQueueSeconds lets a plan wait for an hour: drafting is patient
-	// and must finish before Monday.
+	// patientQueueSeconds lets a plan wait for an hour: plans are of the patient class and must be
+	// finished before Monday.
 	patientQueueSeconds = 3600
 )
 
-// customers are the workspaces. Schools draft plans, which are patient;
-// cooperatives check delivery notes while a truck waits.
+// customers are the workspaces. Schools draft plans, which can wait; cooperatives check delivery
+// notes while a truck waits.
 var customers = []struct {
 	name   string
 	weight int
@@ -64,8 +64,8 @@
 	return cfg
 }
 
-// addPlanning declares the model engines. Those of the third zone are of an
-// older make that obeys every order, whatever its fencing number.
+// addPlanning declares the model engines. The third zone has older engines that execute every
+// command regardless of its fencing token.
 func addPlanning(cfg *pollenspindle.Config, zones []pollenspindle.ZoneRef, small bool, addresses *example.Addresses) {
 	planning := cfg.AddGenerationService("planning", pollenspindle.Queueing{
 		Seconds: 30, PatientSeconds: patientQueueSeconds, TokenIntervalTargetMillis: 80,
@@ -90,8 +90,8 @@
 	}
 }
 
-// addOrders declares the order service. A confirmation entered twice sends a
-// truck twice, so it runs at most once.
+// addOrders declares the order service. Entering a confirmation twice sends a truck twice, so it
+// runs at most once.
 func addOrders(cfg *pollenspindle.Config, zones []pollenspindle.ZoneRef, small bool, addresses *example.Addresses) {
 	orders := cfg.AddPlainService("orders", 20)
 	orders.Idempotent("GET", "/stock")
