--- a/test/system/trace_test.go
+++ b/test/system/trace_test.go
@@ -135,11 +135,11 @@
 	}
 	const remote = "owner.acquire < peer.Acquire < peer.Acquire < permit.acquire < caller.chat"
 	for what, test := range map[string]func() bool{
-		"engine":          hasSpans(streamed, "engine.start < caller.chat", 1),
-		"own owner":       hasSpans(queued, "owner.acquire < permit.acquire < caller.chat", 1),
-		"owner elsewhere": hasSpans(queued, remote, 2),
-		"queued start":    hasSpans(queued, "engine.start < caller.chat", 3),
-		"resume":          hasSpans(resumed, "engine.resume < caller.resume", 1),
+		"engine":       hasSpans(streamed, "engine.start < caller.chat", 1),
+		"local owner":  hasSpans(queued, "owner.acquire < permit.acquire < caller.chat", 1),
+		"remote owner": hasSpans(queued, remote, 2),
+		"queued start": hasSpans(queued, "engine.start < caller.chat", 3),
+		"resume":       hasSpans(resumed, "engine.resume < caller.resume", 1),
 	} {
 		require.Eventually(t, test, time.Minute, 100*time.Millisecond, what)
 	}
