--- a/test/faultproxy/proxy.go
+++ b/test/faultproxy/proxy.go
@@ -26,8 +26,8 @@
 	Refuse
 	// Silent accepts new connections and relays no data.
 	Silent
-	// LoseAnswers relays requests and discards all response data.
-	LoseAnswers
+	// DropResponses relays requests and discards all response data.
+	DropResponses
 )
 
 const copyBufferSize = 32 << 10
@@ -79,7 +79,7 @@
 		switch m {
 		case Refuse:
 			l.close()
-		case LoseAnswers:
+		case DropResponses:
 			l.dropResponses()
 		}
 	}
@@ -142,7 +142,7 @@
 		down.Close()
 		return
 	}
-	l := &link{down: down, up: up, silent: mode == Silent, responsesDropped: mode == LoseAnswers}
+	l := &link{down: down, up: up, silent: mode == Silent, responsesDropped: mode == DropResponses}
 	p.add(l)
 	defer p.remove(l)
 	var wg sync.WaitGroup
--- a/test/faultproxy/proxy_test.go
+++ b/test/faultproxy/proxy_test.go
@@ -63,7 +63,7 @@
 		"silence open connections": {fault: func(p *faultproxy.Proxy) { p.SilenceOpen() }, newWorks: true},
 		"close open connections":   {fault: func(p *faultproxy.Proxy) { p.CutOpen() }, newWorks: true},
 		"refuse connections":       {fault: func(p *faultproxy.Proxy) { p.SetMode(faultproxy.Refuse) }},
-		"drop responses":           {fault: func(p *faultproxy.Proxy) { p.SetMode(faultproxy.LoseAnswers) }},
+		"drop responses":           {fault: func(p *faultproxy.Proxy) { p.SetMode(faultproxy.DropResponses) }},
 		"delay":                    {fault: func(p *faultproxy.Proxy) { p.SetDelay(time.Millisecond) }, openWorks: true, newWorks: true},
 	}
 	for name, tt := range tests {
