--- a/test/failure/answers_test.go
+++ b/test/failure/answers_test.go
@@ -189,7 +189,7 @@
 			case 0:
 				p.CutOpen()
 			case 1:
-				p.SilenceOpen()
+				p.SilenceOpenConnections()
 			case 2:
 				p.SetDelay(time.Duration(rng.IntN(20)) * time.Millisecond)
 			case 3:
--- a/test/failure/cold_servers_test.go
+++ b/test/failure/cold_servers_test.go
@@ -44,7 +44,7 @@
 			for _, in := range s.Instances {
 				in.PeerProxy.SetMode(mode)
 				if mode == faultproxy.Silent {
-					in.PeerProxy.SilenceOpen()
+					in.PeerProxy.SilenceOpenConnections()
 				}
 			}
 			waitElapsed(t, time.Now(), 6*time.Second)
--- a/test/failure/outage_test.go
+++ b/test/failure/outage_test.go
@@ -39,7 +39,7 @@
 			begin: func(_ *testing.T, s *system.System) {
 				for _, in := range s.Instances {
 					in.PlatformProxy.SetMode(faultproxy.Silent)
-					in.PlatformProxy.SilenceOpen()
+					in.PlatformProxy.SilenceOpenConnections()
 				}
 			},
 			end: func(_ *testing.T, s *system.System) {
--- a/test/failure/shutdown_test.go
+++ b/test/failure/shutdown_test.go
@@ -68,7 +68,7 @@
 	silence := func(s *system.System, mode faultproxy.Mode) {
 		for _, in := range s.Instances {
 			in.PlatformProxy.SetMode(mode)
-			in.PlatformProxy.SilenceOpen()
+			in.PlatformProxy.SilenceOpenConnections()
 		}
 	}
 	tests := map[string]func(t *testing.T, s *system.System){
--- a/test/failure/silent_engine_test.go
+++ b/test/failure/silent_engine_test.go
@@ -23,7 +23,7 @@
 	server, _ := requireSingleRun(t, s, prompt)
 	proxy := s.Servers[server].Proxy
 	proxy.SetMode(faultproxy.Silent)
-	proxy.SilenceOpen()
+	proxy.SilenceOpenConnections()
 	require.NoError(t, st.Read(0))
 	proxy.SetMode(faultproxy.Pass)
 	requirePrefix(t, st.Tokens)
--- a/test/failure/streams_test.go
+++ b/test/failure/streams_test.go
@@ -202,12 +202,12 @@
 	prompt := 110
 	faults := map[string]func(t *testing.T, p *faultproxy.Proxy){
 		"cut":     func(_ *testing.T, p *faultproxy.Proxy) { p.CutOpen() },
-		"silent":  func(_ *testing.T, p *faultproxy.Proxy) { p.SilenceOpen() },
+		"silent":  func(_ *testing.T, p *faultproxy.Proxy) { p.SilenceOpenConnections() },
 		"delayed": func(_ *testing.T, p *faultproxy.Proxy) { p.SetDelay(30 * time.Millisecond) },
 		"down for a while": func(t *testing.T, p *faultproxy.Proxy) {
 			probes := s.Metric(t, s.Instances[0], "probes")
 			p.SetMode(faultproxy.Silent)
-			p.SilenceOpen()
+			p.SilenceOpenConnections()
 			require.Eventually(t, func() bool { return s.Metric(t, s.Instances[0], "probes") >= probes+2 }, waitTimeout, pollInterval)
 			p.SetMode(faultproxy.Refuse)
 			p.SetMode(faultproxy.Pass)
--- a/test/failure/zone_test.go
+++ b/test/failure/zone_test.go
@@ -32,7 +32,7 @@
 		}},
 		"one instance's platform links are silent": {before: func(_ *testing.T, _ *system.System, in *system.Instance) {
 			in.PlatformProxy.SetMode(faultproxy.Silent)
-			in.PlatformProxy.SilenceOpen()
+			in.PlatformProxy.SilenceOpenConnections()
 		}},
 		"one instance is isolated": {refuses: true, before: func(_ *testing.T, s *system.System, in *system.Instance) {
 			isolate(s, in)
--- a/test/faultproxy/proxy.go
+++ b/test/faultproxy/proxy.go
@@ -92,9 +92,9 @@
 	p.delay = d
 }
 
-// SilenceOpen stops relaying data on the existing connections without closing them. New
+// SilenceOpenConnections stops relaying data on the existing connections without closing them. New
 // connections are not affected.
-func (p *Proxy) SilenceOpen() {
+func (p *Proxy) SilenceOpenConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.open {
--- a/test/faultproxy/proxy_test.go
+++ b/test/faultproxy/proxy_test.go
@@ -60,7 +60,7 @@
 		newWorks  bool
 	}{
 		"pass":                     {fault: func(*faultproxy.Proxy) {}, openWorks: true, newWorks: true},
-		"silence open connections": {fault: func(p *faultproxy.Proxy) { p.SilenceOpen() }, newWorks: true},
+		"silence open connections": {fault: func(p *faultproxy.Proxy) { p.SilenceOpenConnections() }, newWorks: true},
 		"close open connections":   {fault: func(p *faultproxy.Proxy) { p.CutOpen() }, newWorks: true},
 		"refuse connections":       {fault: func(p *faultproxy.Proxy) { p.SetMode(faultproxy.Refuse) }},
 		"drop responses":           {fault: func(p *faultproxy.Proxy) { p.SetMode(faultproxy.DropResponses) }},
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -200,7 +200,7 @@
 	}
 	server := s.Config.Servers[f.rng.IntN(len(s.Config.Servers))]
 	if name == "engineSilent" {
-		s.Servers[server.Name].Proxy.SilenceOpen()
+		s.Servers[server.Name].Proxy.SilenceOpenConnections()
 	} else {
 		s.Servers[server.Name].Proxy.CutOpen()
 	}
@@ -210,7 +210,7 @@
 func breakLinks(p *faultproxy.Proxy, mode faultproxy.Mode) func() {
 	p.SetMode(mode)
 	if mode == faultproxy.Silent {
-		p.SilenceOpen()
+		p.SilenceOpenConnections()
 	}
 	return func() { p.SetMode(faultproxy.Pass) }
 }
