--- a/test/failure/answers_test.go
+++ b/test/failure/answers_test.go
@@ -187,7 +187,7 @@
 			p = s.Servers[servers[rng.IntN(len(servers))]].Proxy
 			switch rng.IntN(5) {
 			case 0:
-				p.CutOpen()
+				p.CloseOpenConnections()
 			case 1:
 				p.SilenceOpenConnections()
 			case 2:
--- a/test/failure/cold_servers_test.go
+++ b/test/failure/cold_servers_test.go
@@ -50,7 +50,7 @@
 			waitElapsed(t, time.Now(), 6*time.Second)
 			for _, in := range s.Instances {
 				in.PeerProxy.SetMode(faultproxy.Pass)
-				in.PeerProxy.CutOpen()
+				in.PeerProxy.CloseOpenConnections()
 			}
 		}
 	}
--- a/test/failure/streams_test.go
+++ b/test/failure/streams_test.go
@@ -201,7 +201,7 @@
 func testLinkFaults(t *testing.T, s *system.System) {
 	prompt := 110
 	faults := map[string]func(t *testing.T, p *faultproxy.Proxy){
-		"cut":     func(_ *testing.T, p *faultproxy.Proxy) { p.CutOpen() },
+		"cut":     func(_ *testing.T, p *faultproxy.Proxy) { p.CloseOpenConnections() },
 		"silent":  func(_ *testing.T, p *faultproxy.Proxy) { p.SilenceOpenConnections() },
 		"delayed": func(_ *testing.T, p *faultproxy.Proxy) { p.SetDelay(30 * time.Millisecond) },
 		"down for a while": func(t *testing.T, p *faultproxy.Proxy) {
--- a/test/faultproxy/proxy.go
+++ b/test/faultproxy/proxy.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// CutOpen closes the existing connections. New connections are not affected.
-func (p *Proxy) CutOpen() {
+// CloseOpenConnections closes the existing connections. New connections are not affected.
+func (p *Proxy) CloseOpenConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.open {
@@ -114,7 +114,7 @@
 // Close stops the proxy and closes its connections.
 func (p *Proxy) Close() error {
 	err := p.listener.Close()
-	p.CutOpen()
+	p.CloseOpenConnections()
 	p.wg.Wait()
 	return err
 }
--- a/test/faultproxy/proxy_test.go
+++ b/test/faultproxy/proxy_test.go
@@ -61,7 +61,7 @@
 	}{
 		"pass":                     {fault: func(*faultproxy.Proxy) {}, openWorks: true, newWorks: true},
 		"silence open connections": {fault: func(p *faultproxy.Proxy) { p.SilenceOpenConnections() }, newWorks: true},
-		"close open connections":   {fault: func(p *faultproxy.Proxy) { p.CutOpen() }, newWorks: true},
+		"close open connections":   {fault: func(p *faultproxy.Proxy) { p.CloseOpenConnections() }, newWorks: true},
 		"refuse connections":       {fault: func(p *faultproxy.Proxy) { p.SetMode(faultproxy.Refuse) }},
 		"drop responses":           {fault: func(p *faultproxy.Proxy) { p.SetMode(faultproxy.DropResponses) }},
 		"delay":                    {fault: func(p *faultproxy.Proxy) { p.SetDelay(time.Millisecond) }, openWorks: true, newWorks: true},
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -202,7 +202,7 @@
 	if name == "engineSilent" {
 		s.Servers[server.Name].Proxy.SilenceOpenConnections()
 	} else {
-		s.Servers[server.Name].Proxy.CutOpen()
+		s.Servers[server.Name].Proxy.CloseOpenConnections()
 	}
 	return func() {}
 }
