--- a/test/failure/engine_commands_test.go
+++ b/test/failure/engine_commands_test.go
@@ -150,7 +150,7 @@
 // the end all engines must have the version, and at most two may have read from the weight store at
 // the same time, regardless of their owners.
 func TestLoadsShareWeightStore(t *testing.T) {
-	address := process.Address(t)
+	address := process.FreeAddress(t)
 	store := process.Start(t, filepath.Join(process.Build(t), "standin"), "weights", "--address", address,
 		"--bytes", "2000000", "--bytes-per-second", "2000000")
 	store.WaitForLine(t, "listening ")
--- a/test/process/address.go
+++ b/test/process/address.go
@@ -32,8 +32,8 @@
 	end          int
 }
 
-// Address returns a loopback address that is given to no other test.
-func Address(t testing.TB) string {
+// FreeAddress returns a loopback address that is given to no other test.
+func FreeAddress(t testing.TB) string {
 	t.Helper()
 	ports.mu.Lock()
 	defer ports.mu.Unlock()
--- a/test/system/system.go
+++ b/test/system/system.go
@@ -147,7 +147,7 @@
 // startNode starts a stand-in process behind a proxy.
 func (s *System) startNode(t testing.TB, name, command string, args ...string) *Node {
 	t.Helper()
-	n := &Node{Name: name, Address: process.Address(t)}
+	n := &Node{Name: name, Address: process.FreeAddress(t)}
 	n.args = append([]string{command, "--address", n.Address}, args...)
 	n.start(t, s.bin)
 	proxy, err := faultproxy.Listen("127.0.0.1:0", n.Address)
@@ -217,9 +217,9 @@
 	t.Helper()
 	zones := s.Config.Zones
 	s.startedInstances++
-	in := &Instance{ID: fmt.Sprintf("entry-%d", s.startedInstances), Operator: process.Address(t)}
+	in := &Instance{ID: fmt.Sprintf("entry-%d", s.startedInstances), Operator: process.FreeAddress(t)}
 	in.Zone = zones[(s.startedInstances-1)%len(zones)].Name
-	caller, peer := process.Address(t), process.Address(t)
+	caller, peer := process.FreeAddress(t), process.FreeAddress(t)
 	in.CallerProxy = s.startProxy(t, caller)
 	in.PeerProxy = s.startProxy(t, peer)
 	in.PlatformProxy = s.startProxy(t, s.Platform.Address)
