--- a/test/faultproxy/proxy.go
+++ b/test/faultproxy/proxy.go
@@ -5,7 +5,7 @@
 //
 //	p, err := faultproxy.Listen("127.0.0.1:0", "127.0.0.1:8080")
 //	defer p.Close()
-//	p.SilenceOpen() // existing connections stop relaying data, new ones work
+//	p.SilenceOpenConnections() // existing connections stop relaying data, new ones work
 package faultproxy
 
 import (
@@ -69,7 +69,7 @@
 	return p.listener.Addr().String()
 }
 
-// SetMode sets the mode of new connections. Refuse and LoseAnswers also apply to the existing
+// SetMode sets the mode of new connections. Refuse and DropResponses also apply to the existing
 // ones.
 func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
--- a/test/system/system.go
+++ b/test/system/system.go
@@ -6,7 +6,7 @@
 //
 //	s := system.Start(t, system.Options{Deployment: "inyange"})
 //	s.Instances[0].Process.Kill()
-//	s.Servers["briefing-1"].Proxy.SilenceOpen()
+//	s.Servers["briefing-1"].Proxy.SilenceOpenConnections()
 //	s.Instances[1].PlatformProxy.SetMode(faultproxy.Refuse)
 package system
 
