--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -23,7 +23,7 @@
 	"sync"
 	"time"
 
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/routes"
 )
 
@@ -140,7 +140,7 @@
 }
 
 // Pick chooses a server and counts the load on it.
-func (b *Balancer) Pick(now time.Time, r Request, servers []observed.Server) Choice {
+func (b *Balancer) Pick(now time.Time, r Request, servers []platformstate.Server) Choice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	choice := b.pick(now, r, b.sample(r, servers))
@@ -165,11 +165,11 @@
 )
 
 // sample draws a few servers from a long list.
-func (b *Balancer) sample(r Request, servers []observed.Server) []observed.Server {
+func (b *Balancer) sample(r Request, servers []platformstate.Server) []platformstate.Server {
 	if len(servers) <= compareAllLimit || r.CompareAll || r.SpreadKey != 0 {
 		return servers
 	}
-	out := make([]observed.Server, 0, sameZoneSample+otherZoneSample)
+	out := make([]platformstate.Server, 0, sameZoneSample+otherZoneSample)
 	sameZone, otherZone := sameZoneSample, otherZoneSample
 	for _, i := range b.rng.Perm(len(servers)) {
 		s := servers[i]
@@ -187,7 +187,7 @@
 }
 
 // pick chooses the server with the lowest score.
-func (b *Balancer) pick(now time.Time, r Request, servers []observed.Server) Choice {
+func (b *Balancer) pick(now time.Time, r Request, servers []platformstate.Server) Choice {
 	best, bestScore := -1, math.Inf(1)
 	usable := 0
 	for i := range servers {
@@ -216,11 +216,11 @@
 
 // FreeServers returns the servers with capacity for a request, best first. It doesn't count any
 // load.
-func (b *Balancer) FreeServers(now time.Time, r Request, servers []observed.Server) []observed.Server {
+func (b *Balancer) FreeServers(now time.Time, r Request, servers []platformstate.Server) []platformstate.Server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	type scored struct {
-		server observed.Server
+		server platformstate.Server
 		score  float64
 	}
 	var all []scored
@@ -234,7 +234,7 @@
 		}
 	}
 	slices.SortFunc(all, func(x, y scored) int { return cmp.Compare(x.score, y.score) })
-	out := make([]observed.Server, len(all))
+	out := make([]platformstate.Server, len(all))
 	for i := range all {
 		out[i] = all[i].server
 	}
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pollenspindle.example/pollenspindle/internal/dialect"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/routes"
 )
 
@@ -25,8 +25,8 @@
 	return New(ColdLimits{ColdOverage: 1.5, ColdSlack: 5}, rand.New(rand.NewPCG(1, 2)), others)
 }
 
-func servers(n, slots int) []observed.Server {
-	out := make([]observed.Server, n)
+func servers(n, slots int) []platformstate.Server {
+	out := make([]platformstate.Server, n)
 	for i := range out {
 		out[i].Server = dialect.Server{ID: fmt.Sprintf("s%d", i), Slots: slots, Zone: fmt.Sprintf("zone-%d", i%3)}
 	}
@@ -158,7 +158,7 @@
 
 func TestChoiceWithoutCapacity(t *testing.T) {
 	tests := map[string]struct {
-		list     []observed.Server
+		list     []platformstate.Server
 		excluded map[string]bool
 		tokens   int
 		want     Choice
--- a/internal/balancer/cold.go
+++ b/internal/balancer/cold.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 // admitsCold reports whether a cold server may get one more request.
 //
 // The rate that a cold server declares holds for all instances together, even if they can't reach
 // each other: each instance uses its share by the last known number of instances.
-func (b *Balancer) admitsCold(now time.Time, r Request, s *observed.Server) bool {
+func (b *Balancer) admitsCold(now time.Time, r Request, s *platformstate.Server) bool {
 	if !now.Before(s.ColdUntil) || r.Service.ColdRequestsPerSecond <= 0 {
 		return true
 	}
--- a/internal/balancer/load.go
+++ b/internal/balancer/load.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 // Load is the load on one backend server.
@@ -19,7 +19,7 @@
 
 // Placement is the load of one request on one server.
 type Placement struct {
-	Server observed.Server
+	Server platformstate.Server
 	Tokens int
 	// PromptTokens is the number of tokens that need prefill.
 	PromptTokens int
--- a/internal/balancer/score.go
+++ b/internal/balancer/score.go
@@ -6,12 +6,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/routes"
 )
 
 // score returns the score of a server for a request; the lowest is chosen.
-func (b *Balancer) score(now time.Time, r Request, s *observed.Server, load float64) float64 {
+func (b *Balancer) score(now time.Time, r Request, s *platformstate.Server, load float64) float64 {
 	if r.SpreadKey != 0 {
 		return spreadScore(r, s, load+b.recentFailures(now, s.ID)*failureCost+b.avoidPenalty(now, r, s.ID))
 	}
@@ -52,7 +52,7 @@
 //
 // Instances that migrate the generations of a leaving engine don't see each other's choices, and
 // must not all choose the freest engine.
-func spreadScore(r Request, s *observed.Server, load float64) float64 {
+func spreadScore(r Request, s *platformstate.Server, load float64) float64 {
 	weight := max(minFreeShare, 1-load)
 	if s.Zone != r.Zone {
 		weight *= crossZoneWeight
@@ -80,7 +80,7 @@
 }
 
 // utilization returns how full a server would be with the request; 1 is full.
-func (b *Balancer) utilization(now time.Time, r Request, s *observed.Server) float64 {
+func (b *Balancer) utilization(now time.Time, r Request, s *platformstate.Server) float64 {
 	var running, tokens int
 	if own, ok := b.own[s.ID]; ok {
 		running, tokens = own.running, own.tokens
--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -7,7 +7,7 @@
 
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
@@ -92,10 +92,10 @@
 	p := &g.lastBroadcast
 	if !p.initialized {
 		p.initialized = true
-		p.servers, _ = g.opts.State.Version(observed.Servers)
+		p.servers, _ = g.opts.State.Version(platformstate.Servers)
 	}
 	u := g.opts.State.UpdateSince(now, p.servers)
-	p.servers = u.Versions[observed.Servers].Version
+	p.servers = u.Versions[platformstate.Servers].Version
 	return &Message{
 		Origin: g.self, Incarnation: g.opts.Table.Self().StartedAt, Sequence: g.sequence.Add(1),
 		Records: g.pendingRecords.take(), Suspects: g.pendingSuspects.take(), Update: &u,
@@ -156,8 +156,8 @@
 }
 
 // applyOrFetch applies an update, and fetches the changes missing before it.
-func (g *Gossip) applyOrFetch(ctx context.Context, now time.Time, u *observed.Update, from string) {
-	if !g.applyUpdate(now, u, from) && !g.opts.State.BehindExcept(u.Versions, observed.Configuration) {
+func (g *Gossip) applyOrFetch(ctx context.Context, now time.Time, u *platformstate.Update, from string) {
+	if !g.applyUpdate(now, u, from) && !g.opts.State.BehindExcept(u.Versions, platformstate.Configuration) {
 		return
 	}
 	if r, ok := g.opts.Table.Get(from); ok {
@@ -166,23 +166,23 @@
 }
 
 // applyUpdate applies an update and reports whether changes before it are missing.
-func (g *Gossip) applyUpdate(now time.Time, u *observed.Update, from string) (missing bool) {
-	parts := []observed.Resource{observed.Servers, observed.Zones}
+func (g *Gossip) applyUpdate(now time.Time, u *platformstate.Update, from string) (missing bool) {
+	parts := []platformstate.Resource{platformstate.Servers, platformstate.Zones}
 	var before [2]uint64
 	for i, p := range parts {
 		before[i] = g.opts.State.ContentHash(p)
 	}
 	missing = g.opts.State.Apply(now, u)
-	if g.opts.State.ContentHash(observed.Servers) != before[0] {
-		g.opts.Log.Info().Str("source", from).Int64("version", u.Versions[observed.Servers].Version).
+	if g.opts.State.ContentHash(platformstate.Servers) != before[0] {
+		g.opts.Log.Info().Str("source", from).Int64("version", u.Versions[platformstate.Servers].Version).
 			Int("changes", len(u.Changes)).Bool("whole", u.Snapshot).Msg("backend servers told by another instance")
 	}
-	if g.opts.State.ContentHash(observed.Zones) != before[1] {
-		g.opts.Log.Info().Str("source", from).Int64("version", u.Versions[observed.Zones].Version).
+	if g.opts.State.ContentHash(platformstate.Zones) != before[1] {
+		g.opts.Log.Info().Str("source", from).Int64("version", u.Versions[platformstate.Zones].Version).
 			Strs("zones", u.Zones).Msg("zones told by another instance")
 	}
 	if missing {
-		g.opts.Log.Info().Str("source", from).Int64("from", u.From).Int64("version", u.Versions[observed.Servers].Version).
+		g.opts.Log.Info().Str("source", from).Int64("from", u.From).Int64("version", u.Versions[platformstate.Servers].Version).
 			Msg("changes of backend servers are missing, fetched")
 	}
 	return missing
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -33,9 +33,9 @@
 
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peer"
 	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
@@ -71,7 +71,7 @@
 // Options configures a [Gossip].
 type Options struct {
 	Table *membership.Table
-	State *observed.State
+	State *platformstate.State
 	Key   peer.Key
 	// Seeds are the addresses of instances to join; some may be outdated.
 	Seeds []string
@@ -210,12 +210,12 @@
 	From    string              `json:"from"`
 	Records []membership.Record `json:"records,omitempty"`
 	// Versions are the sender's versions, Update is what the receiver lacks.
-	Versions *observed.Versions `json:"versions,omitempty"`
+	Versions *platformstate.Versions `json:"versions,omitempty"`
 	// Instances is the number of instances that the sender knows.
 	Instances int `json:"instances,omitempty"`
 	// Digest is the digest of the running processes that the sender knows.
-	Digest uint64           `json:"digest,omitempty"`
-	Update *observed.Update `json:"update,omitempty"`
+	Digest uint64                `json:"digest,omitempty"`
+	Update *platformstate.Update `json:"update,omitempty"`
 	// Snapshot tells the receiver to fetch a snapshot instead of an update.
 	Snapshot bool `json:"snapshot,omitempty"`
 	// Suspects are crash suspects.
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -17,8 +17,8 @@
 
 	"pollenspindle.example/pollenspindle/internal/dialect"
 	"pollenspindle.example/pollenspindle/internal/membership"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peer"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/routes"
 )
 
@@ -30,7 +30,7 @@
 // testInstance is an instance with its listener.
 type testInstance struct {
 	*Gossip
-	state   *observed.State
+	state   *platformstate.State
 	table   *membership.Table
 	address string
 	stop    func()
@@ -46,7 +46,7 @@
 	require.NoError(t, err)
 	key, err := peer.NewKey(base64.StdEncoding.EncodeToString([]byte(secret)))
 	require.NoError(t, err)
-	o := &testInstance{state: observed.NewState(), address: l.Addr().String()}
+	o := &testInstance{state: platformstate.NewState(), address: l.Addr().String()}
 	o.table = membership.NewTable(membership.Record{ID: id, Peer: o.address, Caller: id, Zone: "z", StartedAt: time.Now().UnixMilli()})
 	o.Gossip, err = New(Options{
 		Table: o.table, State: o.state, Key: key, Seeds: seeds,
@@ -78,7 +78,7 @@
 	}
 	o.state.ReplaceServers(now, version, list)
 	o.state.ReplaceZones(now, version, zones)
-	for _, p := range observed.Resources() {
+	for _, p := range platformstate.Resources() {
 		o.state.RecordListing(now, p)
 	}
 }
@@ -101,7 +101,7 @@
 	require.Eventually(t, func() bool { return a.hasPlatformState(2, 1, 1) }, testTimeout, testTick)
 	require.Equal(t, 2, a.table.Count(time.Now()))
 	require.Equal(t, 2, b.table.Count(time.Now()))
-	require.Less(t, a.state.Age(time.Now(), observed.Configuration), time.Second)
+	require.Less(t, a.state.Age(time.Now(), platformstate.Configuration), time.Second)
 	// The other side also fetches what it lacks.
 	a.setPlatformState(3, nil, "s1", "s3")
 	require.NoError(t, a.exchange(t.Context(), b.address, "b"))
@@ -201,12 +201,12 @@
 	seed.setPlatformState(3, []string{"z1"}, servers...)
 	newcomer.sync(t.Context(), seed.address, testTimeout, []membership.Record{newcomer.table.Self()})
 	require.True(t, newcomer.hasPlatformState(3, 1, 2000))
-	none := observed.NewState().Versions(time.Now())
+	none := platformstate.NewState().Versions(time.Now())
 	answer, err := newcomer.call(t.Context(), seed.address, syncProcedure, testTimeout, &Message{Versions: &none})
 	require.NoError(t, err)
 	require.True(t, answer.Snapshot)
 	require.Nil(t, answer.Update, "servers serialized for each")
-	require.Positive(t, newcomer.state.Age(time.Now(), observed.Servers))
+	require.Positive(t, newcomer.state.Age(time.Now(), platformstate.Servers))
 
 	first, _, err := seed.snapshotCache.snapshot(time.Now(), seed.state)
 	require.NoError(t, err)
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/membership"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 // probeNext probes the next instance. From time to time it also probes one that is down,
@@ -101,7 +101,7 @@
 		g.submit("sync", func() { g.sync(ctx, address, syncTimeout, g.opts.Table.All(g.opts.Now())) })
 	}
 	g.opts.State.MergeVersions(now, *m.Versions)
-	if g.opts.State.BehindExcept(*m.Versions, observed.Configuration) {
+	if g.opts.State.BehindExcept(*m.Versions, platformstate.Configuration) {
 		g.fetchMissing(ctx, address)
 	}
 	g.fetchNewerConfiguration(ctx, m.Versions, address)
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -15,8 +15,8 @@
 	"github.com/ansel1/merry/v2"
 	gojson "github.com/goccy/go-json"
 
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 const (
@@ -48,7 +48,7 @@
 }
 
 // configuration returns the compressed configuration.
-func (p *compressedCache) configuration(state *observed.State) ([]byte, error) {
+func (p *compressedCache) configuration(state *platformstate.State) ([]byte, error) {
 	raw, version := state.RawConfiguration()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +65,7 @@
 
 // snapshot returns a compressed snapshot of the platform state without the configuration,
 // and its age.
-func (p *compressedCache) snapshot(now time.Time, state *observed.State) ([]byte, time.Duration, error) {
+func (p *compressedCache) snapshot(now time.Time, state *platformstate.State) ([]byte, time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if age := now.Sub(p.at); p.data != nil && age >= 0 && age < snapshotTTL {
@@ -133,14 +133,14 @@
 }
 
 // lacksConfiguration reports whether another instance has a newer configuration.
-func (g *Gossip) lacksConfiguration(v *observed.Versions) bool {
-	version, _ := g.opts.State.Version(observed.Configuration)
-	return v[observed.Configuration].Version > version
+func (g *Gossip) lacksConfiguration(v *platformstate.Versions) bool {
+	version, _ := g.opts.State.Version(platformstate.Configuration)
+	return v[platformstate.Configuration].Version > version
 }
 
 // fetchNewerConfiguration fetches the configuration of another instance in the background
 // if it is newer.
-func (g *Gossip) fetchNewerConfiguration(ctx context.Context, v *observed.Versions, address string) {
+func (g *Gossip) fetchNewerConfiguration(ctx context.Context, v *platformstate.Versions, address string) {
 	if g.lacksConfiguration(v) {
 		g.submit("configuration", func() { g.fetchConfiguration(ctx, address) })
 	}
@@ -149,10 +149,10 @@
 // fetchConfiguration fetches the configuration of another instance, one fetch at a time:
 // concurrent calls wait, as they usually want the same one.
 func (g *Gossip) fetchConfiguration(ctx context.Context, address string) {
-	before, _ := g.opts.State.Version(observed.Configuration)
+	before, _ := g.opts.State.Version(platformstate.Configuration)
 	g.configurationMu.Lock()
 	defer g.configurationMu.Unlock()
-	if now, _ := g.opts.State.Version(observed.Configuration); now != before {
+	if now, _ := g.opts.State.Version(platformstate.Configuration); now != before {
 		return
 	}
 	raw, _, err := g.fetchCompressed(ctx, address, configurationProcedure)
@@ -165,12 +165,12 @@
 
 // fetchSnapshot fetches and applies another instance's platform state without the
 // configuration.
-func (g *Gossip) fetchSnapshot(ctx context.Context, address, from string) (*observed.Update, error) {
+func (g *Gossip) fetchSnapshot(ctx context.Context, address, from string) (*platformstate.Update, error) {
 	raw, age, err := g.fetchCompressed(ctx, address, snapshotProcedure)
 	if err != nil {
 		return nil, err
 	}
-	var u observed.Update
+	var u platformstate.Update
 	if err := gojson.Unmarshal(raw, &u); err != nil {
 		return nil, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/membership"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 // maxJoinRecords is the number of records sent to an instance that knows no others yet. It
@@ -146,7 +146,7 @@
 	answer := &Message{Records: missing, Suspects: g.opts.Suspects(now), Instances: g.opts.Table.Count(now)}
 	if m.Versions != nil {
 		if r, ok := g.opts.Table.Get(m.From); ok {
-			if g.opts.State.BehindExcept(*m.Versions, observed.Configuration) {
+			if g.opts.State.BehindExcept(*m.Versions, platformstate.Configuration) {
 				g.fetchMissing(context.WithoutCancel(ctx), r.Peer)
 			}
 			g.fetchNewerConfiguration(context.WithoutCancel(ctx), m.Versions, r.Peer)
--- a/internal/ingress/active_streams.go
+++ b/internal/ingress/active_streams.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/balancer"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 // activeStreams holds the streams that are being relayed.
@@ -158,7 +158,7 @@
 	return int(a.eventCount()) * max(1, a.request.service.Engine.TokensPerEvent)
 }
 
-func (a *activeStream) server() observed.Server {
+func (a *activeStream) server() platformstate.Server {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.placement.Server
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -24,7 +24,7 @@
 	"pollenspindle.example/pollenspindle/internal/answer"
 	"pollenspindle.example/pollenspindle/internal/balancer"
 	"pollenspindle.example/pollenspindle/internal/dialect"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/retry"
 	"pollenspindle.example/pollenspindle/internal/routes"
 )
@@ -65,7 +65,7 @@
 	*Server
 	t       *testing.T
 	url     string
-	state   *observed.State
+	state   *platformstate.State
 	clock   *clock
 	servers []dialect.Server
 }
@@ -151,7 +151,7 @@
 		require.NoError(t, err)
 		return l
 	}
-	f := &fixture{t: t, state: observed.NewState(), clock: &clock{}}
+	f := &fixture{t: t, state: platformstate.NewState(), clock: &clock{}}
 	callers, rng := listen(), rand.New(rand.NewPCG(1, 2))
 	logged := &logs{}
 	t.Cleanup(func() { logged.printOnFailure(t) })
@@ -370,7 +370,7 @@
 	}{"starting": {want: denyRetryAfter}, "platform outage": {outage: true, want: outageRetryAfter}}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := &Server{opts: Options{State: observed.NewState()}}
+			s := &Server{opts: Options{State: platformstate.NewState()}}
 			if tt.outage {
 				s.opts.State.RecordPlatformFailure(time.Now())
 			}
@@ -385,7 +385,7 @@
 // configuration and the servers, but not yet the zones.
 func TestStartingInstanceWaitsForZones(t *testing.T) {
 	now := time.Now()
-	s := &Server{opts: Options{State: observed.NewState(), DenyMaxAge: denyMaxAge}, fields: testDialect().Fields}
+	s := &Server{opts: Options{State: platformstate.NewState(), DenyMaxAge: denyMaxAge}, fields: testDialect().Fields}
 	code := func() answer.Code {
 		_, err := s.matchRequest(now, app.NewContext(0))
 		return answer.FromError(err).Code
--- a/internal/ingress/migrations.go
+++ b/internal/ingress/migrations.go
@@ -7,7 +7,7 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 const (
@@ -118,7 +118,7 @@
 // the size of the deployment.
 func (s *Server) pollReports(ctx context.Context, lastPolled map[string]time.Time) {
 	now := s.opts.Now()
-	if s.opts.State.Age(now, observed.Servers) < observed.ServersInterval+platformSilenceMargin {
+	if s.opts.State.Age(now, platformstate.Servers) < platformstate.ServersInterval+platformSilenceMargin {
 		clear(lastPolled)
 		return
 	}
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s *Server) pollReport(ctx context.Context, server observed.Server) {
+func (s *Server) pollReport(ctx context.Context, server platformstate.Server) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	_, body, err := s.upstream.Call(ctx, server.Address, http.MethodGet, s.opts.Dialect.Paths.Report, nil)
--- a/internal/ingress/migrator.go
+++ b/internal/ingress/migrator.go
@@ -12,8 +12,8 @@
 	"pollenspindle.example/pollenspindle/internal/dialect"
 	"pollenspindle.example/pollenspindle/internal/migration"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/planner"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 // migrate moves the generation of a stream to another engine.
@@ -97,7 +97,7 @@
 type migrator struct {
 	s        *Server
 	stream   *activeStream
-	source   observed.Server
+	source   platformstate.Server
 	excluded map[string]bool
 	// target is the engine that the KV cache is copied to. Its reserved load belongs to the
 	// migrator while reserved is set, and to the stream's copy afterwards.
--- a/internal/ingress/place.go
+++ b/internal/ingress/place.go
@@ -10,8 +10,8 @@
 
 	"pollenspindle.example/pollenspindle/internal/answer"
 	"pollenspindle.example/pollenspindle/internal/balancer"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/planner"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/rollout"
 	"pollenspindle.example/pollenspindle/internal/rolloutpeer"
 )
@@ -72,7 +72,7 @@
 
 // recordOutcome counts the outcome of a request for outlier detection and for a rollout of the
 // server's service.
-func (s *Server) recordOutcome(server observed.Server, r *request, aspect rollout.Metric, failed bool, latency time.Duration) {
+func (s *Server) recordOutcome(server platformstate.Server, r *request, aspect rollout.Metric, failed bool, latency time.Duration) {
 	if s.opts.Outliers != nil && aspect == rollout.MetricAnswer {
 		s.opts.Outliers.RecordAnswer(server, r.route.Name, failed)
 	}
--- a/internal/ingress/request.go
+++ b/internal/ingress/request.go
@@ -12,7 +12,7 @@
 	"github.com/cloudwego/hertz/pkg/app"
 
 	"pollenspindle.example/pollenspindle/internal/answer"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/routes"
 	"pollenspindle.example/pollenspindle/internal/service"
 )
@@ -141,7 +141,7 @@
 
 // deny returns f, which says that something doesn't exist, only if the configuration is fresh.
 func (s *Server) deny(now time.Time, f *answer.Failure) error {
-	if s.opts.State.Age(now, observed.Configuration) > s.opts.DenyMaxAge {
+	if s.opts.State.Age(now, platformstate.Configuration) > s.opts.DenyMaxAge {
 		return s.notReady()
 	}
 	return f
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -39,9 +39,9 @@
 	"pollenspindle.example/pollenspindle/internal/answer"
 	"pollenspindle.example/pollenspindle/internal/balancer"
 	"pollenspindle.example/pollenspindle/internal/dialect"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/outlierpeer"
 	"pollenspindle.example/pollenspindle/internal/planner"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/retry"
 	"pollenspindle.example/pollenspindle/internal/rolloutpeer"
 	"pollenspindle.example/pollenspindle/internal/upstream"
@@ -75,7 +75,7 @@
 	Ready     net.Listener
 	Directory net.Listener
 	Zone      string
-	State     *observed.State
+	State     *platformstate.State
 	Dialect   dialect.Dialect
 	Balancer  *balancer.Balancer
 	Retries   *retry.Budgets
--- a/internal/ingress/streams_test.go
+++ b/internal/ingress/streams_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pollenspindle.example/pollenspindle/internal/dialect"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 // sendEvents sends the events first to last, and then ends the stream or aborts it within an event.
@@ -141,7 +141,7 @@
 			a, b := &migratableEngine{stop: make(chan struct{})}, &migratableEngine{stop: make(chan struct{})}
 			f := startFixture(t, map[string]http.Handler{"llm-1": a, "llm-2": b})
 			if silent {
-				f.clock.advance(observed.ServersInterval + platformSilenceMargin + time.Second)
+				f.clock.advance(platformstate.ServersInterval + platformSilenceMargin + time.Second)
 			}
 			resp := f.send("POST", "/plan/1", "{}", "T-Tokens", "3000,4000", "T-Hint", "900")
 			three := make([]byte, len(wantEvents(3)))
--- a/internal/ingress/suspects.go
+++ b/internal/ingress/suspects.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/answer"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
@@ -66,7 +66,7 @@
 }
 
 // recordCrash records that a request was running on a server when it crashed.
-func (s *Suspects) recordCrash(now time.Time, server observed.Server, fingerprint uint64) {
+func (s *Suspects) recordCrash(now time.Time, server platformstate.Server, fingerprint uint64) {
 	name := suspect.CrashName(server.Zone, server.ID, strconv.FormatInt(server.StartedAtMillis, 10))
 	entry := suspect.Entry{Fingerprint: fingerprint, Crashes: []suspect.Crash{{Name: name, At: now}}}
 	s.Merge(now, []suspect.Entry{entry})
@@ -97,7 +97,7 @@
 
 // reportCrash records a crash for a request whose connection was lost, if the server has crashed:
 // it didn't announce that it leaves and accepts no connection any more.
-func (s *Server) reportCrash(server observed.Server, r *request) {
+func (s *Server) reportCrash(server platformstate.Server, r *request) {
 	if s.opts.Suspects == nil {
 		return
 	}
--- a/internal/ingress/suspects_test.go
+++ b/internal/ingress/suspects_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pollenspindle.example/pollenspindle/internal/dialect"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
@@ -106,7 +106,7 @@
 	a, b := NewSuspects(), NewSuspects()
 	a.Broadcast = func(entries []suspect.Entry) { b.Merge(now, entries) }
 	for i := range suspectCrashLimit {
-		a.recordCrash(now, observed.Server{Server: dialect.Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("zone", i)}}, 7)
+		a.recordCrash(now, platformstate.Server{Server: dialect.Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("zone", i)}}, 7)
 	}
 	require.Equal(t, suspect.Refused, b.check(now, 7))
 	a.clear(now.Add(time.Second), 7)
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -15,10 +15,10 @@
 	"pollenspindle.example/pollenspindle/internal/ingress"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/outlierpeer"
 	"pollenspindle.example/pollenspindle/internal/peer"
 	"pollenspindle.example/pollenspindle/internal/planner"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/retry"
 	"pollenspindle.example/pollenspindle/internal/rollout"
 	"pollenspindle.example/pollenspindle/internal/rolloutpeer"
@@ -34,7 +34,7 @@
 // build creates the components of the instance.
 func (in *instance) build(ctx context.Context) error {
 	cfg, d := in.cfg, in.opts.Dialect
-	in.state = observed.NewState()
+	in.state = platformstate.NewState()
 	objects := objectapi.NewClient("http://"+cfg.PlatformAddress, objectapi.Options{
 		Codec: d.Objects, ReadsPerSecond: readsPerSecond, ReadBurst: readBurst, OnCall: in.recordCall,
 	})
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	in.follower = observed.NewFollower(observed.Options{
+	in.follower = platformstate.NewFollower(platformstate.Options{
 		State: in.state, Objects: objects, Dialect: d, Log: telemetry.ComponentLogger(in.tel.Log, "platform"), Now: time.Now,
 		Rank: in.table.Rank, Broadcast: in.gossip.Broadcast, StartWait: in.startupWait(), InstanceCount: in.instances, PropagationLimits: platformBounds(cfg),
 	})
@@ -81,8 +81,8 @@
 
 // platformBounds returns the deployment's time limits for changes of the platform state, or the
 // default ones.
-func platformBounds(cfg settings.Ingress) observed.PropagationLimits {
-	b := observed.DefaultPropagationLimits
+func platformBounds(cfg settings.Ingress) platformstate.PropagationLimits {
+	b := platformstate.DefaultPropagationLimits
 	for _, limit := range []struct {
 		millis float64
 		bound  *time.Duration
--- a/internal/ingressserve/serve.go
+++ b/internal/ingressserve/serve.go
@@ -26,9 +26,9 @@
 	"pollenspindle.example/pollenspindle/internal/ingress"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/outlierpeer"
 	"pollenspindle.example/pollenspindle/internal/planner"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/rolloutpeer"
 	"pollenspindle.example/pollenspindle/internal/settings"
 	"pollenspindle.example/pollenspindle/internal/telemetry"
@@ -91,7 +91,7 @@
 	cfg     settings.Ingress
 	tel     *telemetry.Telemetry
 	log     zerolog.Logger
-	state   *observed.State
+	state   *platformstate.State
 	table   *membership.Table
 	gossip  *gossip.Gossip
 	planner *planner.Planner
@@ -99,7 +99,7 @@
 	rollouts   *rolloutpeer.Peer
 	outliers   *outlierpeer.Peer
 	suspects   *ingress.Suspects
-	follower   *observed.Follower
+	follower   *platformstate.Follower
 	server     *ingress.Server
 	background sync.WaitGroup
 }
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -25,10 +25,10 @@
 
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/outlier"
 	"pollenspindle.example/pollenspindle/internal/peer"
 	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 const (
@@ -95,7 +95,7 @@
 }
 
 // RecordAnswer records an answer of a server.
-func (p *Peer) RecordAnswer(server observed.Server, route string, failed bool) {
+func (p *Peer) RecordAnswer(server platformstate.Server, route string, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := answerKey{server.Service, server.ID, route}
--- a/internal/outlierpeer/peer_test.go
+++ b/internal/outlierpeer/peer_test.go
@@ -13,8 +13,8 @@
 
 	"pollenspindle.example/pollenspindle/internal/dialect"
 	"pollenspindle.example/pollenspindle/internal/membership"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peer"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 // newZone starts the instances of one availability newZone.
@@ -43,8 +43,8 @@
 	return peers
 }
 
-func deskServer(id string) observed.Server {
-	return observed.Server{Server: dialect.Server{ID: id, Service: "desk"}}
+func deskServer(id string) platformstate.Server {
+	return platformstate.Server{Server: dialect.Server{ID: id, Service: "desk"}}
 }
 
 // reportAll makes every instance send its report.
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -10,7 +10,7 @@
 
 	"pollenspindle.example/pollenspindle/internal/balancer"
 	"pollenspindle.example/pollenspindle/internal/dialect"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 const (
@@ -116,7 +116,7 @@
 }
 
 func (p *simulation) publishEngines() {
-	version, _ := p.planner.opts.State.Version(observed.Servers)
+	version, _ := p.planner.opts.State.Version(platformstate.Servers)
 	p.planner.opts.State.ReplaceServers(p.now, version+1, p.engineList)
 }
 
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -7,7 +7,7 @@
 	"pollenspindle.example/pollenspindle/internal/balancer"
 	"pollenspindle.example/pollenspindle/internal/migration"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/routes"
 )
 
@@ -39,7 +39,7 @@
 		excluded[id] = true
 	}
 	now := p.opts.Now()
-	var engines []observed.Server
+	var engines []platformstate.Server
 	groups, _ := p.groups(r.Service)
 	for _, g := range groups {
 		if g.key == r.Group {
@@ -99,7 +99,7 @@
 	now        time.Time
 	service    *routes.Service
 	request    TransferRequest
-	candidates map[string]observed.Server
+	candidates map[string]platformstate.Server
 }
 
 // Candidates returns the engines with free capacity, best first: those of the group, whose loads
@@ -110,7 +110,7 @@
 	if len(free) == 0 {
 		free = r.freeEngines(c, all)
 	}
-	r.candidates = map[string]observed.Server{}
+	r.candidates = map[string]platformstate.Server{}
 	targets := make([]Target, 0, len(free))
 	for _, server := range free {
 		r.candidates[server.ID] = server
@@ -119,7 +119,7 @@
 	return targets
 }
 
-func (r *targetFinder) freeEngines(c Copy, engines []observed.Server) []observed.Server {
+func (r *targetFinder) freeEngines(c Copy, engines []platformstate.Server) []platformstate.Server {
 	return r.p.loadBalancer.FreeServers(r.now, balancer.Request{
 		Service: r.service, Zone: r.request.Zone, Tokens: r.requiredTokens(c), Excluded: map[string]bool{r.request.Engine: true},
 		Instances: r.p.opts.Table.Count(r.now),
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -26,9 +26,9 @@
 
 	"pollenspindle.example/pollenspindle/internal/balancer"
 	"pollenspindle.example/pollenspindle/internal/membership"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peer"
 	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 const (
@@ -115,7 +115,7 @@
 	Self  string
 	Table *membership.Table
 	Key   peer.Key
-	State *observed.State
+	State *platformstate.State
 	// ColdLimits limits the request rate of cold servers.
 	ColdLimits balancer.ColdLimits
 	// OwnLoads returns this instance's load on each server.
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -16,8 +16,8 @@
 	"pollenspindle.example/pollenspindle/internal/balancer"
 	"pollenspindle.example/pollenspindle/internal/dialect"
 	"pollenspindle.example/pollenspindle/internal/membership"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peer"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/routes"
 )
 
@@ -56,7 +56,7 @@
 	require.NoError(t, err)
 	key, err := peer.NewKey(base64.StdEncoding.EncodeToString([]byte(strings.Repeat(secret, 32))))
 	require.NoError(t, err)
-	state, address := observed.NewState(), l.Addr().String()
+	state, address := platformstate.NewState(), l.Addr().String()
 	state.Configure(time.Now(), routes.Configuration{Version: 1, Services: []routes.Service{{
 		Name: "llm", Engine: &routes.Engine{Slots: 24, MemoryTokens: 34000, TokenBytes: 163840, LinkMbps: 24000, SupportsMigration: true, TokensPerEvent: 4},
 	}}}, nil)
--- a/internal/planner/reports.go
+++ b/internal/planner/reports.go
@@ -9,8 +9,8 @@
 
 	"pollenspindle.example/pollenspindle/internal/balancer"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 const (
@@ -129,7 +129,7 @@
 type ReportResponse struct{}
 
 // groupEngines returns the engines in the group of an engine.
-func (p *Planner) groupEngines(service, zone, id string) []observed.Server {
+func (p *Planner) groupEngines(service, zone, id string) []platformstate.Server {
 	groups, l := p.groups(service)
 	key := groupKey(l, service, zone, id)
 	for _, g := range groups {
--- a/internal/observed/state.go
+++ b/internal/platformstate/state.go
@@ -1,16 +1,16 @@
-// Package observed holds what an instance knows of its deployment: the configuration, the
+// Package platformstate holds what an instance knows of its deployment: the configuration, the
 // backend servers, the drained zones and the rollouts. Each of these resources has a
 // version and the time at which it was last confirmed, and never goes back to an older
 // version.
 //
 // # Usage
 //
-//	state := observed.NewState()
-//	f := observed.NewFollower(observed.Options{State: state, Objects: client, Dialect: d})
+//	state := platformstate.NewState()
+//	f := platformstate.NewFollower(platformstate.Options{State: state, Objects: client, Dialect: d})
 //	go f.Run(ctx)
 //	table := state.Table()
 //	servers := state.Servers("flight-llm")
-package observed
+package platformstate
 
 import (
 	"bytes"
--- a/internal/observed/update_test.go
+++ b/internal/platformstate/update_test.go
@@ -1,4 +1,4 @@
-package observed
+package platformstate
 
 import (
 	"fmt"
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -26,9 +26,9 @@
 	"pollenspindle.example/pollenspindle/internal/dialect"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peer"
 	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/rollout"
 )
 
@@ -54,7 +54,7 @@
 	Self    string
 	Table   *membership.Table
 	Key     peer.Key
-	State   *observed.State
+	State   *platformstate.State
 	Objects *objectapi.Client
 	Dialect dialect.Dialect
 	Limits  rollout.Limits
@@ -160,7 +160,7 @@
 			delete(p.controllers, id)
 		}
 	}
-	version, _ := p.opts.State.Version(observed.Rollouts)
+	version, _ := p.opts.State.Version(platformstate.Rollouts)
 	p.ready = p.ready || version > 0
 }
 
@@ -250,7 +250,7 @@
 
 // Canary returns the servers of the new version for a request of the canary, or false if
 // the request isn't one. draw is a random number from 0 to 1.
-func (p *Peer) Canary(now time.Time, service string, draw float64) ([]observed.Server, bool) {
+func (p *Peer) Canary(now time.Time, service string, draw float64) ([]platformstate.Server, bool) {
 	p.mu.Lock()
 	lr := p.rolloutOf(service)
 	p.mu.Unlock()
@@ -258,7 +258,7 @@
 		return nil, false
 	}
 	all := p.opts.State.Canaries(service)
-	servers := make([]observed.Server, 0, len(all))
+	servers := make([]platformstate.Server, 0, len(all))
 	for _, i := range rollout.CanaryServers(p.opts.Limits.Share, lr.Window(now), len(all)) {
 		servers = append(servers, all[i])
 	}
@@ -274,7 +274,7 @@
 }
 
 // Record counts an observation of a server whose service has a rollout.
-func (p *Peer) Record(now time.Time, server observed.Server, s Observation) {
+func (p *Peer) Record(now time.Time, server platformstate.Server, s Observation) {
 	p.mu.Lock()
 	lr := p.rolloutOf(server.Service)
 	p.mu.Unlock()
--- a/internal/settings/ingress.go
+++ b/internal/settings/ingress.go
@@ -43,7 +43,7 @@
 	RetrySlack float64 `json:"retrySlack"`
 	// ConfigurationMillis, DrainMillis and EvacuationMillis are the times within which every
 	// instance must apply a new configuration, a leaving server and a drained zone; 0 means the
-	// default, see observed.DefaultPropagationLimits.
+	// default, see platformstate.DefaultPropagationLimits.
 	ConfigurationMillis float64 `json:"configurationMillis"`
 	DrainMillis         float64 `json:"drainMillis"`
 	EvacuationMillis    float64 `json:"evacuationMillis"`
