--- a/internal/suspect/suspect.go
+++ b/internal/crashsuspect/crashsuspect.go
@@ -1,4 +1,4 @@
-// Package suspect finds requests that crash the backend servers that run them.
+// Package crashsuspect finds requests that crash the backend servers that run them.
 //
 // Callers retry such a poison request when its server crashes, so that a single one
 // can crash a whole fleet. Every request that was running when a backend server
@@ -14,13 +14,13 @@
 //
 // # Usage
 //
-//	t := suspect.NewTable(suspect.DefaultParams)
-//	t.RecordCrash(now, suspect.CrashName("kigali-a", "engine-3", "5f2c"), fingerprint)
+//	t := crashsuspect.NewTable(crashsuspect.DefaultParams)
+//	t.RecordCrash(now, crashsuspect.CrashName("kigali-a", "engine-3", "5f2c"), fingerprint)
 //	switch t.Check(now, fingerprint) {
-//	case suspect.Clear, suspect.Suspected:
-//	case suspect.Refused: // answer with t.RetryAfter(now, fingerprint)
+//	case crashsuspect.Clear, crashsuspect.Suspected:
+//	case crashsuspect.Refused: // answer with t.RetryAfter(now, fingerprint)
 //	}
-package suspect
+package crashsuspect
 
 import (
 	"slices"
--- a/internal/suspect/zones.go
+++ b/internal/crashsuspect/zones.go
@@ -1,4 +1,4 @@
-package suspect
+package crashsuspect
 
 import (
 	"slices"
--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 	"pollenspindle.example/pollenspindle/internal/platformstate"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
 // maxDepth limits how many levels of unreachable instances a broadcast skips.
@@ -41,16 +41,16 @@
 // suspectQueue holds crash suspects for the next broadcast.
 type suspectQueue struct {
 	mu      sync.Mutex
-	entries []suspect.Entry
+	entries []crashsuspect.Entry
 }
 
-func (p *suspectQueue) add(entries []suspect.Entry) {
+func (p *suspectQueue) add(entries []crashsuspect.Entry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.entries = append(p.entries, entries[:min(len(entries), maxSuspects-len(p.entries))]...)
 }
 
-func (p *suspectQueue) take() []suspect.Entry {
+func (p *suspectQueue) take() []crashsuspect.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	entries := p.entries
@@ -60,7 +60,7 @@
 
 // BroadcastSuspects broadcasts requests that were running when servers crashed. It doesn't
 // block.
-func (g *Gossip) BroadcastSuspects(entries []suspect.Entry) {
+func (g *Gossip) BroadcastSuspects(entries []crashsuspect.Entry) {
 	g.pendingSuspects.add(entries)
 	g.Broadcast()
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -31,12 +31,12 @@
 	"github.com/uber-go/tally/v4"
 	"golang.org/x/time/rate"
 
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 	"pollenspindle.example/pollenspindle/internal/peer"
 	"pollenspindle.example/pollenspindle/internal/peerrpc"
 	"pollenspindle.example/pollenspindle/internal/platformstate"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
 const (
@@ -81,8 +81,8 @@
 	ApplyConfiguration func(now time.Time, value []byte, source string)
 	// ApplySuspects applies crash suspects from other instances, and Suspects returns those for
 	// an instance that joins; nil for none.
-	ApplySuspects func(now time.Time, entries []suspect.Entry)
-	Suspects      func(now time.Time) []suspect.Entry
+	ApplySuspects func(now time.Time, entries []crashsuspect.Entry)
+	Suspects      func(now time.Time) []crashsuspect.Entry
 	// Handlers are further handlers for calls of instances, by path.
 	Handlers map[string]http.Handler
 	Log      zerolog.Logger
@@ -126,10 +126,10 @@
 		return nil, merry.Prepend(err, "create pool for calls to instances")
 	}
 	if opts.ApplySuspects == nil {
-		opts.ApplySuspects = func(time.Time, []suspect.Entry) {}
+		opts.ApplySuspects = func(time.Time, []crashsuspect.Entry) {}
 	}
 	if opts.Suspects == nil {
-		opts.Suspects = func(time.Time) []suspect.Entry { return nil }
+		opts.Suspects = func(time.Time) []crashsuspect.Entry { return nil }
 	}
 	if opts.Scope == nil {
 		opts.Scope = tally.NoopScope
@@ -219,7 +219,7 @@
 	// Snapshot tells the receiver to fetch a snapshot instead of an update.
 	Snapshot bool `json:"snapshot,omitempty"`
 	// Suspects are crash suspects.
-	Suspects []suspect.Entry `json:"suspects,omitempty"`
+	Suspects []crashsuspect.Entry `json:"suspects,omitempty"`
 	// Origin, Incarnation and Sequence identify a broadcast.
 	Origin      string `json:"origin,omitempty"`
 	Incarnation int64  `json:"started,omitempty"`
--- a/internal/ingress/suspects.go
+++ b/internal/ingress/suspects.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/answer"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/platformstate"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
 const (
@@ -32,34 +32,34 @@
 // knows. It is safe for concurrent use.
 type Suspects struct {
 	// Broadcast sends changed entries to all instances; it must not block.
-	Broadcast func(entries []suspect.Entry)
+	Broadcast func(entries []crashsuspect.Entry)
 
 	mu    sync.Mutex
-	table *suspect.Table
+	table *crashsuspect.Table
 }
 
 // NewSuspects returns a Suspects without entries.
 func NewSuspects() *Suspects {
-	p := suspect.DefaultParams
+	p := crashsuspect.DefaultParams
 	p.Crashes, p.Retention = suspectCrashLimit, suspectRetention
-	return &Suspects{Broadcast: func([]suspect.Entry) {}, table: suspect.NewTable(p)}
+	return &Suspects{Broadcast: func([]crashsuspect.Entry) {}, table: crashsuspect.NewTable(p)}
 }
 
 // Merge adds the entries of another instance.
-func (s *Suspects) Merge(now time.Time, entries []suspect.Entry) {
+func (s *Suspects) Merge(now time.Time, entries []crashsuspect.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Merge(now, entries)
 }
 
 // Newest returns the entries that are sent to a starting instance.
-func (s *Suspects) Newest(now time.Time) []suspect.Entry {
+func (s *Suspects) Newest(now time.Time) []crashsuspect.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Newest(now, maxSuspectsSent)
 }
 
-func (s *Suspects) check(now time.Time, fingerprint uint64) suspect.Verdict {
+func (s *Suspects) check(now time.Time, fingerprint uint64) crashsuspect.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Check(now, fingerprint)
@@ -67,26 +67,26 @@
 
 // recordCrash records that a request was running on a server when it crashed.
 func (s *Suspects) recordCrash(now time.Time, server platformstate.Server, fingerprint uint64) {
-	name := suspect.CrashName(server.Zone, server.ID, strconv.FormatInt(server.StartedAtMillis, 10))
-	entry := suspect.Entry{Fingerprint: fingerprint, Crashes: []suspect.Crash{{Name: name, At: now}}}
-	s.Merge(now, []suspect.Entry{entry})
-	s.Broadcast([]suspect.Entry{entry})
+	name := crashsuspect.CrashName(server.Zone, server.ID, strconv.FormatInt(server.StartedAtMillis, 10))
+	entry := crashsuspect.Entry{Fingerprint: fingerprint, Crashes: []crashsuspect.Crash{{Name: name, At: now}}}
+	s.Merge(now, []crashsuspect.Entry{entry})
+	s.Broadcast([]crashsuspect.Entry{entry})
 }
 
 // clear clears a request that has completed.
 func (s *Suspects) clear(now time.Time, fingerprint uint64) {
-	if s.check(now, fingerprint) == suspect.Clear {
+	if s.check(now, fingerprint) == crashsuspect.Clear {
 		return
 	}
-	entry := suspect.Entry{Fingerprint: fingerprint, ClearedAt: now}
-	s.Merge(now, []suspect.Entry{entry})
-	s.Broadcast([]suspect.Entry{entry})
+	entry := crashsuspect.Entry{Fingerprint: fingerprint, ClearedAt: now}
+	s.Merge(now, []crashsuspect.Entry{entry})
+	s.Broadcast([]crashsuspect.Entry{entry})
 }
 
 // refuseSuspect refuses a request whose servers have crashed repeatedly, because each further run
 // could crash another server.
 func (s *Server) refuseSuspect(now time.Time, r *request) *answer.Failure {
-	if s.opts.Suspects == nil || s.opts.Suspects.check(now, r.fingerprint) != suspect.Refused {
+	if s.opts.Suspects == nil || s.opts.Suspects.check(now, r.fingerprint) != crashsuspect.Refused {
 		return nil
 	}
 	s.log.Warn().Str("request", r.id).Str("service", r.serviceName()).Int("crashes", suspectCrashLimit).Msg("request refused, servers that ran it crashed")
--- a/internal/ingress/suspects_test.go
+++ b/internal/ingress/suspects_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/dialect"
 	"pollenspindle.example/pollenspindle/internal/platformstate"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
 // crashingServer is a server that crashes if the body of a request says so.
@@ -104,11 +104,11 @@
 func TestSuspectIsClearedForAll(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a, b := NewSuspects(), NewSuspects()
-	a.Broadcast = func(entries []suspect.Entry) { b.Merge(now, entries) }
+	a.Broadcast = func(entries []crashsuspect.Entry) { b.Merge(now, entries) }
 	for i := range suspectCrashLimit {
 		a.recordCrash(now, platformstate.Server{Server: dialect.Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("zone", i)}}, 7)
 	}
-	require.Equal(t, suspect.Refused, b.check(now, 7))
+	require.Equal(t, crashsuspect.Refused, b.check(now, 7))
 	a.clear(now.Add(time.Second), 7)
-	require.Equal(t, suspect.Clear, b.check(now.Add(time.Second), 7))
+	require.Equal(t, crashsuspect.Clear, b.check(now.Add(time.Second), 7))
 }
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/balancer"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/gossip"
 	"pollenspindle.example/pollenspindle/internal/ingress"
 	"pollenspindle.example/pollenspindle/internal/membership"
@@ -23,7 +24,6 @@
 	"pollenspindle.example/pollenspindle/internal/rollout"
 	"pollenspindle.example/pollenspindle/internal/rolloutpeer"
 	"pollenspindle.example/pollenspindle/internal/settings"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 	"pollenspindle.example/pollenspindle/internal/telemetry"
 )
 
@@ -58,7 +58,7 @@
 	})
 	lb.SetAvoid(in.outliers.ShouldAvoid)
 	in.suspects = ingress.NewSuspects()
-	in.suspects.Broadcast = func(entries []suspect.Entry) { in.gossip.BroadcastSuspects(entries) }
+	in.suspects.Broadcast = func(entries []crashsuspect.Entry) { in.gossip.BroadcastSuspects(entries) }
 	in.gossip, err = gossip.New(gossip.Options{
 		ApplySuspects: in.suspects.Merge, Suspects: in.suspects.Newest,
 		Table: in.table, State: in.state, Key: key,
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -22,12 +22,12 @@
 	"github.com/uber-go/tally/v4"
 
 	"pollenspindle.example/pollenspindle/internal/config"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/instancelist"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 	"pollenspindle.example/pollenspindle/internal/peer"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
 // Objects is the part of the platform's object API that stores the roster.
@@ -55,8 +55,8 @@
 
 // Suspects is the table of crash suspects, which instances exchange in heartbeats.
 type Suspects interface {
-	Newest(now time.Time, n int) []suspect.Entry
-	Merge(now time.Time, entries []suspect.Entry)
+	Newest(now time.Time, n int) []crashsuspect.Entry
+	Merge(now time.Time, entries []crashsuspect.Entry)
 }
 
 // Options configures a [Member].
--- a/internal/member/outage_test.go
+++ b/internal/member/outage_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 	"github.com/uber-go/tally/v4"
 
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/peer"
 	"pollenspindle.example/pollenspindle/internal/roster"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
 // timedConfig is a configuration of version 1 without servers.
@@ -38,8 +38,8 @@
 
 type noSuspects struct{}
 
-func (noSuspects) Newest(time.Time, int) []suspect.Entry { return nil }
-func (noSuspects) Merge(time.Time, []suspect.Entry)      {}
+func (noSuspects) Newest(time.Time, int) []crashsuspect.Entry { return nil }
+func (noSuspects) Merge(time.Time, []crashsuspect.Entry)      {}
 
 // action is a function that runs at a point in simulated time.
 type action struct {
--- a/internal/member/updates.go
+++ b/internal/member/updates.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
 func (m *Member) newestSuspects(now time.Time) []*peerv1.Suspect {
@@ -24,16 +24,16 @@
 	return out
 }
 
-func suspectEntries(now time.Time, suspects []*peerv1.Suspect) []suspect.Entry {
-	var out []suspect.Entry
+func suspectEntries(now time.Time, suspects []*peerv1.Suspect) []crashsuspect.Entry {
+	var out []crashsuspect.Entry
 	ago := func(millis int64) time.Time { return now.Add(-time.Duration(millis) * time.Millisecond) }
 	for _, s := range suspects[:min(len(suspects), maxSuspects)] {
-		e := suspect.Entry{Fingerprint: s.GetFingerprint()}
+		e := crashsuspect.Entry{Fingerprint: s.GetFingerprint()}
 		if s.GetCleared() {
 			e.ClearedAt = ago(s.GetClearedMillisAgo())
 		}
 		for _, c := range s.GetCrashes() {
-			e.Crashes = append(e.Crashes, suspect.Crash{Name: c.GetIncarnation(), At: ago(c.GetAgeMillis())})
+			e.Crashes = append(e.Crashes, crashsuspect.Crash{Name: c.GetIncarnation(), At: ago(c.GetAgeMillis())})
 		}
 		out = append(out, e)
 	}
--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -9,9 +9,9 @@
 
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 	"pollenspindle.example/pollenspindle/internal/permit"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
 // fullLoadPermille is the load reported for a server without free capacity.
@@ -39,7 +39,7 @@
 	if !ok || !snap.AcceptsRequests(server) {
 		return refusedResponse(permit.ReasonNoServer, defaultRetryAfter, fullLoadPermille)
 	}
-	if o.opts.Suspects.check(received, req.GetFingerprint()) == suspect.Refused {
+	if o.opts.Suspects.check(received, req.GetFingerprint()) == crashsuspect.Refused {
 		return refusedResponse(permit.ReasonSuspect, o.opts.Suspects.retryAfter(received, req.GetFingerprint()), fullLoadPermille)
 	}
 	right := o.right(received, snap, server)
--- a/internal/owner/decide.go
+++ b/internal/owner/decide.go
@@ -7,9 +7,9 @@
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
 	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 	"pollenspindle.example/pollenspindle/internal/permit"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
@@ -80,7 +80,7 @@
 	ask := admission.AcquireRequest{
 		PermitID: NewPermitID(),
 		MayQueue: req.GetWaitMillis() > 0,
-		Suspect:  o.opts.Suspects.check(now, req.GetFingerprint()) == suspect.Suspected,
+		Suspect:  o.opts.Suspects.check(now, req.GetFingerprint()) == crashsuspect.Suspected,
 		Request: permit.Request{
 			ID:           req.GetId(),
 			Service:      req.GetService(),
--- a/internal/owner/poll.go
+++ b/internal/owner/poll.go
@@ -11,9 +11,9 @@
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
 	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/engine"
 	"pollenspindle.example/pollenspindle/internal/service"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
@@ -144,7 +144,7 @@
 	if restart == nil {
 		return
 	}
-	crash := suspect.CrashName(e.zone, e.cfg.Name, restart.OldIncarnation)
+	crash := crashsuspect.CrashName(e.zone, e.cfg.Name, restart.OldIncarnation)
 	for _, r := range restart.Running {
 		o.opts.Suspects.recordCrash(at, crash, r.Fingerprint)
 	}
--- a/internal/slopes/background_loops.go
+++ b/internal/slopes/background_loops.go
@@ -13,6 +13,7 @@
 
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/instancelist"
 	"pollenspindle.example/pollenspindle/internal/member"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
@@ -22,7 +23,6 @@
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1/peerv1connect"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
@@ -258,8 +258,8 @@
 // noSuspects implements an empty list of crash suspects.
 type noSuspects struct{}
 
-func (noSuspects) Newest(time.Time, int) []suspect.Entry { return nil }
-func (noSuspects) Merge(time.Time, []suspect.Entry)      {}
+func (noSuspects) Newest(time.Time, int) []crashsuspect.Entry { return nil }
+func (noSuspects) Merge(time.Time, []crashsuspect.Entry)      {}
 
 // prepare builds the roster, the instance list and the configuration snapshot.
 func (w *fakePlatform) prepare(list []roster.Instance) error {
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -11,6 +11,7 @@
 
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/length"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 	"pollenspindle.example/pollenspindle/internal/permit"
@@ -18,7 +19,6 @@
 	"pollenspindle.example/pollenspindle/internal/queue"
 	"pollenspindle.example/pollenspindle/internal/roster"
 	"pollenspindle.example/pollenspindle/internal/router"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
@@ -222,8 +222,8 @@
 	}
 }
 
-func suspectTable(n int) *suspect.Table {
-	t := suspect.NewTable(suspect.DefaultParams)
+func suspectTable(n int) *crashsuspect.Table {
+	t := crashsuspect.NewTable(crashsuspect.DefaultParams)
 	for i := range n {
 		t.RecordCrash(baseTime.Add(time.Duration(i)*time.Millisecond), fmt.Sprintf("engine-%d/a", i/10), uint64(i))
 	}
