--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pollenspindle.example/pollenspindle/internal/admission"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
@@ -33,7 +33,7 @@
 
 // openServer returns an open server that has reported that it is idle.
 func openServer() *admission.Server {
-	s := admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
+	s := admission.New(cfg, admission.Predicted{}, outputlength.NewEstimator(outputlength.DefaultParams))
 	s.Open(start)
 	s.ApplyReport(start, report(0))
 	return s
@@ -71,7 +71,7 @@
 	// Guards against a new owner granting while requests under the old owner's
 	// permits are in flight. A report measured before those permits expired would
 	// miss them, and the cold server would get twice what it can handle.
-	s := admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
+	s := admission.New(cfg, admission.Predicted{}, outputlength.NewEstimator(outputlength.DefaultParams))
 	require.IsType(t, admission.Unavailable{}, s.Acquire(at(0), request("0")))
 	s.Open(at(2000))
 	s.ApplyReport(at(1900), report(1800))
--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
 // grant is a permit that was granted and whose request may be running.
 type grant struct {
 	request   AcquireRequest
-	curve     *length.Curve
+	curve     *outputlength.Curve
 	expiresAt time.Time
 	// incarnation is the server incarnation that the permit is for.
 	incarnation string
@@ -145,8 +145,8 @@
 	s.queue.Charge(req.Workspace, float64(req.PromptTokens+o.OutputTokens)-expected, g.request.Weight)
 }
 
-func lengthKey(req *permit.Request) length.Key {
-	return length.Key{Service: req.Service, Model: req.Model, Workspace: req.Workspace}
+func lengthKey(req *permit.Request) outputlength.Key {
+	return outputlength.Key{Service: req.Service, Model: req.Model, Workspace: req.Workspace}
 }
 
 // removeUnused removes expired permits whose request isn't in a later report: the
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/forecast"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
@@ -195,7 +195,7 @@
 		}
 		s.memory.Add(seq)
 	}
-	curve := s.lengths.Curve(length.Key{})
+	curve := s.lengths.Curve(outputlength.Key{})
 	for _, f := range s.foreign {
 		s.memory.Add(forecast.Sequence{Prompt: f.Prompt, Generated: f.Output + grown, Curve: curve})
 	}
@@ -220,7 +220,7 @@
 	}
 	bound := req.MaxTokens
 	if bound <= 0 {
-		bound = length.MaxTokens
+		bound = outputlength.MaxTokens
 	}
 	return float64(req.PromptTokens) + s.lengths.Curve(lengthKey(req)).MeanRemaining(0, bound)
 }
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/forecast"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/queue"
 	"pollenspindle.example/pollenspindle/internal/warmup"
@@ -22,7 +22,7 @@
 	policy   Policy
 	limit    *warmup.Limit
 	interval *forecast.Interval
-	lengths  *length.Estimator
+	lengths  *outputlength.Estimator
 	queue    *queue.Queue
 
 	// grants is indexed by request ID, permits by permit ID.
@@ -63,7 +63,7 @@
 
 // New returns the state of a server about which nothing is known. It grants no
 // permits before Open and a load report.
-func New(cfg Config, p Policy, lengths *length.Estimator) *Server {
+func New(cfg Config, p Policy, lengths *outputlength.Estimator) *Server {
 	params := queue.DefaultParams
 	if cfg.MaxQueued > 0 {
 		params.MaxItems = cfg.MaxQueued
--- a/internal/admission/shared_test.go
+++ b/internal/admission/shared_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pollenspindle.example/pollenspindle/internal/admission"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 )
 
 func TestSharedPrefixesLeaveMemoryFree(t *testing.T) {
@@ -53,7 +53,7 @@
 	// The limits are high enough that memory decides.
 	warm := cfg
 	warm.ColdLimit, warm.WarmLimit = 64, 64
-	s = admission.New(warm, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
+	s = admission.New(warm, admission.Predicted{}, outputlength.NewEstimator(outputlength.DefaultParams))
 	s.Open(start)
 	seqs := make([]admission.Sequence, 12)
 	for i := range seqs {
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 
 	"pollenspindle.example/pollenspindle/internal/forecast"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 )
 
-func learned(rng *rand.Rand, draw func(*rand.Rand) int) *length.Curve {
-	e := length.NewEstimator(length.DefaultParams)
-	k := length.Key{Service: "s", Model: "m"}
+func learned(rng *rand.Rand, draw func(*rand.Rand) int) *outputlength.Curve {
+	e := outputlength.NewEstimator(outputlength.DefaultParams)
+	k := outputlength.Key{Service: "s", Model: "m"}
 	for range 3000 {
 		e.Observe(k, draw(rng), false)
 	}
--- a/internal/forecast/memory.go
+++ b/internal/forecast/memory.go
@@ -15,7 +15,7 @@
 import (
 	"math"
 
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 )
 
 // horizons is the number of points in time for which memory is predicted: now, and
@@ -44,7 +44,7 @@
 	// model's context.
 	MaxTokens int
 	// Curve is the survival curve of the output length.
-	Curve *length.Curve
+	Curve *outputlength.Curve
 }
 
 // Memory is the predicted memory use of one engine. The zero value is an idle engine.
--- a/internal/length/curve.go
+++ b/internal/outputlength/curve.go
@@ -1,4 +1,4 @@
-// Package length estimates the distribution of output lengths and the remaining
+// Package outputlength estimates the distribution of output lengths and the remaining
 // length of running generations.
 //
 // The length of a generation is unknown until it ends and heavy-tailed: a few tokens
@@ -10,12 +10,12 @@
 //
 // # Usage
 //
-//	e := length.NewEstimator(length.DefaultParams)
+//	e := outputlength.NewEstimator(outputlength.DefaultParams)
 //	e.Observe(key, 480, false)
 //	curve := e.Curve(key)
 //	p := curve.ConditionalSurvival(480, 100) // share of outputs at 480 tokens that reach 580
 //	n := curve.Remaining(480, 0.9)           // tokens within which 9 in 10 of them end
-package length
+package outputlength
 
 import "math"
 
--- a/internal/length/estimator.go
+++ b/internal/outputlength/estimator.go
@@ -1,4 +1,4 @@
-package length
+package outputlength
 
 import "math"
 
--- a/internal/length/length_test.go
+++ b/internal/outputlength/outputlength_test.go
@@ -1,4 +1,4 @@
-package length_test
+package outputlength_test
 
 import (
 	"math"
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 )
 
-var key = length.Key{Service: "briefing", Model: "glide", Workspace: "club"}
+var key = outputlength.Key{Service: "briefing", Model: "glide", Workspace: "club"}
 
 // lognormal draws lengths with the given median and spread.
 func lognormal(rng *rand.Rand, median, sigma float64) int {
@@ -20,7 +20,7 @@
 
 // pareto draws lengths of at least start with tail exponent alpha.
 func pareto(rng *rand.Rand, start, alpha float64) int {
-	return min(length.MaxTokens, int(start*math.Pow(1-rng.Float64(), -1/alpha)))
+	return min(outputlength.MaxTokens, int(start*math.Pow(1-rng.Float64(), -1/alpha)))
 }
 
 func TestCurveIsCalibrated(t *testing.T) {
@@ -44,7 +44,7 @@
 	for name, draw := range tests {
 		t.Run(name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 2))
-			e := length.NewEstimator(length.DefaultParams)
+			e := outputlength.NewEstimator(outputlength.DefaultParams)
 			for i := range 4000 {
 				e.Observe(key, draw(rng, i), false)
 			}
@@ -74,7 +74,7 @@
 
 func TestRemainingGrowsWithLengthForHeavyTails(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
-	e := length.NewEstimator(length.DefaultParams)
+	e := outputlength.NewEstimator(outputlength.DefaultParams)
 	for range 3000 {
 		e.Observe(key, pareto(rng, 50, 1.1), false)
 	}
@@ -88,8 +88,8 @@
 	// Guards against counting outputs that callers cancel at 200 tokens as ended:
 	// lengths would be underestimated and the engine overfilled.
 	rng := rand.New(rand.NewPCG(5, 6))
-	censored := length.NewEstimator(length.DefaultParams)
-	naive := length.NewEstimator(length.DefaultParams)
+	censored := outputlength.NewEstimator(outputlength.DefaultParams)
+	naive := outputlength.NewEstimator(outputlength.DefaultParams)
 	for range 2000 {
 		n := lognormal(rng, 400, 1)
 		censored.Observe(key, min(n, 200), n > 200)
@@ -101,28 +101,28 @@
 
 func TestNewWorkspaceUsesTheCurveOfItsModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
-	e := length.NewEstimator(length.DefaultParams)
+	e := outputlength.NewEstimator(outputlength.DefaultParams)
 	for range 1000 {
 		e.Observe(key, lognormal(rng, 300, 0.4), false)
 	}
-	fresh := length.Key{Service: key.Service, Model: key.Model, Workspace: "new"}
+	fresh := outputlength.Key{Service: key.Service, Model: key.Model, Workspace: "new"}
 	require.InDelta(t, e.Curve(key).Remaining(0, 0.5), e.Curve(fresh).Remaining(0, 0.5), 60)
 	require.Zero(t, e.Curve(fresh).Observations)
 }
 
 func TestNumberOfKeysIsLimited(t *testing.T) {
-	p := length.DefaultParams
+	p := outputlength.DefaultParams
 	p.MaxKeys = 16
-	e := length.NewEstimator(p)
+	e := outputlength.NewEstimator(p)
 	for i := range 100 {
-		e.Observe(length.Key{Service: "s", Model: "m", Workspace: strconv.Itoa(i)}, 100, false)
+		e.Observe(outputlength.Key{Service: "s", Model: "m", Workspace: strconv.Itoa(i)}, 100, false)
 	}
-	require.Zero(t, e.Curve(length.Key{Service: "s", Model: "m", Workspace: "0"}).Observations)
-	require.InDelta(t, 1, e.Curve(length.Key{Service: "s", Model: "m", Workspace: "99"}).Observations, 1e-9)
+	require.Zero(t, e.Curve(outputlength.Key{Service: "s", Model: "m", Workspace: "0"}).Observations)
+	require.InDelta(t, 1, e.Curve(outputlength.Key{Service: "s", Model: "m", Workspace: "99"}).Observations, 1e-9)
 }
 
 func TestMeanOfKnownCurve(t *testing.T) {
-	e := length.NewEstimator(length.DefaultParams)
+	e := outputlength.NewEstimator(outputlength.DefaultParams)
 	rng := rand.New(rand.NewPCG(9, 10))
 	for range 4000 {
 		e.Observe(key, lognormal(rng, 100, 0.2), false)
@@ -132,7 +132,7 @@
 }
 
 func BenchmarkObserveAndCurve(b *testing.B) {
-	e := length.NewEstimator(length.DefaultParams)
+	e := outputlength.NewEstimator(outputlength.DefaultParams)
 	b.ReportAllocs()
 	for i := range b.N {
 		e.Observe(key, i%5000, false)
--- a/internal/owner/entry_test.go
+++ b/internal/owner/entry_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pollenspindle.example/pollenspindle/internal/admission"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
@@ -26,7 +26,7 @@
 		t.Run(name, func(t *testing.T) {
 			cfg := admission.Config{Name: "desk-1", ColdLimit: 2, WarmLimit: 8, PermitLifetime: time.Second, QueueTimeout: time.Second}
 			e := &entry{
-				cfg: cfg, state: admission.New(cfg, admission.Predicted{}, length.NewEstimator(length.DefaultParams)),
+				cfg: cfg, state: admission.New(cfg, admission.Predicted{}, outputlength.NewEstimator(outputlength.DefaultParams)),
 				waiters: map[string]chan admission.Decision{},
 			}
 			e.applyRight(now, owner, true)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -23,7 +23,7 @@
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
 	"pollenspindle.example/pollenspindle/internal/control"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
@@ -88,7 +88,7 @@
 type Owner struct {
 	opts    Options
 	workers *ants.Pool
-	lengths *length.Estimator
+	lengths *outputlength.Estimator
 
 	// mu guards entries; each entry has its own lock. All entries share the
 	// length estimator, so lengthsMu is held during admission calls.
@@ -112,7 +112,7 @@
 	return &Owner{
 		opts:    opts,
 		workers: workers,
-		lengths: length.NewEstimator(length.DefaultParams),
+		lengths: outputlength.NewEstimator(outputlength.DefaultParams),
 		entries: map[string]*entry{},
 	}, nil
 }
--- a/internal/owner/poll_interval_test.go
+++ b/internal/owner/poll_interval_test.go
@@ -14,7 +14,7 @@
 
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
@@ -25,7 +25,7 @@
 func stableEntry(now time.Time) *entry {
 	cfg := admission.Config{Name: "desk-1", ColdLimit: 4, WarmLimit: 4, MemoryTokens: 1000, PermitLifetime: time.Second, QueueTimeout: time.Second}
 	e := &entry{
-		cfg: cfg, state: admission.New(cfg, admission.FixedLimit{}, length.NewEstimator(length.DefaultParams)),
+		cfg: cfg, state: admission.New(cfg, admission.FixedLimit{}, outputlength.NewEstimator(outputlength.DefaultParams)),
 		waiters: map[string]chan admission.Decision{}, holders: map[string]permitHolder{}, reachable: true,
 	}
 	e.applyRight(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
--- a/internal/slopes/decisions.go
+++ b/internal/slopes/decisions.go
@@ -12,7 +12,7 @@
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
 	"pollenspindle.example/pollenspindle/internal/crashsuspect"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/placement"
@@ -157,7 +157,7 @@
 
 // busyServer returns a server that runs n requests.
 func busyServer(n int) *admission.Server {
-	s := admission.New(engineConfig, admission.Predicted{}, length.NewEstimator(length.DefaultParams))
+	s := admission.New(engineConfig, admission.Predicted{}, outputlength.NewEstimator(outputlength.DefaultParams))
 	s.Open(baseTime)
 	s.ApplyReport(baseTime, engineReport(0))
 	for i := range n {
--- a/test/outcome/world_test.go
+++ b/test/outcome/world_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/admission"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/placement"
 	"pollenspindle.example/pollenspindle/internal/standin/batch"
@@ -144,7 +144,7 @@
 		now: start, policy: p, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*node{},
 		views: placement.Views{}, out: map[string]bool{}, stallAt: 160 * time.Millisecond,
 	}
-	lengths := length.NewEstimator(length.DefaultParams)
+	lengths := outputlength.NewEstimator(outputlength.DefaultParams)
 	var declared []*pollenspindle.Server
 	for i := range servers {
 		s := &pollenspindle.Server{Name: fmt.Sprint("engine-", i), Zone: fmt.Sprint("zone-", i%3)}
