--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -7,7 +7,7 @@
 	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/queue"
-	"pollenspindle.example/pollenspindle/internal/warmup"
+	"pollenspindle.example/pollenspindle/internal/slowstart"
 )
 
 // maxReportAge is how long after its last report an unreachable server still queues
@@ -20,7 +20,7 @@
 type Server struct {
 	cfg      Config
 	policy   Policy
-	limit    *warmup.Limit
+	limit    *slowstart.Limit
 	interval *forecast.Interval
 	lengths  *outputlength.Estimator
 	queue    *queue.Queue
@@ -71,7 +71,7 @@
 	return &Server{
 		cfg:            cfg,
 		policy:         p,
-		limit:          warmup.NewLimit(cfg.ColdLimit, cfg.WarmLimit),
+		limit:          slowstart.NewLimit(cfg.ColdLimit, cfg.WarmLimit),
 		interval:       forecast.NewInterval(),
 		lengths:        lengths,
 		queue:          queue.New(params),
--- a/internal/warmup/limit.go
+++ b/internal/slowstart/limit.go
@@ -1,4 +1,4 @@
-// Package warmup limits how many requests a backend server runs at the same time
+// Package slowstart limits how many requests a backend server runs at the same time
 // while it is cold (slow start).
 //
 // It is for servers that have just started, or have silently lost their warm state:
@@ -9,13 +9,13 @@
 //
 // # Usage
 //
-//	l := warmup.NewLimit(server.ColdLimit, server.WarmLimit)
+//	l := slowstart.NewLimit(server.ColdLimit, server.WarmLimit)
 //	l.RecordIncarnation(report.Incarnation)
 //	if running < l.Value() {
 //		// one more request may start
 //	}
 //	l.RecordSuccess(running, firstToken)
-package warmup
+package slowstart
 
 import "time"
 
