--- a/internal/order/order.go
+++ b/internal/commandlock/commandlock.go
@@ -1,4 +1,4 @@
-// Package order decides when a command, such as loading a model, may be sent to a model engine. Two
+// Package commandlock decides when a command, such as loading a model, may be sent to a model engine. Two
 // instances may each believe that they own the engine, since a lease can expire while its holder is
 // paused; a command of one must not undo a later command of the other. All functions are pure.
 //
@@ -10,12 +10,12 @@
 //
 // # Usage
 //
-//	switch d := order.Decide(now, timing, held, checksFencing).(type) {
-//	case order.Acquire: // conditional update on d.Version
-//	case order.Wait: // retry after d.Delay
+//	switch d := commandlock.Decide(now, timing, held, checksFencing).(type) {
+//	case commandlock.Acquire: // conditional update on d.Version
+//	case commandlock.Wait: // retry after d.Delay
 //	}
-//	if order.MaySend(time.Now(), timing, started) { ... }
-package order
+//	if commandlock.MaySend(time.Now(), timing, started) { ... }
+package commandlock
 
 import "time"
 
--- a/internal/order/order_test.go
+++ b/internal/commandlock/commandlock_test.go
@@ -1,4 +1,4 @@
-package order_test
+package commandlock_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pollenspindle.example/pollenspindle/internal/order"
+	"pollenspindle.example/pollenspindle/internal/commandlock"
 )
 
 const (
@@ -77,7 +77,7 @@
 
 type search struct {
 	t       *testing.T
-	timing  order.Timing
+	timing  commandlock.Timing
 	checked bool
 	seen    map[world]bool
 	todo    []world
@@ -146,7 +146,7 @@
 		}
 		s.push(w)
 	case acquired:
-		if !order.MaySend(at(w.now), s.timing, at(h.started)) {
+		if !commandlock.MaySend(at(w.now), s.timing, at(h.started)) {
 			h.phase = finished
 			s.push(w)
 			return
@@ -176,8 +176,8 @@
 	if h.seen != w.version {
 		h.seen, h.seenAt = w.version, w.now
 	}
-	held := order.LockState{Version: w.version, Record: order.Record{Ended: w.ended}, SeenAt: at(h.seenAt)}
-	if acquire, ok := order.Decide(at(w.now), s.timing, held, s.checked).(order.Acquire); ok {
+	held := commandlock.LockState{Version: w.version, Record: commandlock.Record{Ended: w.ended}, SeenAt: at(h.seenAt)}
+	if acquire, ok := commandlock.Decide(at(w.now), s.timing, held, s.checked).(commandlock.Acquire); ok {
 		h.phase, h.base = decided, acquire.Version
 		h.started = w.now
 		h.attempts++
@@ -247,17 +247,17 @@
 // continues. In no interleaving may a command undo a later one. The cases with a missing safeguard
 // show that the search detects its absence.
 func TestNoCommandUndoesALaterOne(t *testing.T) {
-	sound := order.Timing{SendTimeout: time.Second, MaxDuration: runFor}
+	sound := commandlock.Timing{SendTimeout: time.Second, MaxDuration: runFor}
 	tests := map[string]struct {
-		timing   order.Timing
+		timing   commandlock.Timing
 		checked  bool
 		violated bool
 	}{
 		"engine checks tokens":              {sound, true, false},
 		"engine ignores tokens":             {sound, false, false},
-		"tokens ignored, no send timeout":   {order.Timing{SendTimeout: time.Hour, MaxDuration: 2*time.Second - time.Hour}, false, true},
-		"tokens ignored, no duration limit": {order.Timing{SendTimeout: time.Second}, false, true},
-		"tokens ignored, no waiting":        {order.Timing{SendTimeout: time.Second, MaxDuration: -time.Second}, false, true},
+		"tokens ignored, no send timeout":   {commandlock.Timing{SendTimeout: time.Hour, MaxDuration: 2*time.Second - time.Hour}, false, true},
+		"tokens ignored, no duration limit": {commandlock.Timing{SendTimeout: time.Second}, false, true},
+		"tokens ignored, no waiting":        {commandlock.Timing{SendTimeout: time.Second, MaxDuration: -time.Second}, false, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/engineorder/engineorder.go
+++ b/internal/engineorder/engineorder.go
@@ -19,9 +19,9 @@
 	"github.com/panjf2000/ants/v2"
 	"github.com/rs/zerolog"
 
+	"pollenspindle.example/pollenspindle/internal/commandlock"
 	"pollenspindle.example/pollenspindle/internal/config"
 	"pollenspindle.example/pollenspindle/internal/engine"
-	"pollenspindle.example/pollenspindle/internal/order"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
@@ -59,8 +59,8 @@
 	Engines   Engines
 	Ownership Ownership
 	Config    func() *config.Snapshot
-	// Timing defaults to [order.DefaultTiming]; tests set it.
-	Timing order.Timing
+	// Timing defaults to [commandlock.DefaultTiming]; tests set it.
+	Timing commandlock.Timing
 	Log    zerolog.Logger
 }
 
@@ -79,8 +79,8 @@
 
 // New returns an executor. Close it after use.
 func New(opts Options) (*Executor, error) {
-	if opts.Timing == (order.Timing{}) {
-		opts.Timing = order.DefaultTiming
+	if opts.Timing == (commandlock.Timing{}) {
+		opts.Timing = commandlock.DefaultTiming
 	}
 	pool, err := ants.NewPool(maxConcurrentCommands, ants.WithNonblocking(true))
 	if err != nil {
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/engineorder/engineorder_test.go
@@ -11,18 +11,18 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
+	"pollenspindle.example/pollenspindle/internal/commandlock"
 	"pollenspindle.example/pollenspindle/internal/config"
 	"pollenspindle.example/pollenspindle/internal/engine"
 	"pollenspindle.example/pollenspindle/internal/engineorder"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/order"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
 // longTiming is for tests in which nothing may time out.
-var longTiming = order.Timing{SendTimeout: time.Hour, MaxDuration: time.Hour}
+var longTiming = commandlock.Timing{SendTimeout: time.Hour, MaxDuration: time.Hour}
 
 // platform is an object store. The next lose writes take effect without a response; the next drop
 // writes neither take effect nor get a response.
@@ -72,17 +72,17 @@
 }
 
 // record returns the lock record of the engine.
-func (p *platform) record(t *testing.T) order.Record {
+func (p *platform) record(t *testing.T) commandlock.Record {
 	o, err := p.Get(t.Context(), "fencing", "engine-1")
 	require.NoError(t, err)
-	var r order.Record
+	var r commandlock.Record
 	require.NoError(t, json.Unmarshal(o.Value, &r))
 	return r
 }
 
 // addHeldLock adds a lock held by another instance that has crashed.
 func (p *platform) addHeldLock(t *testing.T, name string) {
-	value, err := json.Marshal(order.Record{WriteID: "other", Holder: "entry-2"})
+	value, err := json.Marshal(commandlock.Record{WriteID: "other", Holder: "entry-2"})
 	require.NoError(t, err)
 	_, err = p.Create(t.Context(), "fencing", name, value)
 	require.NoError(t, err)
@@ -141,7 +141,7 @@
 	executor  *engineorder.Executor
 }
 
-func start(t *testing.T, timing order.Timing, fencing pollenspindle.Fencing) *fixture {
+func start(t *testing.T, timing commandlock.Timing, fencing pollenspindle.Fencing) *fixture {
 	t.Helper()
 	f := &fixture{platform: &platform{objects: map[string]objectapi.Object{}}, engines: &engines{}, ownership: &fakeOwnership{}}
 	f.ownership.role.Store(int64(permit.RoleOwner))
@@ -230,7 +230,7 @@
 	_, err := f.load(t, "engine-1")
 	require.NoError(t, err)
 
-	f = start(t, order.Timing{SendTimeout: time.Second, MaxDuration: time.Second}, pollenspindle.FencingIgnored)
+	f = start(t, commandlock.Timing{SendTimeout: time.Second, MaxDuration: time.Second}, pollenspindle.FencingIgnored)
 	f.platform.addHeldLock(t, "engine-1")
 	started := time.Now()
 	var busy *engineorder.BusyError
@@ -260,7 +260,7 @@
 	_, err = f.load(t, "engine-1")
 	require.ErrorIs(t, err, engineorder.ErrNotOwner)
 
-	f = start(t, order.Timing{SendTimeout: time.Nanosecond, MaxDuration: time.Hour}, pollenspindle.FencingChecked)
+	f = start(t, commandlock.Timing{SendTimeout: time.Nanosecond, MaxDuration: time.Hour}, pollenspindle.FencingChecked)
 	_, err = f.load(t, "engine-1")
 	require.ErrorIs(t, err, engineorder.ErrSuperseded)
 	require.Zero(t, f.engines.commandCount())
--- a/internal/engineorder/lock.go
+++ b/internal/engineorder/lock.go
@@ -9,8 +9,8 @@
 
 	"github.com/google/uuid"
 
+	"pollenspindle.example/pollenspindle/internal/commandlock"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/order"
 )
 
 // kind is the kind of the platform's lock objects.
@@ -30,13 +30,13 @@
 	fencingToken int64
 	// acquireStarted is the time before the conditional update.
 	acquireStarted time.Time
-	record         order.Record
+	record         commandlock.Record
 }
 
 // lockStore acquires and releases locks.
 type lockStore struct {
 	objects Objects
-	timing  order.Timing
+	timing  commandlock.Timing
 	holder  string
 
 	mu sync.Mutex
@@ -57,13 +57,13 @@
 		return commandLock{}, err
 	}
 	var base int64
-	switch d := order.Decide(time.Now(), s.timing, held, checksFencing).(type) {
-	case order.Wait:
+	switch d := commandlock.Decide(time.Now(), s.timing, held, checksFencing).(type) {
+	case commandlock.Wait:
 		return commandLock{}, &BusyError{Holder: held.Record.Holder, RetryAfter: d.Delay}
-	case order.Acquire:
+	case commandlock.Acquire:
 		base = d.Version
 	}
-	lock := commandLock{name: name, acquireStarted: time.Now(), record: order.Record{
+	lock := commandLock{name: name, acquireStarted: time.Now(), record: commandlock.Record{
 		WriteID: uuid.NewString(), Holder: s.holder, Model: model, Version: version,
 	}}
 	o, err := s.write(ctx, name, base, lock.record)
@@ -102,17 +102,17 @@
 	_, _ = s.write(ctx, lock.name, lock.fencingToken, lock.record)
 }
 
-func (s *lockStore) read(ctx context.Context, name string) (order.LockState, error) {
+func (s *lockStore) read(ctx context.Context, name string) (commandlock.LockState, error) {
 	o, err := s.objects.Get(ctx, kind, name)
 	if errors.Is(err, objectapi.ErrNotFound) {
-		return order.LockState{}, nil
+		return commandlock.LockState{}, nil
 	}
 	if err != nil {
-		return order.LockState{}, unavailable(err)
+		return commandlock.LockState{}, unavailable(err)
 	}
-	held := order.LockState{Version: o.Version}
+	held := commandlock.LockState{Version: o.Version}
 	if err := json.Unmarshal(o.Value, &held.Record); err != nil {
-		return order.LockState{}, unavailable(err)
+		return commandlock.LockState{}, unavailable(err)
 	}
 	held.SeenAt = s.firstSeen(time.Now(), name, o.Version)
 	return held, nil
@@ -129,7 +129,7 @@
 	return now
 }
 
-func (s *lockStore) write(ctx context.Context, name string, base int64, record order.Record) (objectapi.Object, error) {
+func (s *lockStore) write(ctx context.Context, name string, base int64, record commandlock.Record) (objectapi.Object, error) {
 	// The record has strings and a bool only, so encoding can't fail.
 	value, _ := json.Marshal(record)
 	if base == 0 {
--- a/internal/engineorder/run.go
+++ b/internal/engineorder/run.go
@@ -9,8 +9,8 @@
 
 	"github.com/ansel1/merry/v2"
 
+	"pollenspindle.example/pollenspindle/internal/commandlock"
 	"pollenspindle.example/pollenspindle/internal/engine"
-	"pollenspindle.example/pollenspindle/internal/order"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
@@ -59,7 +59,7 @@
 	now := time.Now()
 	// If the process was paused after it started to acquire the lock, another instance may already
 	// treat the command as over.
-	if !order.MaySend(now, g.opts.Timing, lock.acquireStarted) || !g.isOwner(now, j) {
+	if !commandlock.MaySend(now, g.opts.Timing, lock.acquireStarted) || !g.isOwner(now, j) {
 		return outcome, true, ErrSuperseded
 	}
 	_, err = g.opts.Engines.SendCommand(sendCtx, j.server.Address, engine.Command{
--- a/test/failure/orders_test.go
+++ b/test/failure/orders_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"pollenspindle.example/pollenspindle/internal/commandlock"
 	"pollenspindle.example/pollenspindle/internal/engine"
 	"pollenspindle.example/pollenspindle/internal/instancelist"
 	"pollenspindle.example/pollenspindle/internal/operatorapi"
-	"pollenspindle.example/pollenspindle/internal/order"
 	"pollenspindle.example/pollenspindle/internal/standin/weights"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 	"pollenspindle.example/pollenspindle/test/process"
@@ -126,7 +126,7 @@
 		return false
 	}
 	var o struct {
-		Value order.Record `json:"value"`
+		Value commandlock.Record `json:"value"`
 	}
 	require.NoError(t, json.NewDecoder(res.Body).Decode(&o))
 	return !o.Value.Ended
