--- a/internal/engineorder/engineorder.go
+++ b/internal/enginecommand/enginecommand.go
@@ -1,14 +1,14 @@
-// Package engineorder sends commands to the model engines that this instance owns: to load a
+// Package enginecommand sends commands to the model engines that this instance owns: to load a
 // version of a model. Each command has a fencing token from the platform, an engine gets one
 // command at a time, and the engine's state is read before and after. Package order decides when a
 // command may be sent.
 //
 // # Usage
 //
-//	g, err := engineorder.New(engineorder.Options{Self: id, Objects: objects, Engines: engines, Ownership: member, ...})
+//	g, err := enginecommand.New(enginecommand.Options{Self: id, Objects: objects, Engines: engines, Ownership: member, ...})
 //	defer g.Close()
-//	outcome, err := g.Load(ctx, engineorder.Command{Server: "engine-1", Model: "briefing", Version: "3"})
-package engineorder
+//	outcome, err := g.Load(ctx, enginecommand.Command{Server: "engine-1", Model: "briefing", Version: "3"})
+package enginecommand
 
 import (
 	"context"
--- a/internal/engineorder/engineorder_test.go
+++ b/internal/enginecommand/enginecommand_test.go
@@ -1,4 +1,4 @@
-package engineorder_test
+package enginecommand_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/internal/commandlock"
 	"pollenspindle.example/pollenspindle/internal/config"
 	"pollenspindle.example/pollenspindle/internal/engine"
-	"pollenspindle.example/pollenspindle/internal/engineorder"
+	"pollenspindle.example/pollenspindle/internal/enginecommand"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
@@ -138,7 +138,7 @@
 	platform  *platform
 	engines   *engines
 	ownership *fakeOwnership
-	executor  *engineorder.Executor
+	executor  *enginecommand.Executor
 }
 
 func start(t *testing.T, timing commandlock.Timing, fencing pollenspindle.Fencing) *fixture {
@@ -152,7 +152,7 @@
 		cfg.Servers = append(cfg.Servers, pollenspindle.Server{Name: name, Service: "s", Fencing: fencing})
 	}
 	snap := config.NewSnapshot(1, cfg)
-	executor, err := engineorder.New(engineorder.Options{
+	executor, err := enginecommand.New(enginecommand.Options{
 		Self: "entry-1", Objects: f.platform, Engines: f.engines, Ownership: f.ownership, Timing: timing,
 		Config: func() *config.Snapshot { return snap }, Log: zerolog.Nop(),
 	})
@@ -162,27 +162,27 @@
 	return f
 }
 
-func (f *fixture) load(t *testing.T, server string) (engineorder.Outcome, error) {
-	return f.executor.Load(t.Context(), engineorder.Command{Server: server, Model: "briefing"})
+func (f *fixture) load(t *testing.T, server string) (enginecommand.Outcome, error) {
+	return f.executor.Load(t.Context(), enginecommand.Command{Server: server, Model: "briefing"})
 }
 
 func TestLoadReadsTheStateBeforeAndAfter(t *testing.T) {
 	f := start(t, longTiming, pollenspindle.FencingIgnored)
 	outcome, err := f.load(t, "engine-1")
 	require.NoError(t, err)
-	require.Equal(t, engineorder.StateLoaded, outcome.State)
+	require.Equal(t, enginecommand.StateLoaded, outcome.State)
 	require.Equal(t, []engine.Command{{FencingToken: outcome.FencingToken, Kind: engine.CommandLoadModel, Name: "briefing", Version: "3"}}, f.engines.commands)
 	require.True(t, f.platform.record(t).Ended)
 	again, err := f.load(t, "engine-1")
 	require.NoError(t, err)
-	require.Equal(t, engineorder.Outcome{State: engineorder.StateAlreadyLoaded}, again)
+	require.Equal(t, enginecommand.Outcome{State: enginecommand.StateAlreadyLoaded}, again)
 	require.Equal(t, 1, f.engines.commandCount())
 
 	f.engines.state, f.engines.noEffect = engine.State{}, true
 	_, err = f.load(t, "engine-1")
-	require.ErrorIs(t, err, engineorder.ErrSuperseded, "the engine accepted the command without effect")
-	_, err = f.executor.Load(t.Context(), engineorder.Command{Server: "engine-1", Model: "foreign"})
-	require.ErrorIs(t, err, engineorder.ErrInvalid)
+	require.ErrorIs(t, err, enginecommand.ErrSuperseded, "the engine accepted the command without effect")
+	_, err = f.executor.Load(t.Context(), enginecommand.Command{Server: "engine-1", Model: "foreign"})
+	require.ErrorIs(t, err, enginecommand.ErrInvalid)
 }
 
 // The platform's response to acquiring the lock is lost. If the write is there when read back, the
@@ -192,12 +192,12 @@
 	f := start(t, longTiming, pollenspindle.FencingIgnored)
 	f.platform.drop = 1
 	_, err := f.load(t, "engine-1")
-	require.ErrorIs(t, err, engineorder.ErrSuperseded)
+	require.ErrorIs(t, err, enginecommand.ErrSuperseded)
 	require.Zero(t, f.engines.commandCount())
 	f.platform.lose = 1
 	outcome, err := f.load(t, "engine-1")
 	require.NoError(t, err)
-	require.Equal(t, engineorder.StateLoaded, outcome.State)
+	require.Equal(t, enginecommand.StateLoaded, outcome.State)
 	require.Equal(t, outcome.FencingToken, f.engines.commands[0].FencingToken)
 }
 
@@ -207,9 +207,9 @@
 	f := start(t, longTiming, pollenspindle.FencingIgnored)
 	f.engines.err, f.engines.noEffect = engine.ErrUnknownOutcome, true
 	_, err := f.load(t, "engine-1")
-	require.ErrorIs(t, err, engineorder.ErrUnknownOutcome)
+	require.ErrorIs(t, err, enginecommand.ErrUnknownOutcome)
 	require.False(t, f.platform.record(t).Ended)
-	var busy *engineorder.BusyError
+	var busy *enginecommand.BusyError
 	_, err = f.load(t, "engine-1")
 	require.ErrorAs(t, err, &busy)
 	require.Equal(t, 1, f.engines.commandCount())
@@ -218,7 +218,7 @@
 	f.engines.err = engine.ErrUnknownOutcome
 	outcome, err := f.load(t, "engine-1")
 	require.NoError(t, err)
-	require.Equal(t, engineorder.StateLoaded, outcome.State, "the state shows the effect")
+	require.Equal(t, enginecommand.StateLoaded, outcome.State, "the state shows the effect")
 	require.True(t, f.platform.record(t).Ended)
 }
 
@@ -233,7 +233,7 @@
 	f = start(t, commandlock.Timing{SendTimeout: time.Second, MaxDuration: time.Second}, pollenspindle.FencingIgnored)
 	f.platform.addHeldLock(t, "engine-1")
 	started := time.Now()
-	var busy *engineorder.BusyError
+	var busy *enginecommand.BusyError
 	_, err = f.load(t, "engine-1")
 	require.ErrorAs(t, err, &busy)
 	require.Equal(t, "entry-2", busy.Holder)
@@ -254,15 +254,15 @@
 		}
 	}
 	_, err := f.load(t, "engine-1")
-	require.ErrorIs(t, err, engineorder.ErrSuperseded)
+	require.ErrorIs(t, err, enginecommand.ErrSuperseded)
 	require.True(t, f.platform.record(t).Ended)
 	f.ownership.role.Store(int64(permit.RoleWaiting))
 	_, err = f.load(t, "engine-1")
-	require.ErrorIs(t, err, engineorder.ErrNotOwner)
+	require.ErrorIs(t, err, enginecommand.ErrNotOwner)
 
 	f = start(t, commandlock.Timing{SendTimeout: time.Nanosecond, MaxDuration: time.Hour}, pollenspindle.FencingChecked)
 	_, err = f.load(t, "engine-1")
-	require.ErrorIs(t, err, engineorder.ErrSuperseded)
+	require.ErrorIs(t, err, enginecommand.ErrSuperseded)
 	require.Zero(t, f.engines.commandCount())
 }
 
@@ -278,14 +278,14 @@
 		wg.Go(func() {
 			outcome, err := f.load(t, "engine-1")
 			// The second call may start after the first load has ended.
-			if err != nil || outcome.State == engineorder.StateLoading {
+			if err != nil || outcome.State == enginecommand.StateLoading {
 				t.Errorf("load: %v %v", outcome, err)
 			}
 		})
 	}
 	require.Eventually(t, func() bool { return f.engines.commandCount() == 1 }, time.Minute, time.Millisecond)
-	var busy *engineorder.BusyError
-	_, err := f.executor.Load(t.Context(), engineorder.Command{Server: "engine-1", Model: "briefing", Version: "4"})
+	var busy *enginecommand.BusyError
+	_, err := f.executor.Load(t.Context(), enginecommand.Command{Server: "engine-1", Model: "briefing", Version: "4"})
 	require.ErrorAs(t, err, &busy)
 	_, err = f.load(t, "engine-2")
 	require.ErrorAs(t, err, &busy, "both load slots are in use")
@@ -293,7 +293,7 @@
 	wg.Wait()
 	require.Equal(t, 1, f.engines.commandCount(), "one command for repeated calls")
 	require.Eventually(t, func() bool {
-		_, err = f.executor.Load(t.Context(), engineorder.Command{Server: "engine-2", Model: "briefing", Version: "4"})
+		_, err = f.executor.Load(t.Context(), enginecommand.Command{Server: "engine-2", Model: "briefing", Version: "4"})
 		return err == nil
 	}, time.Minute, time.Millisecond)
 }
--- a/internal/engineorder/handler.go
+++ b/internal/enginecommand/handler.go
@@ -1,4 +1,4 @@
-package engineorder
+package enginecommand
 
 import (
 	"context"
--- a/internal/serve/components.go
+++ b/internal/serve/components.go
@@ -14,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/internal/config"
 	"pollenspindle.example/pollenspindle/internal/control"
 	"pollenspindle.example/pollenspindle/internal/engine"
-	"pollenspindle.example/pollenspindle/internal/engineorder"
+	"pollenspindle.example/pollenspindle/internal/enginecommand"
 	"pollenspindle.example/pollenspindle/internal/fleet"
 	"pollenspindle.example/pollenspindle/internal/generation"
 	"pollenspindle.example/pollenspindle/internal/instancelist"
@@ -49,7 +49,7 @@
 	owner      *owner.Owner
 	router     *router.Router
 	fleet      *fleet.Fleet
-	commands   *engineorder.Executor
+	commands   *enginecommand.Executor
 	models     models
 	journal    *journal.Journal
 	peerServer *peer.Server
@@ -150,7 +150,7 @@
 		Codec:   codec,
 	})
 	p.peerServer.HandleQueries(p.fleet.Handler())
-	p.commands, err = engineorder.New(engineorder.Options{
+	p.commands, err = enginecommand.New(enginecommand.Options{
 		Self:      p.settings.Instance,
 		Objects:   p.objects,
 		Engines:   p.engines,
--- a/internal/serve/models.go
+++ b/internal/serve/models.go
@@ -7,7 +7,7 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"pollenspindle.example/pollenspindle/internal/engineorder"
+	"pollenspindle.example/pollenspindle/internal/enginecommand"
 	"pollenspindle.example/pollenspindle/internal/fleet"
 	"pollenspindle.example/pollenspindle/internal/operator"
 	"pollenspindle.example/pollenspindle/internal/operatorapi"
@@ -23,13 +23,13 @@
 type models struct {
 	self  string
 	fleet *fleet.Fleet
-	local *engineorder.Executor
+	local *enginecommand.Executor
 	peers *peer.Pool
 }
 
 // Load implements operator.Models.
 func (m models) Load(ctx context.Context, _ time.Time, model string, o operatorapi.EngineCommand) (operatorapi.EngineCommandResult, error) {
-	outcome, err := m.load(ctx, engineorder.Command{Server: o.Server, Model: model, Version: o.Version})
+	outcome, err := m.load(ctx, enginecommand.Command{Server: o.Server, Model: model, Version: o.Version})
 	if err != nil {
 		return operatorapi.EngineCommandResult{}, translateError(err)
 	}
@@ -38,7 +38,7 @@
 	}, nil
 }
 
-func (m models) load(ctx context.Context, command engineorder.Command) (engineorder.Outcome, error) {
+func (m models) load(ctx context.Context, command enginecommand.Command) (enginecommand.Outcome, error) {
 	owner, ok := m.fleet.Owner(command.Server)
 	if !ok || owner.ID == m.self {
 		return m.local.Load(ctx, command)
@@ -49,21 +49,21 @@
 		Server: command.Server, Model: command.Model, Version: command.Version,
 	})
 	if err != nil {
-		return engineorder.Outcome{}, merry.Wrap(engineorder.ErrUnknownOutcome, merry.WithCause(err),
+		return enginecommand.Outcome{}, merry.Wrap(enginecommand.ErrUnknownOutcome, merry.WithCause(err),
 			merry.AppendMessagef("owner %s did not respond; repeat the command, it reads the state first", owner.ID))
 	}
-	return engineorder.FromPeer(res)
+	return enginecommand.FromPeer(res)
 }
 
 // translateError translates an error of an engine command to one of package operator.
 func translateError(err error) error {
-	var busy *engineorder.BusyError
+	var busy *enginecommand.BusyError
 	switch {
-	case errors.As(err, &busy), errors.Is(err, engineorder.ErrInvalid), errors.Is(err, engineorder.ErrSuperseded):
+	case errors.As(err, &busy), errors.Is(err, enginecommand.ErrInvalid), errors.Is(err, enginecommand.ErrSuperseded):
 		return merry.Append(operator.ErrRefused, err.Error())
-	case errors.Is(err, engineorder.ErrNotOwner):
+	case errors.Is(err, enginecommand.ErrNotOwner):
 		return merry.Append(operator.ErrUnavailable, "the owner of the backend server is changing; repeat the command")
-	case errors.Is(err, engineorder.ErrUnavailable):
+	case errors.Is(err, enginecommand.ErrUnavailable):
 		return merry.Append(operator.ErrUnavailable, err.Error())
 	}
 	return merry.Append(operator.ErrUnknownOutcome, err.Error())
