--- a/internal/control/clock_other.go
+++ b/internal/controlcost/clock_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package control
+package controlcost
 
 import "time"
 
--- a/internal/control/conn.go
+++ b/internal/controlcost/conn.go
@@ -1,4 +1,4 @@
-package control
+package controlcost
 
 import (
 	"context"
--- a/internal/control/control.go
+++ b/internal/controlcost/controlcost.go
@@ -1,4 +1,4 @@
-// Package control measures the control-plane overhead of an instance by role: the bytes that it
+// Package controlcost measures the control-plane overhead of an instance by role: the bytes that it
 // exchanges with the platform, its peers and backend servers other than for callers, and the CPU
 // time of the background work behind them. The metrics show operators whether an instance stays
 // within its budget; see docs/CAPACITY.md.
@@ -15,10 +15,10 @@
 //
 // # Usage
 //
-//	costs := control.New(scope)
-//	costs.Of(control.RoleHeartbeats).Run(func() { res = answer(req) })
-//	costs.Of(control.RoleClaims).Bytes(sent, received)
-package control
+//	costs := controlcost.New(scope)
+//	costs.Of(controlcost.RoleHeartbeats).Run(func() { res = answer(req) })
+//	costs.Of(controlcost.RoleClaims).Bytes(sent, received)
+package controlcost
 
 import (
 	"sync"
--- a/internal/control/control_test.go
+++ b/internal/controlcost/controlcost_test.go
@@ -1,4 +1,4 @@
-package control_test
+package controlcost_test
 
 import (
 	"io"
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"github.com/uber-go/tally/v4"
 
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 )
 
 func count(scope tally.TestScope, name string) int64 {
@@ -35,8 +35,8 @@
 
 func TestRunCountsTimeByRole(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
-	costs := control.New(scope)
-	costs.Meter(control.RoleClaims).Run(func() {
+	costs := controlcost.New(scope)
+	costs.Meter(controlcost.RoleClaims).Run(func() {
 		rounds := 0
 		burn(func() bool { rounds++; return rounds > 10 })
 	})
@@ -46,11 +46,11 @@
 
 func TestLoopIsMeasuredWhileItRuns(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
-	costs := control.New(scope)
+	costs := controlcost.New(scope)
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		costs.RunLoop(control.RoleClaims, func() {
+		costs.RunLoop(controlcost.RoleClaims, func() {
 			burn(func() bool {
 				select {
 				case <-stop:
@@ -73,11 +73,11 @@
 }
 
 func TestNilCostsRunWithoutCounting(t *testing.T) {
-	var costs *control.Meters
+	var costs *controlcost.Meters
 	ran := 0
-	costs.Meter(control.RoleClaims).Run(func() { ran++ })
-	costs.Meter(control.RoleClaims).AddBytes(1, 1)
-	costs.RunLoop(control.RoleClaims, func() { ran++ })
+	costs.Meter(controlcost.RoleClaims).Run(func() { ran++ })
+	costs.Meter(controlcost.RoleClaims).AddBytes(1, 1)
+	costs.RunLoop(controlcost.RoleClaims, func() { ran++ })
 	costs.Measure()
 	require.Equal(t, 2, ran)
 }
@@ -93,10 +93,10 @@
 				_, _ = w.Write(body)
 			}))
 			defer s.Close()
-			transport := &http.Transport{DialContext: control.Dial, TLSClientConfig: s.Client().Transport.(*http.Transport).TLSClientConfig}
+			transport := &http.Transport{DialContext: controlcost.Dial, TLSClientConfig: s.Client().Transport.(*http.Transport).TLSClientConfig}
 			defer transport.CloseIdleConnections()
 			exchange := func(body string) (sent, received int64, reused bool) {
-				var e control.Exchange
+				var e controlcost.Exchange
 				ctx := httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 					reused = info.Reused
 					e.Begin(info.Conn, info.Reused)
@@ -129,16 +129,16 @@
 	first, other := net.Pipe()
 	defer other.Close()
 	go func() { _, _ = io.Copy(io.Discard, other) }()
-	old := &control.Conn{Conn: first}
-	write := func(c *control.Conn, n int) {
+	old := &controlcost.Conn{Conn: first}
+	write := func(c *controlcost.Conn, n int) {
 		_, err := c.Write(make([]byte, n))
 		require.NoError(t, err)
 	}
 	write(old, 100)
-	var e control.Exchange
+	var e controlcost.Exchange
 	e.Begin(old, true)
 	write(old, 10)
-	next := &control.Conn{Conn: first}
+	next := &controlcost.Conn{Conn: first}
 	e.Begin(next, false)
 	write(next, 20)
 	sent, received := e.Bytes()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -36,7 +36,7 @@
 	"github.com/cloudwego/hertz/pkg/protocol"
 	"go.opentelemetry.io/otel/propagation"
 
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/eventstream"
 	"pollenspindle.example/pollenspindle/internal/httpclient"
 )
@@ -52,13 +52,13 @@
 type Options struct {
 	HTTP httpclient.Options
 	// LoadMeter counts the cost of load reports; it may be nil.
-	LoadMeter *control.Meter
+	LoadMeter *controlcost.Meter
 }
 
 // Client calls model engines. It is safe for concurrent use.
 type Client struct {
 	http      *httpclient.Client
-	loadMeter *control.Meter
+	loadMeter *controlcost.Meter
 	loadCache loadCache
 }
 
@@ -224,7 +224,7 @@
 }
 
 // getJSON decodes the JSON response to a GET into v. meter counts the cost.
-func (c *Client) getJSON(ctx context.Context, address, path string, meter *control.Meter, v any) error {
+func (c *Client) getJSON(ctx context.Context, address, path string, meter *controlcost.Meter, v any) error {
 	r := newRequest(http.MethodGet, address, path)
 	defer protocol.ReleaseRequest(r)
 	resp, err := c.http.Do(ctx, address, r, httpclient.Call{})
--- a/internal/instancelist/instancelist.go
+++ b/internal/instancelist/instancelist.go
@@ -17,7 +17,7 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 )
 
 const (
@@ -53,14 +53,14 @@
 type Client struct {
 	base      string
 	transport *http.Transport
-	meter     *control.Meter
+	meter     *controlcost.Meter
 }
 
 // NewClient returns a client of the platform at baseURL. meter counts its bytes and may be nil.
-func NewClient(baseURL string, meter *control.Meter) *Client {
+func NewClient(baseURL string, meter *controlcost.Meter) *Client {
 	return &Client{
 		base:      baseURL,
-		transport: &http.Transport{DialContext: control.Dial, IdleConnTimeout: 30 * time.Second},
+		transport: &http.Transport{DialContext: controlcost.Dial, IdleConnTimeout: 30 * time.Second},
 		meter:     meter,
 	}
 }
@@ -74,7 +74,7 @@
 func (c *Client) List(ctx context.Context) ([]Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var exchange control.Exchange
+	var exchange controlcost.Exchange
 	defer func() { c.meter.AddBytes(exchange.Bytes()) }()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) { exchange.Begin(info.Conn, info.Reused) },
--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -30,7 +30,7 @@
 	"github.com/ansel1/merry/v2"
 	"golang.org/x/time/rate"
 
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 )
 
 const (
@@ -150,7 +150,7 @@
 	return &Client{
 		base:      baseURL,
 		opts:      opts,
-		transport: &http.Transport{DialContext: control.Dial, MaxIdleConnsPerHost: 8, IdleConnTimeout: 30 * time.Second},
+		transport: &http.Transport{DialContext: controlcost.Dial, MaxIdleConnsPerHost: 8, IdleConnTimeout: 30 * time.Second},
 		reads:     rate.NewLimiter(rate.Limit(opts.ReadsPerSecond), opts.ReadBurst),
 	}
 }
@@ -291,7 +291,7 @@
 // send makes the call and reports it to OnCall. Failures are errors of this package.
 func (c *Client) send(ctx context.Context, o Operation, decode decodeFunc) error {
 	start := time.Now()
-	var exchange control.Exchange
+	var exchange controlcost.Exchange
 	err := c.roundTrip(ctx, o, &exchange, decode)
 	if c.opts.OnCall != nil {
 		sent, received := exchange.Bytes()
@@ -300,7 +300,7 @@
 	return err
 }
 
-func (c *Client) roundTrip(ctx context.Context, o Operation, exchange *control.Exchange, decode decodeFunc) error {
+func (c *Client) roundTrip(ctx context.Context, o Operation, exchange *controlcost.Exchange, decode decodeFunc) error {
 	m := c.opts.Codec.Encode(o)
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -8,7 +8,7 @@
 	"go.opentelemetry.io/otel/trace"
 
 	"pollenspindle.example/pollenspindle/internal/admission"
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 	"pollenspindle.example/pollenspindle/internal/permit"
@@ -198,7 +198,7 @@
 
 // Release handles the release of permits by the instances that hold them.
 func (o *Owner) Release(released []*peerv1.Released) {
-	o.opts.Costs.Meter(control.RolePermits).Run(func() { o.release(released) })
+	o.opts.Costs.Meter(controlcost.RolePermits).Run(func() { o.release(released) })
 }
 
 func (o *Owner) release(released []*peerv1.Released) {
--- a/internal/owner/decide.go
+++ b/internal/owner/decide.go
@@ -6,7 +6,7 @@
 
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 	"pollenspindle.example/pollenspindle/internal/permit"
@@ -33,7 +33,7 @@
 	for {
 		now := time.Now()
 		var d acquireResult
-		o.opts.Costs.Meter(control.RolePermits).Run(func() { d = o.decide(now, snap, server, e, req) })
+		o.opts.Costs.Meter(controlcost.RolePermits).Run(func() { d = o.decide(now, snap, server, e, req) })
 		if d.reportReady != nil {
 			// The poll continues if the requesting instance goes away.
 			o.poll(context.WithoutCancel(ctx), now, snap, *server, e)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -22,7 +22,7 @@
 
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
@@ -81,7 +81,7 @@
 	Log            zerolog.Logger
 	Metrics        tally.Scope
 	// Costs accounts for the owner's resource use; it may be nil.
-	Costs *control.Meters
+	Costs *controlcost.Meters
 }
 
 // Owner grants permits for backend servers. It is safe for concurrent use.
@@ -127,7 +127,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			o.opts.Costs.Meter(control.RoleOwner).Run(func() { o.tick(ctx, time.Now()) })
+			o.opts.Costs.Meter(controlcost.RoleOwner).Run(func() { o.tick(ctx, time.Now()) })
 		}
 	}
 }
--- a/internal/owner/poll.go
+++ b/internal/owner/poll.go
@@ -10,7 +10,7 @@
 
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/engine"
 	"pollenspindle.example/pollenspindle/internal/service"
@@ -104,7 +104,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	report, err := o.opts.Loads.Load(ctx, time.Now(), kind, server.Address)
-	o.opts.Costs.Meter(control.RoleLoadPolls).Run(func() { o.handlePoll(time.Now(), server, e, report, err) })
+	o.opts.Costs.Meter(controlcost.RoleLoadPolls).Run(func() { o.handlePoll(time.Now(), server, e, report, err) })
 }
 
 // handlePoll applies a load report, or the error of a failed poll.
--- a/internal/peer/metering.go
+++ b/internal/peer/metering.go
@@ -6,30 +6,30 @@
 	"connectrpc.com/connect"
 	"google.golang.org/protobuf/proto"
 
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1/peerv1connect"
 )
 
 // roleOf returns the role by which the costs of a call are counted.
-func roleOf(procedure string) control.Role {
+func roleOf(procedure string) controlcost.Role {
 	switch procedure {
 	case peerv1connect.PeerServiceAcquireProcedure, peerv1connect.PeerServiceReleaseProcedure:
-		return control.RolePermits
+		return controlcost.RolePermits
 	case peerv1connect.PeerServiceFetchConfigProcedure:
-		return control.RoleConfig
+		return controlcost.RoleConfig
 	case peerv1connect.PeerServiceFetchRosterProcedure:
-		return control.RoleRoster
+		return controlcost.RoleRoster
 	case peerv1connect.PeerServiceHeartbeatProcedure, peerv1connect.PeerServiceHandOverProcedure:
-		return control.RoleHeartbeats
+		return controlcost.RoleHeartbeats
 	case peerv1connect.OrderServiceLoadModelProcedure:
-		return control.RoleEngineCommands
+		return controlcost.RoleEngineCommands
 	}
-	return control.RoleOperators
+	return controlcost.RoleOperators
 }
 
 // WithMetering returns an option for clients and handlers that counts the bytes of messages by
 // role, and the CPU time of handlers that don't wait.
-func WithMetering(costs *control.Meters) connect.Option {
+func WithMetering(costs *controlcost.Meters) connect.Option {
 	return connect.WithInterceptors(connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			meter := costs.Meter(roleOf(req.Spec().Procedure))
@@ -51,7 +51,7 @@
 // call runs next and measures the CPU time of heartbeat, roster and configuration handlers, which
 // return without waiting. A request for a permit may wait for a second; the owner of the server
 // measures the time of its parts.
-func call(ctx context.Context, meter *control.Meter, next connect.UnaryFunc, req connect.AnyRequest) (res connect.AnyResponse, err error) {
+func call(ctx context.Context, meter *controlcost.Meter, next connect.UnaryFunc, req connect.AnyRequest) (res connect.AnyResponse, err error) {
 	switch req.Spec().Procedure {
 	case peerv1connect.PeerServiceHeartbeatProcedure, peerv1connect.PeerServiceFetchRosterProcedure, peerv1connect.PeerServiceFetchConfigProcedure:
 		if !req.Spec().IsClient {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"github.com/uber-go/tally/v4"
 
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/peer"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1/peerv1connect"
@@ -99,7 +99,7 @@
 	key := newKey(t, encodedKey)
 	address := serve(t, key)
 	scope := tally.NewTestScope("", nil)
-	pool := peer.NewPool("i1", key, scope, peer.WithMetering(control.New(scope)))
+	pool := peer.NewPool("i1", key, scope, peer.WithMetering(controlcost.New(scope)))
 	defer pool.Close()
 	sender, err := sendHeartbeat(t, pool, address, 10*time.Second)
 	require.NoError(t, err)
--- a/internal/serve/components.go
+++ b/internal/serve/components.go
@@ -12,7 +12,7 @@
 	"pollenspindle.example/pollenspindle/internal/caller"
 	"pollenspindle.example/pollenspindle/internal/claim"
 	"pollenspindle.example/pollenspindle/internal/config"
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/engine"
 	"pollenspindle.example/pollenspindle/internal/enginecommand"
 	"pollenspindle.example/pollenspindle/internal/fleet"
@@ -38,7 +38,7 @@
 type components struct {
 	settings   settings.Settings
 	tel        *telemetry.Telemetry
-	costs      *control.Meters
+	costs      *controlcost.Meters
 	objects    *objectapi.Client
 	store      *config.Store
 	claims     *claim.Store
@@ -61,7 +61,7 @@
 }
 
 func newComponents(s settings.Settings, tel *telemetry.Telemetry) (*components, error) {
-	p := &components{settings: s, tel: tel, costs: control.New(tel.Metrics.SubScope("control")), leaving: make(chan struct{}), journal: journal.New(journal.DefaultLimits)}
+	p := &components{settings: s, tel: tel, costs: controlcost.New(tel.Metrics.SubScope("control")), leaving: make(chan struct{}), journal: journal.New(journal.DefaultLimits)}
 	p.self = roster.Instance{
 		ID: s.Instance, Incarnation: uuid.NewString(), Region: s.Region, Zone: s.Zone,
 		CallerAddress: s.CallerAddress, PeerAddress: s.PeerAddress,
@@ -69,8 +69,8 @@
 	p.objects = objectapi.NewClient(s.PlatformURL, objectapi.Options{OnCall: p.countCall})
 	p.store = config.NewStore(config.StoreOptions{Objects: p.objects, Log: telemetry.ComponentLogger(tel.Log, "config")})
 	p.claims = claim.NewStore(p.claimOptions())
-	p.engines = engine.NewClient(engine.Options{LoadMeter: p.costs.Meter(control.RoleLoadPolls)})
-	p.services = service.NewClient(service.Options{LoadMeter: p.costs.Meter(control.RoleLoadPolls)})
+	p.engines = engine.NewClient(engine.Options{LoadMeter: p.costs.Meter(controlcost.RoleLoadPolls)})
+	p.services = service.NewClient(service.Options{LoadMeter: p.costs.Meter(controlcost.RoleLoadPolls)})
 	p.retries = retry.NewBudgets(rand.New(rand.NewPCG(seed(s, 3), 0)))
 	return p, p.newPeers()
 }
@@ -88,7 +88,7 @@
 		Self:      p.self,
 		Timing:    p.rosterTiming(),
 		Objects:   p.objects,
-		List:      instancelist.NewClient(s.PlatformURL, p.costs.Meter(control.RoleInstanceList)),
+		List:      instancelist.NewClient(s.PlatformURL, p.costs.Meter(controlcost.RoleInstanceList)),
 		Config:    p.store,
 		Suspects:  suspects,
 		Peers:     pool,
--- a/internal/serve/gauges.go
+++ b/internal/serve/gauges.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 )
 
@@ -30,16 +30,16 @@
 }
 
 // roleOfKind returns the role that the bytes of calls for a kind of object are counted under.
-func roleOfKind(kind string) control.Role {
+func roleOfKind(kind string) controlcost.Role {
 	switch kind {
 	case "roster":
-		return control.RoleRoster
+		return controlcost.RoleRoster
 	case "claim":
-		return control.RoleClaims
+		return controlcost.RoleClaims
 	case "fencing":
-		return control.RoleEngineCommands
+		return controlcost.RoleEngineCommands
 	}
-	return control.RoleConfig
+	return controlcost.RoleConfig
 }
 
 // runGauges updates the gauges at each interval until ctx ends.
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -18,7 +18,7 @@
 	"github.com/rs/zerolog"
 
 	"pollenspindle.example/pollenspindle/internal/caller"
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/operator"
 	"pollenspindle.example/pollenspindle/internal/settings"
 	"pollenspindle.example/pollenspindle/internal/telemetry"
@@ -85,14 +85,14 @@
 	defer stop()
 	p := in.components
 	failed := make(chan error, 3)
-	in.start(func() { p.costs.RunLoop(control.RoleConfig, func() { p.store.Run(tasks) }) })
+	in.start(func() { p.costs.RunLoop(controlcost.RoleConfig, func() { p.store.Run(tasks) }) })
 	in.start(func() { p.members.Run(tasks) })
 	in.start(func() { p.owner.Run(tasks) })
 	in.start(func() { p.router.Run(tasks) })
-	in.start(func() { p.costs.RunLoop(control.RoleGauges, func() { p.runGauges(tasks) }) })
+	in.start(func() { p.costs.RunLoop(controlcost.RoleGauges, func() { p.runGauges(tasks) }) })
 	in.start(func() { p.claims.Run(tasks) })
 	in.start(func() {
-		p.costs.RunLoop(control.RoleClaims, func() { p.claims.RunSweep(tasks, time.Now, p.ownsShard) })
+		p.costs.RunLoop(controlcost.RoleClaims, func() { p.claims.RunSweep(tasks, time.Now, p.ownsShard) })
 	})
 	in.start(func() { failed <- p.peerServer.Serve(tasks, listeners.peer) })
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -29,7 +29,7 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/cloudwego/hertz/pkg/protocol"
 
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/httpclient"
 )
 
@@ -75,13 +75,13 @@
 type Options struct {
 	HTTP httpclient.Options
 	// LoadMeter measures the cost of load reports; it may be nil.
-	LoadMeter *control.Meter
+	LoadMeter *controlcost.Meter
 }
 
 // Client calls plain services. It is safe for concurrent use.
 type Client struct {
 	http      *httpclient.Client
-	loadMeter *control.Meter
+	loadMeter *controlcost.Meter
 }
 
 // NewClient returns a Client.
@@ -128,7 +128,7 @@
 	return c.do(ctx, address, req, nil)
 }
 
-func (c *Client) do(ctx context.Context, address string, req Request, meter *control.Meter) (Response, error) {
+func (c *Client) do(ctx context.Context, address string, req Request, meter *controlcost.Meter) (Response, error) {
 	r, err := encode(address, req)
 	if err != nil {
 		return Response{}, err
