--- a/internal/evidence/evidence.go
+++ b/internal/likelihood/likelihood.go
@@ -1,13 +1,13 @@
-// Package evidence compares the rate of events, such as failures, on some servers with the rate on
+// Package likelihood compares the rate of events, such as failures, on some servers with the rate on
 // other servers at the same time, as a likelihood ratio.
 //
 // # Usage
 //
-//	ratio := evidence.LikelihoodRatio(evidence.Pair{
-//		Baseline: evidence.Share{Events: 3, Total: 400},
-//		Observed: evidence.Share{Events: 4, Total: 12},
+//	ratio := likelihood.LikelihoodRatio(likelihood.Pair{
+//		Baseline: likelihood.Share{Events: 3, Total: 400},
+//		Observed: likelihood.Share{Events: 4, Total: 12},
 //	})
-package evidence
+package likelihood
 
 import "math"
 
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -20,7 +20,7 @@
 	"slices"
 	"time"
 
-	"pollenspindle.example/pollenspindle/internal/evidence"
+	"pollenspindle.example/pollenspindle/internal/likelihood"
 )
 
 const (
@@ -74,7 +74,7 @@
 
 // decayingShare is a share of failures whose weight decays exponentially.
 type decayingShare struct {
-	share evidence.Share
+	share likelihood.Share
 	at    time.Time
 }
 
@@ -120,7 +120,7 @@
 			d.counts[k] = c
 		}
 		c.decay(now)
-		c.share = c.share.Add(evidence.Share{Events: float64(a.Failed), Total: float64(a.Total)})
+		c.share = c.share.Add(likelihood.Share{Events: float64(a.Failed), Total: float64(a.Total)})
 		s, ok := d.servers[a.Server]
 		if !ok {
 			s = &server{}
@@ -157,7 +157,7 @@
 			continue
 		}
 		pairs, seen := d.compare(now, id, ids)
-		ratio := evidence.LikelihoodRatio(pairs...)
+		ratio := likelihood.LikelihoodRatio(pairs...)
 		if ratio < ejectRatio {
 			continue
 		}
@@ -180,12 +180,12 @@
 
 // compare returns the answers of a server paired with those of the other servers,
 // by kind of request.
-func (d *Detector) compare(now time.Time, id string, ids []string) (pairs []evidence.Pair, seen evidence.Share) {
+func (d *Detector) compare(now time.Time, id string, ids []string) (pairs []likelihood.Pair, seen likelihood.Share) {
 	for _, route := range d.routes(id) {
 		k := key{id, route}
 		c := d.counts[k]
 		c.decay(now)
-		var usual evidence.Share
+		var usual likelihood.Share
 		for _, other := range ids {
 			if o, ok := d.counts[key{other, k.route}]; ok && other != id {
 				o.decay(now)
@@ -193,7 +193,7 @@
 			}
 		}
 		if usual.Total >= minOtherAnswers {
-			pairs = append(pairs, evidence.Pair{Baseline: usual, Observed: c.share})
+			pairs = append(pairs, likelihood.Pair{Baseline: usual, Observed: c.share})
 			seen = seen.Add(c.share)
 		}
 	}
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"pollenspindle.example/pollenspindle/internal/evidence"
+	"pollenspindle.example/pollenspindle/internal/likelihood"
 )
 
 const (
@@ -109,18 +109,18 @@
 // comparison compares how often one kind of event occurs with each version.
 type comparison struct {
 	name   string
-	stable evidence.Share
-	canary map[string]evidence.Share
+	stable likelihood.Share
+	canary map[string]likelihood.Share
 }
 
 // comparisons returns the comparisons of each route and metric, and of the answers of all
 // routes together.
 func comparisons(groups []*group) []comparison {
-	failed := comparison{name: "all routes failed", canary: map[string]evidence.Share{}}
-	slowed := comparison{name: "all routes slow", canary: map[string]evidence.Share{}}
+	failed := comparison{name: "all routes failed", canary: map[string]likelihood.Share{}}
+	slowed := comparison{name: "all routes slow", canary: map[string]likelihood.Share{}}
 	var out []comparison
-	add := func(g *group, kind string, pooled *comparison, share func(*Cell) evidence.Share) {
-		comp := comparison{name: g.route + " " + string(g.metric) + " " + kind, stable: share(g.stable), canary: map[string]evidence.Share{}}
+	add := func(g *group, kind string, pooled *comparison, share func(*Cell) likelihood.Share) {
+		comp := comparison{name: g.route + " " + string(g.metric) + " " + kind, stable: share(g.stable), canary: map[string]likelihood.Share{}}
 		for id, cell := range g.canary {
 			comp.canary[id] = share(cell)
 		}
@@ -134,11 +134,11 @@
 		}
 	}
 	for _, g := range groups {
-		add(g, "failed", &failed, func(c *Cell) evidence.Share {
-			return evidence.Share{Events: float64(c.Failed), Total: float64(c.Count)}
+		add(g, "failed", &failed, func(c *Cell) likelihood.Share {
+			return likelihood.Share{Events: float64(c.Failed), Total: float64(c.Count)}
 		})
 		if limit, ok := slowThreshold(g.stable.Histogram); ok {
-			add(g, "slow", &slowed, func(c *Cell) evidence.Share { return slowShare(c.Histogram, limit) })
+			add(g, "slow", &slowed, func(c *Cell) likelihood.Share { return slowShare(c.Histogram, limit) })
 		}
 	}
 	return append(out, failed, slowed)
@@ -151,14 +151,14 @@
 		return 0
 	}
 	all, worst := c.totals()
-	ratio := evidence.LikelihoodRatio(evidence.Pair{Baseline: c.stable, Observed: all})
+	ratio := likelihood.LikelihoodRatio(likelihood.Pair{Baseline: c.stable, Observed: all})
 	if len(c.canary) >= minServersToExclude {
-		ratio = min(ratio, evidence.LikelihoodRatio(evidence.Pair{Baseline: c.stable, Observed: all.Sub(worst)}))
+		ratio = min(ratio, likelihood.LikelihoodRatio(likelihood.Pair{Baseline: c.stable, Observed: all.Sub(worst)}))
 	}
 	return ratio
 }
 
-func (c comparison) totals() (all, worst evidence.Share) {
+func (c comparison) totals() (all, worst likelihood.Share) {
 	for _, s := range c.canary {
 		all = all.Add(s)
 		if s.Events > worst.Events || s.Events == worst.Events && s.Total < worst.Total {
@@ -197,8 +197,8 @@
 	return 0, false
 }
 
-func slowShare(histogram map[int]int, limit int) evidence.Share {
-	var s evidence.Share
+func slowShare(histogram map[int]int, limit int) likelihood.Share {
+	var s likelihood.Share
 	for b, n := range histogram {
 		s.Total += float64(n)
 		if b >= limit {
