--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -32,10 +32,10 @@
 	"golang.org/x/time/rate"
 
 	"pollenspindle.example/pollenspindle/internal/crashsuspect"
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 	"pollenspindle.example/pollenspindle/internal/peer"
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
 	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
@@ -95,7 +95,7 @@
 type Gossip struct {
 	opts       Options
 	self       string
-	caller     *peerrpc.Client
+	caller     *instancerpc.Client
 	calls      *ants.Pool
 	deliveries *deliveries
 	// wake holds a value while there is something to broadcast. One is enough: a broadcast
@@ -136,7 +136,7 @@
 	}
 	self := opts.Table.Self().ID
 	return &Gossip{
-		opts: opts, self: self, caller: peerrpc.NewClient(opts.Key, self, probeTimeout), calls: calls, deliveries: newDeliveries(),
+		opts: opts, self: self, caller: instancerpc.NewClient(opts.Key, self, probeTimeout), calls: calls, deliveries: newDeliveries(),
 		wake: make(chan struct{}, 1), serveLimiter: rate.NewLimiter(servedPerSecond, servedPerSecond),
 	}, nil
 }
@@ -234,7 +234,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	m.From = g.self
-	client := connect.NewClient[Message, Message](g.caller.HTTP, "http://"+address+procedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[Message, Message](g.caller.HTTP, "http://"+address+procedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(m)
 	g.caller.Sign(g.opts.Now(), req.Header(), procedure)
 	res, err := client.CallUnary(ctx, req)
@@ -249,13 +249,13 @@
 // handler returns a handler for calls of instances that have the key.
 func (g *Gossip) handler(procedure string, answer func(ctx context.Context, m *Message) *Message) http.Handler {
 	return connect.NewUnaryHandler(procedure, func(ctx context.Context, req *connect.Request[Message]) (*connect.Response[Message], error) {
-		if err := peerrpc.Verify(g.opts.Key, g.opts.Now(), req.Header(), procedure); err != nil {
+		if err := instancerpc.Verify(g.opts.Key, g.opts.Now(), req.Header(), procedure); err != nil {
 			return nil, err
 		}
 		m := answer(ctx, req.Msg)
 		m.From = g.self
 		return connect.NewResponse(m), nil
-	}, peerrpc.HandlerOptions()...)
+	}, instancerpc.HandlerOptions()...)
 }
 
 // Serve serves other instances on the listener until ctx ends.
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -15,7 +15,7 @@
 	"github.com/ansel1/merry/v2"
 	gojson "github.com/goccy/go-json"
 
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
@@ -110,7 +110,7 @@
 }
 
 func (g *Gossip) serveCompressed(w http.ResponseWriter, r *http.Request, procedure string, get func() ([]byte, time.Duration, error)) {
-	if peerrpc.Verify(g.opts.Key, g.opts.Now(), r.Header, procedure) != nil {
+	if instancerpc.Verify(g.opts.Key, g.opts.Now(), r.Header, procedure) != nil {
 		w.WriteHeader(http.StatusUnauthorized)
 		return
 	}
@@ -201,7 +201,7 @@
 	if err != nil {
 		return nil, 0, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
-	raw, err := io.ReadAll(io.LimitReader(unpacked, peerrpc.MaxBytes))
+	raw, err := io.ReadAll(io.LimitReader(unpacked, instancerpc.MaxBytes))
 	if err != nil {
 		return nil, 0, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
--- a/internal/peerrpc/peerrpc.go
+++ b/internal/instancerpc/instancerpc.go
@@ -1,12 +1,12 @@
-// Package peerrpc provides the clients and handler options for calls between instances: Connect
+// Package instancerpc provides the clients and handler options for calls between instances: Connect
 // over HTTP/1.1 with plain structs as JSON, signed with the key that all instances share.
 //
 // # Usage
 //
-//	c := peerrpc.NewClient(key, self, time.Second)
-//	rpc := connect.NewClient[Request, Response](c.HTTP, url, peerrpc.ClientOptions()...)
+//	c := instancerpc.NewClient(key, self, time.Second)
+//	rpc := connect.NewClient[Request, Response](c.HTTP, url, instancerpc.ClientOptions()...)
 //	c.Sign(now, req.Header(), procedure)
-package peerrpc
+package instancerpc
 
 import (
 	"encoding/json"
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -23,11 +23,11 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 	"pollenspindle.example/pollenspindle/internal/outlier"
 	"pollenspindle.example/pollenspindle/internal/peer"
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
 	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
@@ -73,7 +73,7 @@
 // concurrent use.
 type Peer struct {
 	opts   Options
-	caller *peerrpc.Client
+	caller *instancerpc.Client
 
 	mu          sync.Mutex
 	detector    *outlier.Detector
@@ -89,7 +89,7 @@
 		opts.Scope = tally.NoopScope
 	}
 	return &Peer{
-		opts: opts, caller: peerrpc.NewClient(opts.Key, opts.Self, callTimeout), detector: outlier.NewDetector(),
+		opts: opts, caller: instancerpc.NewClient(opts.Key, opts.Self, callTimeout), detector: outlier.NewDetector(),
 		answers: map[answerKey]*outlier.Answers{}, ejected: map[string]ejection{},
 	}
 }
@@ -163,7 +163,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	client := connect.NewClient[Report, ReportResponse](p.caller.HTTP, "http://"+aggregator.Peer+reportProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[Report, ReportResponse](p.caller.HTTP, "http://"+aggregator.Peer+reportProcedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(&r)
 	p.caller.Sign(now, req.Header(), reportProcedure)
 	res, err := client.CallUnary(ctx, req)
@@ -208,13 +208,13 @@
 func (p *Peer) Handlers() map[string]http.Handler {
 	report := func(_ context.Context, req *connect.Request[Report]) (*connect.Response[ReportResponse], error) {
 		now := p.opts.Now()
-		if err := peerrpc.Verify(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
+		if err := instancerpc.Verify(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
 			return nil, err
 		}
 		v := p.aggregate(now, *req.Msg)
 		return connect.NewResponse(&v), nil
 	}
 	return map[string]http.Handler{
-		reportProcedure: connect.NewUnaryHandler(reportProcedure, report, peerrpc.HandlerOptions()...),
+		reportProcedure: connect.NewUnaryHandler(reportProcedure, report, instancerpc.HandlerOptions()...),
 	}
 }
--- a/internal/planner/handlers.go
+++ b/internal/planner/handlers.go
@@ -7,19 +7,19 @@
 
 	"connectrpc.com/connect"
 
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 )
 
 // Handlers returns the handlers of requests from other instances, by path.
 func (p *Planner) Handlers() map[string]http.Handler {
 	transfer := func(ctx context.Context, req *connect.Request[TransferRequest]) (*connect.Response[TransferResponse], error) {
-		if err := peerrpc.Verify(p.opts.Key, p.opts.Now(), req.Header(), transferProcedure); err != nil {
+		if err := instancerpc.Verify(p.opts.Key, p.opts.Now(), req.Header(), transferProcedure); err != nil {
 			return nil, err
 		}
 		return reply(p.scheduleCopy(ctx, *req.Msg))
 	}
 	place := func(_ context.Context, req *connect.Request[PlacementRequest]) (*connect.Response[PlacementResponse], error) {
-		if err := peerrpc.Verify(p.opts.Key, p.opts.Now(), req.Header(), placeProcedure); err != nil {
+		if err := instancerpc.Verify(p.opts.Key, p.opts.Now(), req.Header(), placeProcedure); err != nil {
 			return nil, err
 		}
 		res, err := p.chooseEngine(*req.Msg)
@@ -32,13 +32,13 @@
 		return connect.NewResponse(&res), nil
 	}
 	report := func(_ context.Context, req *connect.Request[Report]) (*connect.Response[ReportResponse], error) {
-		if err := peerrpc.Verify(p.opts.Key, p.opts.Now(), req.Header(), reportProcedure); err != nil {
+		if err := instancerpc.Verify(p.opts.Key, p.opts.Now(), req.Header(), reportProcedure); err != nil {
 			return nil, err
 		}
 		p.loads.Apply(p.opts.Now(), *req.Msg)
 		return connect.NewResponse(&ReportResponse{}), nil
 	}
-	options := peerrpc.HandlerOptions()
+	options := instancerpc.HandlerOptions()
 	return map[string]http.Handler{
 		transferProcedure: connect.NewUnaryHandler(transferProcedure, transfer, options...),
 		placeProcedure:    connect.NewUnaryHandler(placeProcedure, place, options...),
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -25,9 +25,9 @@
 	"github.com/rs/zerolog"
 
 	"pollenspindle.example/pollenspindle/internal/balancer"
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/peer"
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
 	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
@@ -135,7 +135,7 @@
 	schedule     *Schedule
 	loads        *Loads
 	loadBalancer *balancer.Balancer
-	rpc          *peerrpc.Client
+	rpc          *instancerpc.Client
 
 	mu sync.Mutex
 	// backoff holds the planners that didn't answer, and until when they aren't asked.
@@ -149,7 +149,7 @@
 // New returns a planner.
 func New(opts Options) *Planner {
 	p := &Planner{
-		opts: opts, schedule: NewSchedule(), loads: NewLoads(isAlive(opts.Table)), rpc: peerrpc.NewClient(opts.Key, opts.Self, transferTimeout),
+		opts: opts, schedule: NewSchedule(), loads: NewLoads(isAlive(opts.Table)), rpc: instancerpc.NewClient(opts.Key, opts.Self, transferTimeout),
 		backoff: map[string]time.Time{}, scores: map[string]groupScore{}, groupCache: map[string]serviceGroups{},
 	}
 	p.loadBalancer = balancer.New(opts.ColdLimits, rand.New(rand.NewPCG(rand.Uint64(), 3)), p.loads.ForEngine)
@@ -178,7 +178,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	client := connect.NewClient[TransferRequest, TransferResponse](p.rpc.HTTP, "http://"+address+transferProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[TransferRequest, TransferResponse](p.rpc.HTTP, "http://"+address+transferProcedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(&l)
 	p.rpc.Sign(p.opts.Now(), req.Header(), transferProcedure)
 	res, err := client.CallUnary(ctx, req)
@@ -255,7 +255,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	client := connect.NewClient[PlacementRequest, PlacementResponse](p.rpc.HTTP, "http://"+address+placeProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[PlacementRequest, PlacementResponse](p.rpc.HTTP, "http://"+address+placeProcedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(&r)
 	p.rpc.Sign(p.opts.Now(), req.Header(), placeProcedure)
 	res, err := client.CallUnary(ctx, req)
--- a/internal/planner/reports.go
+++ b/internal/planner/reports.go
@@ -8,8 +8,8 @@
 	"connectrpc.com/connect"
 
 	"pollenspindle.example/pollenspindle/internal/balancer"
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
 	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
@@ -115,7 +115,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	client := connect.NewClient[Report, ReportResponse](p.rpc.HTTP, "http://"+address+reportProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[Report, ReportResponse](p.rpc.HTTP, "http://"+address+reportProcedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(&r)
 	p.rpc.Sign(now, req.Header(), reportProcedure)
 	if _, err := client.CallUnary(ctx, req); err != nil {
--- a/internal/rolloutpeer/coordinator.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -12,9 +12,9 @@
 	"github.com/ansel1/merry/v2"
 
 	"pollenspindle.example/pollenspindle/internal/dialect"
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
 	"pollenspindle.example/pollenspindle/internal/rollout"
 )
 
@@ -49,7 +49,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	client := connect.NewClient[rollout.Report, rollout.Lease](p.caller.HTTP, "http://"+coordinator.Peer+reportProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[rollout.Report, rollout.Lease](p.caller.HTTP, "http://"+coordinator.Peer+reportProcedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(&report)
 	p.caller.Sign(now, req.Header(), reportProcedure)
 	res, err := client.CallUnary(ctx, req)
@@ -65,7 +65,7 @@
 func (p *Peer) Handlers() map[string]http.Handler {
 	report := func(_ context.Context, req *connect.Request[rollout.Report]) (*connect.Response[rollout.Lease], error) {
 		now := p.opts.Now()
-		if err := peerrpc.Verify(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
+		if err := instancerpc.Verify(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
 			return nil, err
 		}
 		lease, err := p.applyReport(now, *req.Msg)
@@ -75,7 +75,7 @@
 		return connect.NewResponse(&lease), nil
 	}
 	return map[string]http.Handler{
-		reportProcedure: connect.NewUnaryHandler(reportProcedure, report, peerrpc.HandlerOptions()...),
+		reportProcedure: connect.NewUnaryHandler(reportProcedure, report, instancerpc.HandlerOptions()...),
 	}
 }
 
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -24,10 +24,10 @@
 	"github.com/uber-go/tally/v4"
 
 	"pollenspindle.example/pollenspindle/internal/dialect"
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 	"pollenspindle.example/pollenspindle/internal/peer"
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
 	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/rollout"
 )
@@ -70,7 +70,7 @@
 // Peer is one instance's part in all rollouts. It is safe for concurrent use.
 type Peer struct {
 	opts   Options
-	caller *peerrpc.Client
+	caller *instancerpc.Client
 
 	mu sync.Mutex
 	// ready is set once the platform's rollouts are known.
@@ -100,7 +100,7 @@
 		opts.Scope = tally.NoopScope
 	}
 	return &Peer{
-		opts: opts, caller: peerrpc.NewClient(opts.Key, opts.Self, callTimeout),
+		opts: opts, caller: instancerpc.NewClient(opts.Key, opts.Self, callTimeout),
 		rollouts: map[string]*localRollout{}, controllers: map[string]*rollout.Controller{}, checkedAt: opts.Now(),
 	}
 }
