--- a/internal/enginecommand/enginecommand.go
+++ b/internal/enginecommand/enginecommand.go
@@ -49,7 +49,7 @@
 
 // Ownership tells what this instance may do for an engine; *member.Member implements it.
 type Ownership interface {
-	Right(now time.Time, s roster.Server) permit.Authority
+	Authority(now time.Time, s roster.Server) permit.Authority
 }
 
 // Options configures a [Executor].
--- a/internal/enginecommand/enginecommand_test.go
+++ b/internal/enginecommand/enginecommand_test.go
@@ -130,7 +130,7 @@
 // fakeOwnership is an ownership that can be lost.
 type fakeOwnership struct{ role atomic.Int64 }
 
-func (r *fakeOwnership) Right(time.Time, roster.Server) permit.Authority {
+func (r *fakeOwnership) Authority(time.Time, roster.Server) permit.Authority {
 	return permit.Authority{Role: permit.Role(r.role.Load())}
 }
 
--- a/internal/enginecommand/run.go
+++ b/internal/enginecommand/run.go
@@ -90,7 +90,7 @@
 }
 
 func (g *Executor) isOwner(now time.Time, j *commandRun) bool {
-	return g.opts.Ownership.Right(now, j.rosterServer).Role == permit.RoleOwner
+	return g.opts.Ownership.Authority(now, j.rosterServer).Role == permit.RoleOwner
 }
 
 // hasVersion reports whether the engine has loaded the version.
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -7,7 +7,7 @@
 //	m, err := member.New(member.Options{Self: self, Objects: objects, List: list, Config: store, Peers: pool})
 //	server := peer.NewServer(m.Handler(owner), key, scope)
 //	go m.Run(ctx)
-//	authority := m.Right(now, server)
+//	authority := m.Authority(now, server)
 package member
 
 import (
@@ -146,15 +146,15 @@
 	loops.Wait()
 }
 
-// Right implements owner.Rights. After a pause of the process there is none until it is confirmed
+// Authority implements owner.Rights. After a pause of the process there is none until it is confirmed
 // again.
-func (m *Member) Right(now time.Time, s roster.Server) permit.Authority {
+func (m *Member) Authority(now time.Time, s roster.Server) permit.Authority {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.guard.Allowed(now) {
 		return permit.Authority{Epoch: m.lease.Roster().Epoch}
 	}
-	return m.lease.Right(now, s)
+	return m.lease.Authority(now, s)
 }
 
 // Roster returns the current roster. Its epoch is 0 before the first one was adopted.
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -61,7 +61,7 @@
 
 // Rights returns what this instance may grant for a server, and the roster.
 type Rights interface {
-	Right(now time.Time, s roster.Server) permit.Authority
+	Authority(now time.Time, s roster.Server) permit.Authority
 	Roster() *roster.Roster
 }
 
@@ -230,7 +230,7 @@
 }
 
 func (o *Owner) right(now time.Time, snap *config.Snapshot, server *pollenspindle.Server) permit.Authority {
-	return o.opts.Rights.Right(now, RosterServer(snap, server))
+	return o.opts.Rights.Authority(now, RosterServer(snap, server))
 }
 
 // RosterServer returns the properties of server that decide on its owner.
--- a/internal/owner/poll_interval_test.go
+++ b/internal/owner/poll_interval_test.go
@@ -85,7 +85,7 @@
 // alwaysOwner makes this instance the owner of all servers.
 type alwaysOwner struct{}
 
-func (alwaysOwner) Right(time.Time, roster.Server) permit.Authority {
+func (alwaysOwner) Authority(time.Time, roster.Server) permit.Authority {
 	return permit.Authority{Role: permit.RoleOwner}
 }
 func (alwaysOwner) Roster() *roster.Roster { return &roster.Roster{} }
--- a/internal/roster/right.go
+++ b/internal/roster/authority.go
@@ -7,8 +7,8 @@
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
-// Right returns this instance's right to grant permits for s at now.
-func (l *Lease) Right(now time.Time, s Server) permit.Authority {
+// Authority returns this instance's right to grant permits for s at now.
+func (l *Lease) Authority(now time.Time, s Server) permit.Authority {
 	right := permit.Authority{Epoch: l.roster.Epoch}
 	owner, ok := l.roster.Owner(s.Name, s.Region)
 	if !ok {
--- a/internal/roster/lease_exhaustive_test.go
+++ b/internal/roster/lease_exhaustive_test.go
@@ -253,7 +253,7 @@
 // mayGrant decides as admission does: within the right, on a recent enough load
 // report, counting the running requests of others.
 func (m *modelState) mayGrant(i int) bool {
-	right := m.leases[i].Right(at(m.ticks), m.server)
+	right := m.leases[i].Authority(at(m.ticks), m.server)
 	own := m.running[i] + len(m.unusedPermits[i])
 	report := m.loadReports[i]
 	if !report.valid || at(report.tick).Before(right.ReportAfter) {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -11,7 +11,7 @@
 //	owner, ok := r.Owner("engine-1", "kigali")
 //	lease := roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})
 //	lease.Adopt(now, r)
-//	right := lease.Right(now, roster.Server{Name: "engine-1", Region: "kigali", ColdLimit: 2})
+//	right := lease.Authority(now, roster.Server{Name: "engine-1", Region: "kigali", ColdLimit: 2})
 package roster
 
 import (
--- a/internal/slopes/background_loops.go
+++ b/internal/slopes/background_loops.go
@@ -63,12 +63,12 @@
 	lease *roster.Lease
 }
 
-// Right implements owner.Rights.
-func (r *confirmedLease) Right(now time.Time, s roster.Server) permit.Authority {
+// Authority implements owner.Rights.
+func (r *confirmedLease) Authority(now time.Time, s roster.Server) permit.Authority {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lease.Confirm(now, epoch)
-	return r.lease.Right(now, s)
+	return r.lease.Authority(now, s)
 }
 
 // Roster implements owner.Rights.
