--- a/internal/member/outage_test.go
+++ b/internal/member/outage_test.go
@@ -110,7 +110,7 @@
 	for i := range n {
 		cfg := &timedConfig{}
 		m, err := New(Options{
-			Self: all[i], Timing: roster.Timing{LeaseDuration: fleetLease, PermitValidity: 2 * time.Second}, Config: cfg, Suspects: noSuspects{},
+			Self: all[i], Timing: roster.Timing{LeaseDuration: fleetLease, PermitLifetime: 2 * time.Second}, Config: cfg, Suspects: noSuspects{},
 			Peers: peer.NewPool(all[i].ID, key, tally.NoopScope), Heartbeat: fleetHeartbeat,
 			Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: seed + uint64(i),
 		})
--- a/internal/member/targets_test.go
+++ b/internal/member/targets_test.go
@@ -31,7 +31,7 @@
 	key, err := peer.NewKey("AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=")
 	require.NoError(t, err)
 	m, err := New(Options{
-		Self: all[0], Timing: roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second}, Config: emptyConfig{},
+		Self: all[0], Timing: roster.Timing{LeaseDuration: 3 * time.Second, PermitLifetime: 2 * time.Second}, Config: emptyConfig{},
 		Peers: peer.NewPool(all[0].ID, key, tally.NoopScope), Heartbeat: 500 * time.Millisecond,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
--- a/internal/roster/authority.go
+++ b/internal/roster/authority.go
@@ -62,7 +62,7 @@
 	if !ok || !l.withinLease(now, a.sent) {
 		return end, false
 	}
-	if at := a.since.Add(l.timing.PermitValidity); at.After(end) {
+	if at := a.since.Add(l.timing.PermitLifetime); at.After(end) {
 		end = at
 	}
 	return end, true
@@ -80,7 +80,7 @@
 		return l.adoptedAt, true
 	}
 	if at, ok := l.permitsStoppedAt(old); ok {
-		return at.Add(l.timing.PermitValidity), true
+		return at.Add(l.timing.PermitLifetime), true
 	}
 	return l.olderEpochsEnd()
 }
@@ -108,7 +108,7 @@
 			stop = at
 		}
 	}
-	return stop.Add(l.timing.PermitValidity), true
+	return stop.Add(l.timing.PermitLifetime), true
 }
 
 // olderEpochsEnd returns when no instance can have a right of an older epoch any more;
@@ -160,8 +160,8 @@
 	if l.roster.Number <= 1 {
 		free = l.adoptedAt.Add(l.timing.TakeoverDelay())
 	}
-	if promiseEnd, ok := l.promises[owner]; ok && promiseEnd.Add(l.timing.PermitValidity).After(free) {
-		free = promiseEnd.Add(l.timing.PermitValidity)
+	if promiseEnd, ok := l.promises[owner]; ok && promiseEnd.Add(l.timing.PermitLifetime).After(free) {
+		free = promiseEnd.Add(l.timing.PermitLifetime)
 	}
 	if now.Before(free) {
 		return right
--- a/internal/roster/lease.go
+++ b/internal/roster/lease.go
@@ -6,14 +6,14 @@
 type Timing struct {
 	// LeaseDuration is how long a confirmation or a deputy's promise is valid.
 	LeaseDuration time.Duration
-	// PermitValidity is how long a permit may be used, counted from its request.
-	PermitValidity time.Duration
+	// PermitLifetime is how long a permit may be used, counted from its request.
+	PermitLifetime time.Duration
 }
 
 // TakeoverDelay returns how long a new owner waits: until the lease of the old owner,
 // which may not know of the change, has expired, and then until its last permit has.
 func (t Timing) TakeoverDelay() time.Duration {
-	return t.LeaseDuration + t.PermitValidity
+	return t.LeaseDuration + t.PermitLifetime
 }
 
 // Server holds the properties of a backend server that decide on rights to it.
--- a/internal/roster/lease_exhaustive_test.go
+++ b/internal/roster/lease_exhaustive_test.go
@@ -28,8 +28,8 @@
 const tick = time.Second
 
 var (
-	shortTiming = Timing{LeaseDuration: tick, PermitValidity: permitTicks * tick}
-	longTiming  = Timing{LeaseDuration: 2 * tick, PermitValidity: permitTicks * tick}
+	shortTiming = Timing{LeaseDuration: tick, PermitLifetime: permitTicks * tick}
+	longTiming  = Timing{LeaseDuration: 2 * tick, PermitLifetime: permitTicks * tick}
 )
 
 // permitTicks is the validity of a permit: it may be used in the tick in which it is
--- a/internal/router/cluster_test.go
+++ b/internal/router/cluster_test.go
@@ -148,7 +148,7 @@
 	in := &instance{self: roster.Instance{
 		ID: id, Incarnation: incarnation, PeerAddress: listener.Addr().String(), CallerAddress: "127.0.0.1:1", Zone: "a", Region: "r",
 	}}
-	timing := roster.Timing{LeaseDuration: 1500 * time.Millisecond, PermitValidity: 500 * time.Millisecond}
+	timing := roster.Timing{LeaseDuration: 1500 * time.Millisecond, PermitLifetime: 500 * time.Millisecond}
 	in.member, err = member.New(member.Options{
 		Self: in.self, Timing: timing, Objects: objects, List: list, Config: store, Suspects: suspects, Peers: pool,
 		Heartbeat: time.Second / heartbeatsPerSecond, Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
@@ -156,11 +156,11 @@
 	require.NoError(c.t, err)
 	in.owner, err = owner.New(owner.Options{
 		Self: id, Incarnation: incarnation, Rights: in.member, Config: store.Snapshot, Loads: c.backend, Policy: admission.Predicted{},
-		Suspects: suspects, PermitValidity: timing.PermitValidity, PollInterval: 100 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
+		Suspects: suspects, PermitValidity: timing.PermitLifetime, PollInterval: 100 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	require.NoError(c.t, err)
 	in.router = router.New(router.Options{
-		Self: in.self, Members: in.member, Local: in.owner, Peers: pool, Config: store.Snapshot, Policy: router.Predicted{}, PermitLifetime: timing.PermitValidity,
+		Self: in.self, Members: in.member, Local: in.owner, Peers: pool, Config: store.Snapshot, Policy: router.Predicted{}, PermitLifetime: timing.PermitLifetime,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
 	ctx, cancel := context.WithCancel(c.t.Context())
--- a/internal/serve/adapters.go
+++ b/internal/serve/adapters.go
@@ -128,7 +128,7 @@
 func (p *components) rosterTiming() roster.Timing {
 	return roster.Timing{
 		LeaseDuration:  millis(p.settings.Timing.ConfirmMillis),
-		PermitValidity: millis(p.settings.Timing.PermitMillis),
+		PermitLifetime: millis(p.settings.Timing.PermitMillis),
 	}
 }
 
--- a/internal/slopes/background_loops.go
+++ b/internal/slopes/background_loops.go
@@ -91,7 +91,7 @@
 func ownerCPU(ctx context.Context, members, servers int) (float64, error) {
 	list := rosterInstances(members)
 	self := typicalInstance(list, servers)
-	lease := &confirmedLease{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})}
+	lease := &confirmedLease{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitLifetime: 2 * time.Second})}
 	lease.lease.Adopt(time.Now(), roster.New(epoch, initialRoster(list)))
 	snap := config.NewSnapshot(1, fleetConfig(servers, designWorkspaces))
 	o, err := owner.New(owner.Options{
@@ -211,7 +211,7 @@
 	pool := peer.NewPool(self.ID, key, tally.NoopScope)
 	defer pool.Close()
 	m, err := member.New(member.Options{
-		Self: self, Timing: roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second},
+		Self: self, Timing: roster.Timing{LeaseDuration: 3 * time.Second, PermitLifetime: 2 * time.Second},
 		Objects: platform, List: platform, Config: platform, Suspects: noSuspects{}, Peers: pool,
 		Heartbeat: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
--- a/internal/slopes/poll_rates.go
+++ b/internal/slopes/poll_rates.go
@@ -66,7 +66,7 @@
 		cfg.Servers = append(cfg.Servers, s)
 	}
 	self := rosterInstances(1)[0]
-	lease := &confirmedLease{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})}
+	lease := &confirmedLease{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitLifetime: 2 * time.Second})}
 	lease.lease.Adopt(time.Now(), roster.New(epoch, initialRoster([]roster.Instance{self})))
 	snap, loads := config.NewSnapshot(1, cfg), &countingLoads{polls: map[string]int{}}
 	o, err := owner.New(owner.Options{
