--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -79,7 +79,7 @@
 }
 
 func (o *Owner) validFor(received time.Time, g admission.Granted) time.Duration {
-	return min(o.opts.PermitValidity, g.ExpiresAt.Sub(received))
+	return min(o.opts.PermitLifetime, g.ExpiresAt.Sub(received))
 }
 
 // startSpan starts a span for the owner's part of a traced request, which may
@@ -179,7 +179,7 @@
 // waitLimit returns how long a request may wait here. A permit's validity counts
 // from the request, so one granted after half of it could hardly be used.
 func (o *Owner) waitLimit(req *peerv1.AcquireRequest) time.Duration {
-	return min(max(0, time.Duration(req.GetWaitMillis())*time.Millisecond), maxAcquireWait, o.opts.PermitValidity/2)
+	return min(max(0, time.Duration(req.GetWaitMillis())*time.Millisecond), maxAcquireWait, o.opts.PermitLifetime/2)
 }
 
 func refusedResponse(reason permit.Reason, retryAfter time.Duration, loadPermille int) *peerv1.AcquireResponse {
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -74,9 +74,9 @@
 	Loads       Loads
 	Policy      admission.Policy
 	Suspects    *Suspects
-	// PermitValidity is how long a permit is valid, PollInterval the usual time
+	// PermitLifetime is how long a permit is valid, PollInterval the usual time
 	// between two load reports of one server.
-	PermitValidity time.Duration
+	PermitLifetime time.Duration
 	PollInterval   time.Duration
 	Log            zerolog.Logger
 	Metrics        tally.Scope
@@ -247,7 +247,7 @@
 		Name:           server.Name,
 		ColdLimit:      server.ColdLimit,
 		WarmLimit:      server.WarmLimit,
-		PermitLifetime: o.opts.PermitValidity,
+		PermitLifetime: o.opts.PermitLifetime,
 		QueueTimeout:   queuePlaceTTL,
 	}
 	service, ok := snap.Services[server.Service]
--- a/internal/router/cluster_test.go
+++ b/internal/router/cluster_test.go
@@ -156,7 +156,7 @@
 	require.NoError(c.t, err)
 	in.owner, err = owner.New(owner.Options{
 		Self: id, Incarnation: incarnation, Rights: in.member, Config: store.Snapshot, Loads: c.backend, Policy: admission.Predicted{},
-		Suspects: suspects, PermitValidity: timing.PermitLifetime, PollInterval: 100 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
+		Suspects: suspects, PermitLifetime: timing.PermitLifetime, PollInterval: 100 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	require.NoError(c.t, err)
 	in.router = router.New(router.Options{
--- a/internal/serve/components.go
+++ b/internal/serve/components.go
@@ -109,7 +109,7 @@
 		Loads:          owner.Clients{Engine: p.engines, Service: p.services},
 		Policy:         admission,
 		Suspects:       suspects,
-		PermitValidity: millis(s.Timing.PermitMillis),
+		PermitLifetime: millis(s.Timing.PermitMillis),
 		PollInterval:   millis(s.Timing.LoadPollMillis),
 		Log:            telemetry.ComponentLogger(p.tel.Log, "owner"),
 		Metrics:        p.tel.Metrics.SubScope("owner"),
--- a/internal/slopes/background_loops.go
+++ b/internal/slopes/background_loops.go
@@ -97,7 +97,7 @@
 	o, err := owner.New(owner.Options{
 		Self: self.ID, Incarnation: self.Incarnation, Rights: lease, Config: func() *config.Snapshot { return snap },
 		Loads: fakeLoads{}, Policy: admission.Predicted{}, Suspects: owner.NewSuspects(),
-		PermitValidity: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
+		PermitLifetime: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	if err != nil {
 		return 0, merry.Wrap(ErrMeasure, merry.WithCause(err))
--- a/internal/slopes/poll_rates.go
+++ b/internal/slopes/poll_rates.go
@@ -72,7 +72,7 @@
 	o, err := owner.New(owner.Options{
 		Self: self.ID, Incarnation: self.Incarnation, Rights: lease, Config: func() *config.Snapshot { return snap },
 		Loads: loads, Policy: admission.Predicted{}, Suspects: owner.NewSuspects(),
-		PermitValidity: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
+		PermitLifetime: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	if err != nil {
 		return out, merry.Wrap(ErrMeasure, merry.WithCause(err))
