--- a/internal/owner/expired_permit_test.go
+++ b/internal/owner/expired_permit_test.go
@@ -35,7 +35,7 @@
 		Servers:  []pollenspindle.Server{server},
 	})
 	o, err := New(Options{
-		Rights: alwaysOwner{}, Config: func() *config.Snapshot { return snap }, Loads: immediateLoads{},
+		AuthoritySource: alwaysOwner{}, Config: func() *config.Snapshot { return snap }, Loads: immediateLoads{},
 		Policy: admission.Predicted{}, Suspects: NewSuspects(), PermitLifetime: permitFor, PollInterval: time.Minute,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -67,13 +67,13 @@
 
 // Options configures an [Owner].
 type Options struct {
-	Self        string
-	Incarnation string
-	Rights      Rights
-	Config      func() *config.Snapshot
-	Loads       Loads
-	Policy      admission.Policy
-	Suspects    *Suspects
+	Self            string
+	Incarnation     string
+	AuthoritySource Rights
+	Config          func() *config.Snapshot
+	Loads           Loads
+	Policy          admission.Policy
+	Suspects        *Suspects
 	// PermitLifetime is how long a permit is valid, PollInterval the usual time
 	// between two load reports of one server.
 	PermitLifetime time.Duration
@@ -136,7 +136,7 @@
 // no longer assigned, and polls.
 func (o *Owner) tick(ctx context.Context, now time.Time) {
 	snap := o.opts.Config()
-	r := o.opts.Rights.Roster()
+	r := o.opts.AuthoritySource.Roster()
 	epochChanged := r.Epoch != o.epoch
 	if epochChanged || snap.Version != o.version {
 		o.assigned = assignedServers(snap, r, o.opts.Self)
@@ -230,7 +230,7 @@
 }
 
 func (o *Owner) right(now time.Time, snap *config.Snapshot, server *pollenspindle.Server) permit.Authority {
-	return o.opts.Rights.Authority(now, RosterServer(snap, server))
+	return o.opts.AuthoritySource.Authority(now, RosterServer(snap, server))
 }
 
 // RosterServer returns the properties of server that decide on its owner.
--- a/internal/owner/poll_interval_test.go
+++ b/internal/owner/poll_interval_test.go
@@ -112,7 +112,7 @@
 	})
 	loads := make(blockedLoads)
 	o, err := New(Options{
-		Rights: alwaysOwner{}, Config: func() *config.Snapshot { return snap }, Loads: loads,
+		AuthoritySource: alwaysOwner{}, Config: func() *config.Snapshot { return snap }, Loads: loads,
 		Policy: admission.Predicted{}, Suspects: NewSuspects(), PermitLifetime: time.Minute, PollInterval: time.Minute,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
--- a/internal/router/cluster_test.go
+++ b/internal/router/cluster_test.go
@@ -155,7 +155,7 @@
 	})
 	require.NoError(c.t, err)
 	in.owner, err = owner.New(owner.Options{
-		Self: id, Incarnation: incarnation, Rights: in.member, Config: store.Snapshot, Loads: c.backend, Policy: admission.Predicted{},
+		Self: id, Incarnation: incarnation, AuthoritySource: in.member, Config: store.Snapshot, Loads: c.backend, Policy: admission.Predicted{},
 		Suspects: suspects, PermitLifetime: timing.PermitLifetime, PollInterval: 100 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	require.NoError(c.t, err)
--- a/internal/serve/components.go
+++ b/internal/serve/components.go
@@ -102,18 +102,18 @@
 	}
 	placement, admission := router.Policies(s.Policy)
 	p.owner, err = owner.New(owner.Options{
-		Self:           s.Instance,
-		Incarnation:    p.self.Incarnation,
-		Rights:         p.members,
-		Config:         p.store.Snapshot,
-		Loads:          owner.Clients{Engine: p.engines, Service: p.services},
-		Policy:         admission,
-		Suspects:       suspects,
-		PermitLifetime: millis(s.Timing.PermitMillis),
-		PollInterval:   millis(s.Timing.LoadPollMillis),
-		Log:            telemetry.ComponentLogger(p.tel.Log, "owner"),
-		Metrics:        p.tel.Metrics.SubScope("owner"),
-		Costs:          p.costs,
+		Self:            s.Instance,
+		Incarnation:     p.self.Incarnation,
+		AuthoritySource: p.members,
+		Config:          p.store.Snapshot,
+		Loads:           owner.Clients{Engine: p.engines, Service: p.services},
+		Policy:          admission,
+		Suspects:        suspects,
+		PermitLifetime:  millis(s.Timing.PermitMillis),
+		PollInterval:    millis(s.Timing.LoadPollMillis),
+		Log:             telemetry.ComponentLogger(p.tel.Log, "owner"),
+		Metrics:         p.tel.Metrics.SubScope("owner"),
+		Costs:           p.costs,
 	})
 	if err != nil {
 		return err
--- a/internal/slopes/background_loops.go
+++ b/internal/slopes/background_loops.go
@@ -95,7 +95,7 @@
 	lease.lease.Adopt(time.Now(), roster.New(epoch, initialRoster(list)))
 	snap := config.NewSnapshot(1, fleetConfig(servers, designWorkspaces))
 	o, err := owner.New(owner.Options{
-		Self: self.ID, Incarnation: self.Incarnation, Rights: lease, Config: func() *config.Snapshot { return snap },
+		Self: self.ID, Incarnation: self.Incarnation, AuthoritySource: lease, Config: func() *config.Snapshot { return snap },
 		Loads: fakeLoads{}, Policy: admission.Predicted{}, Suspects: owner.NewSuspects(),
 		PermitLifetime: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
--- a/internal/slopes/poll_rates.go
+++ b/internal/slopes/poll_rates.go
@@ -70,7 +70,7 @@
 	lease.lease.Adopt(time.Now(), roster.New(epoch, initialRoster([]roster.Instance{self})))
 	snap, loads := config.NewSnapshot(1, cfg), &countingLoads{polls: map[string]int{}}
 	o, err := owner.New(owner.Options{
-		Self: self.ID, Incarnation: self.Incarnation, Rights: lease, Config: func() *config.Snapshot { return snap },
+		Self: self.ID, Incarnation: self.Incarnation, AuthoritySource: lease, Config: func() *config.Snapshot { return snap },
 		Loads: loads, Policy: admission.Predicted{}, Suspects: owner.NewSuspects(),
 		PermitLifetime: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
