--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -59,8 +59,8 @@
 	ErrNotListening = merry.Sentinel("backend server refuses connections")
 )
 
-// Rights returns what this instance may grant for a server, and the roster.
-type Rights interface {
+// AuthoritySource returns what this instance may grant for a server, and the roster.
+type AuthoritySource interface {
 	Authority(now time.Time, s roster.Server) permit.Authority
 	Roster() *roster.Roster
 }
@@ -69,7 +69,7 @@
 type Options struct {
 	Self            string
 	Incarnation     string
-	AuthoritySource Rights
+	AuthoritySource AuthoritySource
 	Config          func() *config.Snapshot
 	Loads           Loads
 	Policy          admission.Policy
