--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -157,7 +157,7 @@
 			continue
 		}
 		pairs, seen := d.compare(now, id, ids)
-		ratio := likelihood.LikelihoodRatio(pairs...)
+		ratio := likelihood.Ratio(pairs...)
 		if ratio < ejectRatio {
 			continue
 		}
--- a/internal/rollout/compare.go
+++ b/internal/rollout/compare.go
@@ -151,9 +151,9 @@
 		return 0
 	}
 	all, worst := c.totals()
-	ratio := likelihood.LikelihoodRatio(likelihood.Pair{Baseline: c.stable, Observed: all})
+	ratio := likelihood.Ratio(likelihood.Pair{Baseline: c.stable, Observed: all})
 	if len(c.canary) >= minServersToExclude {
-		ratio = min(ratio, likelihood.LikelihoodRatio(likelihood.Pair{Baseline: c.stable, Observed: all.Sub(worst)}))
+		ratio = min(ratio, likelihood.Ratio(likelihood.Pair{Baseline: c.stable, Observed: all.Sub(worst)}))
 	}
 	return ratio
 }
