--- a/internal/claim/deferred.go
+++ b/internal/claim/deferred.go
@@ -105,7 +105,7 @@
 		if done {
 			return
 		}
-		if s.opts.Pause(ctx, backoff.Fail()) != nil {
+		if s.opts.Sleep(ctx, backoff.Fail()) != nil {
 			return
 		}
 	}
--- a/internal/claim/interleave_test.go
+++ b/internal/claim/interleave_test.go
@@ -132,7 +132,7 @@
 	c.store = NewStore(StoreOptions{
 		Objects:     c,
 		MaxAttempts: 2,
-		Pause:       func(ctx context.Context, _ time.Duration) error { return ctx.Err() },
+		Sleep:       func(ctx context.Context, _ time.Duration) error { return ctx.Err() },
 	})
 	return c
 }
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -48,8 +48,8 @@
 	Retention func() time.Duration
 	// MaxAttempts limits the attempts at one write while a caller waits.
 	MaxAttempts int
-	// Pause waits between attempts; the default is objectapi.Pause.
-	Pause func(ctx context.Context, d time.Duration) error
+	// Sleep waits between attempts; the default is objectapi.Sleep.
+	Sleep func(ctx context.Context, d time.Duration) error
 }
 
 // Store creates and finishes claims. It is safe for concurrent use.
@@ -74,8 +74,8 @@
 	if opts.MaxAttempts == 0 {
 		opts.MaxAttempts = defaultMaxAttempts
 	}
-	if opts.Pause == nil {
-		opts.Pause = objectapi.Sleep
+	if opts.Sleep == nil {
+		opts.Sleep = objectapi.Sleep
 	}
 	return &Store{opts: opts, deferred: make(chan write, maxDeferredWrites), sweeper: newSweeper()}
 }
@@ -126,7 +126,7 @@
 		case !uncertain:
 			return Unavailable{Err: merry.Wrap(err)}
 		}
-		if s.opts.Pause(ctx, backoff.Fail()) != nil {
+		if s.opts.Sleep(ctx, backoff.Fail()) != nil {
 			break
 		}
 	}
@@ -177,7 +177,7 @@
 		if done {
 			return err
 		}
-		if errors.Is(err, objectapi.ErrUnavailable) || s.opts.Pause(ctx, backoff.Fail()) != nil {
+		if errors.Is(err, objectapi.ErrUnavailable) || s.opts.Sleep(ctx, backoff.Fail()) != nil {
 			break
 		}
 	}
--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -24,7 +24,7 @@
 func (s *Store) RunSweep(ctx context.Context, clock func() time.Time, owns func(shard string) bool) {
 	backoff := objectapi.Backoff{Min: sweepInterval, Max: time.Minute}
 	wait := sweepInterval
-	for s.opts.Pause(ctx, wait) == nil {
+	for s.opts.Sleep(ctx, wait) == nil {
 		wait = sweepInterval
 		if _, err := s.Sweep(ctx, clock(), owns); err != nil {
 			s.opts.Log.Debug().Err(err).Msg("claims not swept")
