--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -95,7 +95,7 @@
 type Gossip struct {
 	opts       Options
 	self       string
-	caller     *instancerpc.Client
+	client     *instancerpc.Client
 	calls      *ants.Pool
 	deliveries *deliveries
 	// wake holds a value while there is something to broadcast. One is enough: a broadcast
@@ -136,7 +136,7 @@
 	}
 	self := opts.Table.Self().ID
 	return &Gossip{
-		opts: opts, self: self, caller: instancerpc.NewClient(opts.Key, self, probeTimeout), calls: calls, deliveries: newDeliveries(),
+		opts: opts, self: self, client: instancerpc.NewClient(opts.Key, self, probeTimeout), calls: calls, deliveries: newDeliveries(),
 		wake: make(chan struct{}, 1), serveLimiter: rate.NewLimiter(servedPerSecond, servedPerSecond),
 	}, nil
 }
@@ -186,7 +186,7 @@
 		}
 	}
 	background.Wait()
-	g.caller.CloseIdleConnections()
+	g.client.CloseIdleConnections()
 }
 
 // periodFor returns the time between two probes of one of n instances.
@@ -234,9 +234,9 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	m.From = g.self
-	client := connect.NewClient[Message, Message](g.caller.HTTP, "http://"+address+procedure, instancerpc.ClientOptions()...)
+	client := connect.NewClient[Message, Message](g.client.HTTP, "http://"+address+procedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(m)
-	g.caller.Sign(g.opts.Now(), req.Header(), procedure)
+	g.client.Sign(g.opts.Now(), req.Header(), procedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
 		g.opts.Scope.Tagged(map[string]string{"procedure": procedure[len(servicePath):]}).Counter("callsFailed").Inc(1)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -63,7 +63,7 @@
 	if run {
 		tasks.Go(func() { o.Run(ctx) })
 	}
-	o.stop = sync.OnceFunc(func() { cancel(); tasks.Wait(); o.caller.CloseIdleConnections() })
+	o.stop = sync.OnceFunc(func() { cancel(); tasks.Wait(); o.client.CloseIdleConnections() })
 	t.Cleanup(o.stop)
 	return o
 }
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -187,8 +187,8 @@
 	if err != nil {
 		return nil, 0, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
-	g.caller.Sign(asked, req.Header, procedure)
-	res, err := g.caller.HTTP.Do(req)
+	g.client.Sign(asked, req.Header, procedure)
+	res, err := g.client.HTTP.Do(req)
 	if err != nil {
 		return nil, 0, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
