--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -73,7 +73,7 @@
 // concurrent use.
 type Peer struct {
 	opts   Options
-	caller *instancerpc.Client
+	client *instancerpc.Client
 
 	mu          sync.Mutex
 	detector    *outlier.Detector
@@ -89,7 +89,7 @@
 		opts.Scope = tally.NoopScope
 	}
 	return &Peer{
-		opts: opts, caller: instancerpc.NewClient(opts.Key, opts.Self, callTimeout), detector: outlier.NewDetector(),
+		opts: opts, client: instancerpc.NewClient(opts.Key, opts.Self, callTimeout), detector: outlier.NewDetector(),
 		answers: map[answerKey]*outlier.Answers{}, ejected: map[string]ejection{},
 	}
 }
@@ -127,7 +127,7 @@
 			p.report(ctx, now, Report{Answers: answers})
 		}
 	}
-	p.caller.CloseIdleConnections()
+	p.client.CloseIdleConnections()
 }
 
 // dueReport returns the answers to report if a report is due, and clears them.
@@ -163,9 +163,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	client := connect.NewClient[Report, ReportResponse](p.caller.HTTP, "http://"+aggregator.Peer+reportProcedure, instancerpc.ClientOptions()...)
+	client := connect.NewClient[Report, ReportResponse](p.client.HTTP, "http://"+aggregator.Peer+reportProcedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(&r)
-	p.caller.Sign(now, req.Header(), reportProcedure)
+	p.client.Sign(now, req.Header(), reportProcedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
 		p.opts.Log.Debug().Str("instance", aggregator.ID).Err(err).Msg("outlier report failed")
--- a/internal/outlierpeer/peer_test.go
+++ b/internal/outlierpeer/peer_test.go
@@ -89,7 +89,7 @@
 	other, err := peer.NewKey(base64.StdEncoding.EncodeToString([]byte(strings.Repeat("x", 32))))
 	require.NoError(t, err)
 	for _, p := range peers {
-		p.caller.Key = other
+		p.client.Key = other
 		for range 30 {
 			p.RecordAnswer(deskServer("healthy"), "bookings", false)
 			p.RecordAnswer(deskServer("faulty"), "bookings", true)
