--- a/internal/rolloutpeer/coordinator.go
+++ b/internal/rolloutpeer/coordinator.go
@@ -49,9 +49,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	client := connect.NewClient[rollout.Report, rollout.Lease](p.caller.HTTP, "http://"+coordinator.Peer+reportProcedure, instancerpc.ClientOptions()...)
+	client := connect.NewClient[rollout.Report, rollout.Lease](p.client.HTTP, "http://"+coordinator.Peer+reportProcedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(&report)
-	p.caller.Sign(now, req.Header(), reportProcedure)
+	p.client.Sign(now, req.Header(), reportProcedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
 		p.opts.Log.Info().Str("service", r.Service).Str("decider", coordinator.ID).Err(err).Msg("report of a roll-out not answered")
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -70,7 +70,7 @@
 // Peer is one instance's part in all rollouts. It is safe for concurrent use.
 type Peer struct {
 	opts   Options
-	caller *instancerpc.Client
+	client *instancerpc.Client
 
 	mu sync.Mutex
 	// ready is set once the platform's rollouts are known.
@@ -100,7 +100,7 @@
 		opts.Scope = tally.NoopScope
 	}
 	return &Peer{
-		opts: opts, caller: instancerpc.NewClient(opts.Key, opts.Self, callTimeout),
+		opts: opts, client: instancerpc.NewClient(opts.Key, opts.Self, callTimeout),
 		rollouts: map[string]*localRollout{}, controllers: map[string]*rollout.Controller{}, checkedAt: opts.Now(),
 	}
 }
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	p.caller.CloseIdleConnections()
+	p.client.CloseIdleConnections()
 }
 
 // checkPause discards the reports from before a suspension of this instance: the monotonic
