--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -183,7 +183,7 @@
 	p.rpc.Sign(p.opts.Now(), req.Header(), transferProcedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
-		return TransferResponse{}, p.noteFailure(address, err)
+		return TransferResponse{}, p.recordFailure(address, err)
 	}
 	return *res.Msg, nil
 }
@@ -260,7 +260,7 @@
 	p.rpc.Sign(p.opts.Now(), req.Header(), placeProcedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
-		return PlacementResponse{}, p.noteFailure(address, err)
+		return PlacementResponse{}, p.recordFailure(address, err)
 	}
 	return *res.Msg, nil
 }
@@ -282,9 +282,9 @@
 	return address, !now.Before(p.backoff[address])
 }
 
-// noteFailure starts the backoff of a planner that didn't answer and closes its connection, since
+// recordFailure starts the backoff of a planner that didn't answer and closes its connection, since
 // the connection may be what failed.
-func (p *Planner) noteFailure(address string, err error) error {
+func (p *Planner) recordFailure(address string, err error) error {
 	if connect.CodeOf(err) == connect.CodeResourceExhausted {
 		return merry.Wrap(ErrFull, merry.WithCause(err))
 	}
--- a/internal/planner/reports.go
+++ b/internal/planner/reports.go
@@ -119,7 +119,7 @@
 	req := connect.NewRequest(&r)
 	p.rpc.Sign(now, req.Header(), reportProcedure)
 	if _, err := client.CallUnary(ctx, req); err != nil {
-		_ = p.noteFailure(address, err)
+		_ = p.recordFailure(address, err)
 		return false
 	}
 	return true
