--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -77,7 +77,7 @@
 	// MayQueue allows the request to be queued. Without it the answer is a
 	// permit, a refusal, or [Unavailable].
 	MayQueue bool
-	// Suspect marks a crash suspect; see package suspect.
+	// Suspect marks a crash suspect; see package crashsuspect.
 	Suspect bool
 }
 
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -103,10 +103,10 @@
 	AcceptedGenerationKeys [][]byte
 	Timing                 settings.Timing
 	// GracePeriod is how long a generation keeps running after its caller disconnected; zero means
-	// [relay.DefaultGrace].
+	// [relay.DefaultGracePeriod].
 	GracePeriod time.Duration
 	// SlowCallerTimeout is how long data written to a caller may stay unread or unacknowledged;
-	// zero means [relay.DefaultSlowCaller].
+	// zero means [relay.DefaultSlowCallerTimeout].
 	SlowCallerTimeout time.Duration
 	// Journal records the steps of requests; nil records none.
 	Journal *journal.Journal
--- a/internal/controlcost/controlcost.go
+++ b/internal/controlcost/controlcost.go
@@ -16,8 +16,8 @@
 // # Usage
 //
 //	costs := controlcost.New(scope)
-//	costs.Of(controlcost.RoleHeartbeats).Run(func() { res = answer(req) })
-//	costs.Of(controlcost.RoleClaims).Bytes(sent, received)
+//	costs.Meter(controlcost.RoleHeartbeats).Run(func() { res = answer(req) })
+//	costs.Meter(controlcost.RoleClaims).Bytes(sent, received)
 package controlcost
 
 import (
--- a/internal/ingress/request.go
+++ b/internal/ingress/request.go
@@ -207,7 +207,7 @@
 	body, err := c.Body()
 	if err != nil {
 		c.SetConnectionClose()
-		return nil, answer.Invalid("body", "ended before its length")
+		return nil, answer.Invalid("body", "is shorter than its Content-Length")
 	}
 	if limit > 0 && len(body) > limit {
 		return nil, answer.NotRun(http.StatusRequestEntityTooLarge, answer.CodeBodyTooLarge, "body: larger than "+strconv.Itoa(limit)+" bytes")
--- a/internal/likelihood/likelihood.go
+++ b/internal/likelihood/likelihood.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	ratio := likelihood.LikelihoodRatio(likelihood.Pair{
+//	ratio := likelihood.Ratio(likelihood.Pair{
 //		Baseline: likelihood.Share{Events: 3, Total: 400},
 //		Observed: likelihood.Share{Events: 4, Total: 12},
 //	})
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -138,7 +138,7 @@
 		return true
 	})
 	if duplicate != "" {
-		return nil, &FieldError{fmt.Sprintf("%.64q", duplicate), "stands twice"}
+		return nil, &FieldError{fmt.Sprintf("%.64q", duplicate), "is given twice"}
 	}
 	return fields, nil
 }
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -132,11 +132,11 @@
 		}
 	}
 	d.removeStale(now)
-	var found []Detection
+	var detections []Detection
 	for _, service := range slices.Sorted(maps.Keys(services)) {
-		found = append(found, d.ejectOutliers(now, service)...)
+		detections = append(detections, d.ejectOutliers(now, service)...)
 	}
-	return found
+	return detections
 }
 
 // ejectOutliers ejects the servers of a service that fail more requests than the
@@ -150,23 +150,23 @@
 		}
 	}
 	maxEjected := max(1, int(maxEjectedShare*float64(len(ids))))
-	var found []Detection
+	var detections []Detection
 	for _, id := range ids {
 		s := d.servers[id]
 		if now.Before(s.ejectedUntil) || ejected >= maxEjected || len(ids) < 2 {
 			continue
 		}
-		pairs, seen := d.compare(now, id, ids)
+		pairs, observed := d.compare(now, id, ids)
 		ratio := likelihood.Ratio(pairs...)
 		if ratio < ejectRatio {
 			continue
 		}
 		s.eject(now)
 		ejected++
-		found = append(found, Detection{Service: service, Server: id, Ratio: ratio, Total: seen.Total, Failed: seen.Events, For: s.ejectedFor})
+		detections = append(detections, Detection{Service: service, Server: id, Ratio: ratio, Total: observed.Total, Failed: observed.Events, For: s.ejectedFor})
 		d.clear(id)
 	}
-	return found
+	return detections
 }
 
 func (s *server) eject(now time.Time) {
@@ -180,24 +180,24 @@
 
 // compare returns the answers of a server paired with those of the other servers,
 // by kind of request.
-func (d *Detector) compare(now time.Time, id string, ids []string) (pairs []likelihood.Pair, seen likelihood.Share) {
+func (d *Detector) compare(now time.Time, id string, ids []string) (pairs []likelihood.Pair, observed likelihood.Share) {
 	for _, route := range d.routes(id) {
 		k := key{id, route}
 		c := d.counts[k]
 		c.decay(now)
-		var usual likelihood.Share
+		var baseline likelihood.Share
 		for _, other := range ids {
 			if o, ok := d.counts[key{other, k.route}]; ok && other != id {
 				o.decay(now)
-				usual = usual.Add(o.share)
+				baseline = baseline.Add(o.share)
 			}
 		}
-		if usual.Total >= minOtherAnswers {
-			pairs = append(pairs, likelihood.Pair{Baseline: usual, Observed: c.share})
-			seen = seen.Add(c.share)
+		if baseline.Total >= minOtherAnswers {
+			pairs = append(pairs, likelihood.Pair{Baseline: baseline, Observed: c.share})
+			observed = observed.Add(c.share)
 		}
 	}
-	return pairs, seen
+	return pairs, observed
 }
 
 // routes returns the kinds of requests that a server has answered, in a fixed order.
--- a/internal/outlier/simulation_test.go
+++ b/internal/outlier/simulation_test.go
@@ -23,7 +23,7 @@
 	// rate is in requests per second, reads the fraction of them that are reads.
 	rate, reads float64
 	// usualBooking and usualRead are the failure rates on a healthy server.
-	usualBooking, usualRead float64
+	baselineBooking, baselineRead float64
 	// faulty servers additionally fail the fraction fails of all requests between
 	// begin and end.
 	faulty     int
@@ -55,11 +55,11 @@
 		for n := l.rate * tick.Seconds(); rng.Float64() < n; n-- {
 			read := rng.Float64() < l.reads
 			server := l.choose(rng, read, ejected, now.Sub(updated))
-			usual, route := l.usualBooking, "bookings"
+			baseline, route := l.baselineBooking, "bookings"
 			if read {
-				usual, route = l.usualRead, "reads"
+				baseline, route = l.baselineRead, "reads"
 			}
-			failed := rng.Float64() < usual
+			failed := rng.Float64() < baseline
 			if (server < l.faulty || l.allFail) && elapsed >= l.begin && elapsed < l.end {
 				failed = failed || rng.Float64() < l.fails
 			}
@@ -108,9 +108,9 @@
 // simulates bookings and reads of a zone, where one in seven reads fails on every
 // server, and compares the failed bookings with and without the detector.
 func TestFailingServers(t *testing.T) {
-	usual := load{servers: 5, rate: 38, reads: 0.4, usualBooking: 0.004, usualRead: 0.14, fails: 0.45, begin: 8 * time.Second, end: 16 * time.Second}
+	baseline := load{servers: 5, rate: 38, reads: 0.4, baselineBooking: 0.004, baselineRead: 0.14, fails: 0.45, begin: 8 * time.Second, end: 16 * time.Second}
 	with := func(change func(*load)) load {
-		l := usual
+		l := baseline
 		change(&l)
 		return l
 	}
@@ -126,7 +126,7 @@
 		"two of five fail half":      {with(func(l *load) { l.faulty = 2 }), 0.7, 0.3},
 		"one of forty-four":          {with(func(l *load) { l.faulty, l.servers, l.rate = 1, 44, 120 }), 0.8, 0.6},
 		"one of three, few requests": {with(func(l *load) { l.faulty, l.servers, l.rate = 1, 3, 13 }), 0.9, 0.3},
-		"none fails":                 {usual, 1.3, 0.3},
+		"none fails":                 {baseline, 1.3, 0.3},
 		"all servers fail":           {with(func(l *load) { l.allFail = true }), 1.1, 4},
 	}
 	for name, tt := range tests {
--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -42,11 +42,11 @@
 	if o.opts.Suspects.check(received, req.GetFingerprint()) == crashsuspect.Refused {
 		return refusedResponse(permit.ReasonSuspect, o.opts.Suspects.retryAfter(received, req.GetFingerprint()), fullLoadPermille)
 	}
-	right := o.right(received, snap, server)
-	if req.GetEpoch() != right.Epoch || right.Role == permit.RoleNone {
-		return notOwnerResponse(right)
+	authority := o.authority(received, snap, server)
+	if req.GetEpoch() != authority.Epoch || authority.Role == permit.RoleNone {
+		return notOwnerResponse(authority)
 	}
-	if right.Role == permit.RoleWaiting {
+	if authority.Role == permit.RoleWaiting {
 		return delayedResponse(ctx, o.waitLimit(req))
 	}
 	e := o.entry(snap, server)
@@ -68,7 +68,7 @@
 	if o.permitExpired(received, decision) {
 		return delayedResponse(ctx, o.waitLimit(req))
 	}
-	return o.response(received, right, decision)
+	return o.response(received, authority, decision)
 }
 
 // permitExpired reports whether a permit granted to an earlier call with the same
@@ -139,12 +139,12 @@
 	})
 }
 
-func (o *Owner) response(received time.Time, right permit.Authority, decision admission.Decision) *peerv1.AcquireResponse {
+func (o *Owner) response(received time.Time, authority permit.Authority, decision admission.Decision) *peerv1.AcquireResponse {
 	switch d := decision.(type) {
 	case admission.Granted:
 		return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_Granted{Granted: &peerv1.Granted{
 			PermitId:          d.PermitID,
-			Epoch:             right.Epoch,
+			Epoch:             authority.Epoch,
 			OwnerIncarnation:  o.opts.Incarnation,
 			ServerIncarnation: d.ServerIncarnation,
 			ValidMillis:       int32(o.validFor(received, d) / time.Millisecond),
@@ -190,9 +190,9 @@
 	}}}
 }
 
-func notOwnerResponse(right permit.Authority) *peerv1.AcquireResponse {
+func notOwnerResponse(authority permit.Authority) *peerv1.AcquireResponse {
 	return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_NotOwner{NotOwner: &peerv1.NotOwner{
-		Epoch: right.Epoch, Owner: right.Owner,
+		Epoch: authority.Epoch, Owner: authority.Owner,
 	}}}
 }
 
--- a/internal/owner/decide.go
+++ b/internal/owner/decide.go
@@ -56,7 +56,7 @@
 	o.withLock(e, func() {
 		// The right is read again under the lock, so that no decision is made
 		// under a right that a newer roster has revoked.
-		e.applyRight(now, o.right(now, snap, server), snap.AcceptsRequests(server))
+		e.applyAuthority(now, o.authority(now, snap, server), snap.AcceptsRequests(server))
 		out.grantingSince = e.grantingSince
 		sufficient := e.lastReportSuffices(now, o.opts.PollInterval)
 		out.reportReady = e.reportReady
--- a/internal/owner/entry.go
+++ b/internal/owner/entry.go
@@ -11,11 +11,11 @@
 
 // entry is the state of one backend server at its owner or deputy.
 type entry struct {
-	mu    sync.Mutex
-	zone  string
-	cfg   admission.Config
-	state *admission.Server
-	right permit.Authority
+	mu        sync.Mutex
+	zone      string
+	cfg       admission.Config
+	state     *admission.Server
+	authority permit.Authority
 	// granting is true while permits may be granted: the right allows it, and the
 	// configuration lets the server receive new work.
 	granting bool
@@ -60,7 +60,7 @@
 	}
 }
 
-// applyRight applies the current right; takesNewWork says whether the server may
+// applyAuthority applies the current authority; takesNewWork says whether the server may
 // receive new work.
 //
 // A server that returns to service counts as cold. Otherwise, when a zone returns
@@ -68,23 +68,23 @@
 // waiting requests are sent there at once, up to the old limit. Requests that wait for
 // a server that is taken out of service are refused at once, as the next release would
 // otherwise grant them.
-func (e *entry) applyRight(now time.Time, right permit.Authority, takesNewWork bool) {
+func (e *entry) applyAuthority(now time.Time, authority permit.Authority, takesNewWork bool) {
 	if takesNewWork && e.unavailable {
 		e.state.ResetToCold()
 	}
 	e.unavailable = !takesNewWork
-	granting := takesNewWork && mayGrant(right)
+	granting := takesNewWork && mayGrant(authority)
 	switch {
 	case granting:
-		if !e.granting || right.ReportAfter.After(e.right.ReportAfter) {
-			e.state.Open(right.ReportAfter)
+		if !e.granting || authority.ReportAfter.After(e.authority.ReportAfter) {
+			e.state.Open(authority.ReportAfter)
 			e.grantingSince = now
 		}
-		e.state.SetQuota(right.Reserve, right.Share)
+		e.state.SetQuota(authority.Reserve, authority.Share)
 	case e.granting:
 		e.deliver(e.state.Close(now))
 	}
-	e.right, e.granting = right, granting
+	e.authority, e.granting = authority, granting
 }
 
 func mayGrant(r permit.Authority) bool {
--- a/internal/owner/entry_test.go
+++ b/internal/owner/entry_test.go
@@ -29,7 +29,7 @@
 				cfg: cfg, state: admission.New(cfg, admission.Predicted{}, outputlength.NewEstimator(outputlength.DefaultParams)),
 				waiters: map[string]chan admission.Decision{},
 			}
-			e.applyRight(now, owner, true)
+			e.applyAuthority(now, owner, true)
 			e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 			acquire := func(id string) admission.Decision {
 				return e.state.Acquire(now, admission.AcquireRequest{PermitID: id, MayQueue: true, Request: permit.Request{ID: id, Deadline: now.Add(time.Minute)}})
@@ -48,10 +48,10 @@
 			require.IsType(t, admission.Queued{}, acquire("waits"))
 			waiter := make(chan admission.Decision, 1)
 			e.waiters["waits"] = waiter
-			e.applyRight(now, meanwhile, false)
+			e.applyAuthority(now, meanwhile, false)
 			require.IsType(t, admission.Unavailable{}, <-waiter)
 			require.IsType(t, admission.Unavailable{}, acquire("later"))
-			e.applyRight(now, owner, true)
+			e.applyAuthority(now, owner, true)
 			require.Equal(t, cfg.ColdLimit, e.state.Limit())
 		})
 	}
--- a/internal/owner/expired_permit_test.go
+++ b/internal/owner/expired_permit_test.go
@@ -42,9 +42,9 @@
 	require.NoError(t, err)
 	defer o.workers.Release()
 	now := time.Now()
-	right := permit.Authority{Role: permit.RoleOwner}
+	authority := permit.Authority{Role: permit.RoleOwner}
 	e := o.entry(snap, &server)
-	e.applyRight(now.Add(-time.Hour), right, true)
+	e.applyAuthority(now.Add(-time.Hour), authority, true)
 	e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 	e.reachable, e.polledAt = true, now
 	past := now.Add(-permitFor - 5*time.Millisecond)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	o, err := owner.New(owner.Options{Self: self, Rights: member, Config: store.Snapshot, Loads: loads})
+//	o, err := owner.New(owner.Options{Self: self, AuthoritySource: member, Config: store.Snapshot, Loads: loads})
 //	go o.Run(ctx)
 //	res := o.Acquire(ctx, req)
 package owner
@@ -144,17 +144,17 @@
 		o.revokeUnassigned(now, snap)
 	}
 	for _, server := range o.assigned {
-		right := o.right(now, snap, server)
+		authority := o.authority(now, snap, server)
 		e := o.entry(snap, server)
 		o.withLock(e, func() {
 			if epochChanged {
 				e.releaseOrphanedPermits(now, r)
 			}
 			e.setConfig(o.admissionConfig(snap, server))
-			e.applyRight(now, right, snap.AcceptsRequests(server))
+			e.applyAuthority(now, authority, snap.AcceptsRequests(server))
 			e.deliver(e.state.Tick(now))
 		})
-		if right.Role != permit.RoleNone {
+		if authority.Role != permit.RoleNone {
 			o.poll(ctx, now, snap, *server, e)
 		}
 	}
@@ -188,7 +188,7 @@
 	defer o.mu.Unlock()
 	for name, e := range o.entries {
 		if !keep[name] {
-			o.withLock(e, func() { e.applyRight(now, permit.Authority{}, false) })
+			o.withLock(e, func() { e.applyAuthority(now, permit.Authority{}, false) })
 		}
 		if _, ok := snap.Servers[name]; !ok {
 			delete(o.entries, name)
@@ -229,7 +229,7 @@
 	f()
 }
 
-func (o *Owner) right(now time.Time, snap *config.Snapshot, server *pollenspindle.Server) permit.Authority {
+func (o *Owner) authority(now time.Time, snap *config.Snapshot, server *pollenspindle.Server) permit.Authority {
 	return o.opts.AuthoritySource.Authority(now, RosterServer(snap, server))
 }
 
@@ -284,7 +284,7 @@
 	o.withLock(e, func() {
 		l = Load{
 			Server:       server,
-			Role:         e.right.Role,
+			Role:         e.authority.Role,
 			Running:      e.state.Running(),
 			Queued:       e.state.Queued(),
 			Limit:        e.state.Limit(),
--- a/internal/owner/poll_interval_test.go
+++ b/internal/owner/poll_interval_test.go
@@ -28,7 +28,7 @@
 		cfg: cfg, state: admission.New(cfg, admission.FixedLimit{}, outputlength.NewEstimator(outputlength.DefaultParams)),
 		waiters: map[string]chan admission.Decision{}, holders: map[string]permitHolder{}, reachable: true,
 	}
-	e.applyRight(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
+	e.applyAuthority(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
 	e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 	return e
 }
@@ -70,7 +70,7 @@
 		"silent":                    {func(e *entry) { e.recordPoll(now, errors.New("lost"), admission.Report{}, admission.Report{}) }, usual},
 		"not reachable":             {func(e *entry) { e.reachable = false }, usual},
 		"newly owned":               {func(e *entry) { e.grantingSince = now }, usual},
-		"owned by another instance": {func(e *entry) { e.applyRight(now, permit.Authority{}, true) }, usual},
+		"owned by another instance": {func(e *entry) { e.applyAuthority(now, permit.Authority{}, true) }, usual},
 		"report requested":          {func(e *entry) { require.True(t, e.lastReportSuffices(now, usual)) }, 0},
 	}
 	for name, tt := range tests {
@@ -120,7 +120,7 @@
 	defer o.workers.Release()
 	now := time.Now()
 	e := o.entry(snap, &server)
-	e.applyRight(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
+	e.applyAuthority(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
 	e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now.Add(-2 * time.Minute)})
 	e.reachable, e.polledAt = true, now.Add(-2*time.Minute)
 	for i := 0; e.state.Limit() < server.WarmLimit; i++ {
--- a/internal/platformstate/follow.go
+++ b/internal/platformstate/follow.go
@@ -171,8 +171,8 @@
 // follow watches a resource while this instance is one of its watchers, from the last list
 // or update on.
 func (f *Follower) follow(ctx context.Context, w *watchedResource) {
-	patience := objectapi.AdaptiveTimeout{Min: callTimeout, Max: maxCallTimeout}
-	if f.start(ctx, w, &patience) != nil {
+	adaptive := objectapi.AdaptiveTimeout{Min: callTimeout, Max: maxCallTimeout}
+	if f.start(ctx, w, &adaptive) != nil {
 		return
 	}
 	watching, mustList := false, false
@@ -196,25 +196,25 @@
 		version, _ := f.opts.State.Version(w.resource)
 		if mustList || version == 0 || w.resource == Configuration {
 			var err error
-			if version, err = f.list(ctx, w, &patience); err != nil {
+			if version, err = f.list(ctx, w, &adaptive); err != nil {
 				continue
 			}
 			f.opts.Broadcast()
 		}
-		mustList = f.watch(ctx, w, version, &patience)
+		mustList = f.watch(ctx, w, version, &adaptive)
 	}
 }
 
 // list lists a resource and applies the list.
-func (f *Follower) list(ctx context.Context, w *watchedResource, patience *objectapi.AdaptiveTimeout) (int64, error) {
+func (f *Follower) list(ctx context.Context, w *watchedResource, adaptive *objectapi.AdaptiveTimeout) (int64, error) {
 	start := f.opts.Now()
-	version, objects, err := f.opts.Objects.List(objectapi.WithTimeout(ctx, patience.Timeout()), w.kind)
+	version, objects, err := f.opts.Objects.List(objectapi.WithTimeout(ctx, adaptive.Timeout()), w.kind)
 	if err != nil {
-		patience.Fail(f.opts.Now().Sub(start))
+		adaptive.Fail(f.opts.Now().Sub(start))
 		f.callFailed(start, w, err)
 		return 0, err
 	}
-	patience.Succeed(f.opts.Now().Sub(start))
+	adaptive.Succeed(f.opts.Now().Sub(start))
 	f.callSucceeded()
 	w.list(start, version, objects)
 	if known, _ := f.opts.State.Version(w.resource); w.resource == Configuration || version >= known {
@@ -225,7 +225,7 @@
 
 // watch applies changes while this instance is a watcher, and reports whether the resource
 // has to be listed before the next watch.
-func (f *Follower) watch(ctx context.Context, w *watchedResource, version int64, patience *objectapi.AdaptiveTimeout) bool {
+func (f *Follower) watch(ctx context.Context, w *watchedResource, version int64, adaptive *objectapi.AdaptiveTimeout) bool {
 	for ctx.Err() == nil && f.isWatcher(w) {
 		start := f.opts.Now()
 		call, done := w.cancelable(ctx)
@@ -234,7 +234,7 @@
 		if rank > 0 {
 			timeout = watchTimeout
 		}
-		changes, err := f.opts.Objects.Watch(f.watchContext(call, start, patience), w.kind, version, timeout)
+		changes, err := f.opts.Objects.Watch(f.watchContext(call, start, adaptive), w.kind, version, timeout)
 		interrupted := call.Err() != nil
 		done()
 		now := f.opts.Now()
@@ -245,7 +245,7 @@
 			return true
 		}
 		if err != nil {
-			patience.Fail(now.Sub(start))
+			adaptive.Fail(now.Sub(start))
 			f.callFailed(start, w, err)
 			return true
 		}
@@ -288,8 +288,8 @@
 
 // watchContext returns the context of one watch. A stale watch is cheaper for the
 // platform, but isn't allowed for a while after a missed change.
-func (f *Follower) watchContext(ctx context.Context, now time.Time, patience *objectapi.AdaptiveTimeout) context.Context {
-	ctx = objectapi.WithTimeout(ctx, patience.Timeout())
+func (f *Follower) watchContext(ctx context.Context, now time.Time, adaptive *objectapi.AdaptiveTimeout) context.Context {
+	ctx = objectapi.WithTimeout(ctx, adaptive.Timeout())
 	if f.allowsStaleWatch(now) {
 		ctx = objectapi.AllowStale(ctx)
 	}
--- a/internal/platformstate/refresh.go
+++ b/internal/platformstate/refresh.go
@@ -60,9 +60,9 @@
 
 // relist lists a resource and broadcasts the result.
 func (f *Follower) relist(ctx context.Context, w *watchedResource) error {
-	patience := objectapi.AdaptiveTimeout{Min: callTimeout, Max: maxCallTimeout}
+	adaptive := objectapi.AdaptiveTimeout{Min: callTimeout, Max: maxCallTimeout}
 	before := f.opts.State.ContentHash(w.resource)
-	if _, err := f.list(ctx, w, &patience); err != nil {
+	if _, err := f.list(ctx, w, &adaptive); err != nil {
 		return err
 	}
 	if f.opts.State.ContentHash(w.resource) != before {
--- a/internal/platformstate/watcher.go
+++ b/internal/platformstate/watcher.go
@@ -18,14 +18,14 @@
 
 // start waits until others have sent the platform state, up to the start wait, and then
 // lists the resource if it is still unknown. If that fails, it is left to the watchers.
-func (f *Follower) start(ctx context.Context, w *watchedResource, patience *objectapi.AdaptiveTimeout) error {
+func (f *Follower) start(ctx context.Context, w *watchedResource, adaptive *objectapi.AdaptiveTimeout) error {
 	for !f.opts.State.Known() && f.opts.Now().Sub(f.started) < f.startWait() {
 		if err := objectapi.Sleep(ctx, startCheckInterval); err != nil {
 			return err
 		}
 	}
 	if version, _ := f.opts.State.Version(w.resource); version == 0 {
-		if _, err := f.list(ctx, w, patience); err == nil {
+		if _, err := f.list(ctx, w, adaptive); err == nil {
 			f.opts.Broadcast()
 		}
 	}
--- a/internal/roster/lease_exhaustive_test.go
+++ b/internal/roster/lease_exhaustive_test.go
@@ -253,17 +253,17 @@
 // mayGrant decides as admission does: within the right, on a recent enough load
 // report, counting the running requests of others.
 func (m *modelState) mayGrant(i int) bool {
-	right := m.leases[i].Authority(at(m.ticks), m.server)
+	authority := m.leases[i].Authority(at(m.ticks), m.server)
 	own := m.running[i] + len(m.unusedPermits[i])
 	report := m.loadReports[i]
-	if !report.valid || at(report.tick).Before(right.ReportAfter) {
+	if !report.valid || at(report.tick).Before(authority.ReportAfter) {
 		return false
 	}
-	switch right.Role {
+	switch authority.Role {
 	case permit.RoleOwner:
-		return own+report.others < m.server.ColdLimit-right.Reserve
+		return own+report.others < m.server.ColdLimit-authority.Reserve
 	case permit.RoleDeputy:
-		return own < right.Share && own+report.others < m.server.ColdLimit
+		return own < authority.Share && own+report.others < m.server.ColdLimit
 	default:
 		return false
 	}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -9,9 +9,9 @@
 //
 //	r := roster.New(epoch, roster.Object{Number: 1, Instances: instances})
 //	owner, ok := r.Owner("engine-1", "kigali")
-//	lease := roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})
+//	lease := roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitLifetime: 2 * time.Second})
 //	lease.Adopt(now, r)
-//	right := lease.Authority(now, roster.Server{Name: "engine-1", Region: "kigali", ColdLimit: 2})
+//	authority := lease.Authority(now, roster.Server{Name: "engine-1", Region: "kigali", ColdLimit: 2})
 package roster
 
 import (
--- a/internal/slopes/background_loops.go
+++ b/internal/slopes/background_loops.go
@@ -57,13 +57,13 @@
 	}, lastErr
 }
 
-// confirmedLease implements owner.Rights with a lease that is always confirmed.
+// confirmedLease implements owner.AuthoritySource with a lease that is always confirmed.
 type confirmedLease struct {
 	mu    sync.Mutex
 	lease *roster.Lease
 }
 
-// Authority implements owner.Rights.
+// Authority implements owner.AuthoritySource.
 func (r *confirmedLease) Authority(now time.Time, s roster.Server) permit.Authority {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +71,7 @@
 	return r.lease.Authority(now, s)
 }
 
-// Roster implements owner.Rights.
+// Roster implements owner.AuthoritySource.
 func (r *confirmedLease) Roster() *roster.Roster {
 	r.mu.Lock()
 	defer r.mu.Unlock()
