--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -137,7 +137,7 @@
 }
 
 // Guards against refusing callers that could wait when a single poll of the server
-// fails and the next one, half a second later, succeeds. Nobody waits for a server
+// fails and the next one, half a second later, succeeds. No caller waits for a server
 // that hasn't reported for longer, or whose process has exited.
 func TestRequestsQueueDuringABriefDisconnection(t *testing.T) {
 	s := openServer()
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -112,7 +112,7 @@
 }
 
 // prepare writes the record of a change, and a base if one is due, and returns the head that names
-// them. Nobody reads them before the head is written.
+// them. No instance reads them before the head is written.
 func (a *applier) prepare(ctx context.Context, c Change, all, puts parts, removed []string) (head, error) {
 	from := a.listing.head
 	r := record{
@@ -177,7 +177,7 @@
 }
 
 // create stores an object whose name contains the token of this change. An object that exists
-// already is thus its own, from an attempt whose response was lost.
+// already is therefore its own, from an attempt whose response was lost.
 func (a *applier) create(ctx context.Context, kind, name string, value []byte) error {
 	backoff := objectapi.Backoff{Min: minWriteBackoff, Max: maxWriteBackoff}
 	var err error
--- a/internal/config/store_test.go
+++ b/internal/config/store_test.go
@@ -80,7 +80,7 @@
 }
 
 // Older versions come from a peer that lags and from a platform that lost its store. The instance
-// must keep its version and stop confirming it, and an instance that only heard from a lagging
+// must keep its version and stop confirming it, and an instance that only reached a lagging
 // peer must never confirm. Otherwise a drained zone would get new requests again.
 func TestVersionNeverDecreases(t *testing.T) {
 	b := newTestPlatform(t)
--- a/internal/controlcost/controlcost.go
+++ b/internal/controlcost/controlcost.go
@@ -17,7 +17,7 @@
 //
 //	costs := controlcost.New(scope)
 //	costs.Meter(controlcost.RoleHeartbeats).Run(func() { res = answer(req) })
-//	costs.Meter(controlcost.RoleClaims).Bytes(sent, received)
+//	costs.Meter(controlcost.RoleClaims).AddBytes(sent, received)
 package controlcost
 
 import (
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -7,7 +7,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Errors of calls to model engines. They determine what a caller may be told about its request.
+// Errors of calls to model engines. They determine what a caller may learn about its request.
 var (
 	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = merry.Sentinel("engine: request not sent")
--- a/internal/enginecommand/lock.go
+++ b/internal/enginecommand/lock.go
@@ -81,7 +81,7 @@
 }
 
 // confirmWrite reads the object back after the response to a write was lost. If the write has not
-// taken effect, it may still do so: nobody would use the lock then, the next holder waits until it
+// taken effect, it may still do so: the lock is unused then, the next holder waits until it
 // expires, and no command is sent here.
 func (s *lockStore) confirmWrite(ctx context.Context, lock commandLock) (commandLock, error) {
 	held, err := s.read(ctx, lock.name)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -226,8 +226,8 @@
 }
 
 // Concurrent and later requests use the same idempotency key. The service must receive the booking
-// once, all callers that get an answer must get the same one, and no other may be told that it
-// wasn't run.
+// once, all callers that get an answer must get the same one, and no other may get the answer
+// that it wasn't run.
 func TestKeyRunsOnce(t *testing.T) {
 	s, claims := &fakeService{}, newClaims(false)
 	f := newTestForwarder(t, s, &fakePermits{}, claims)
--- a/internal/generation/id.go
+++ b/internal/generation/id.go
@@ -1,7 +1,7 @@
 // Package generation encodes and decodes the generation IDs that callers get.
 //
 // An ID says where its generation runs, so that any entry instance can resume or cancel it without
-// shared state. It is authenticated, so nobody can forge or change one, and the engine's request ID
+// shared state. It is authenticated, so it can't be forged or changed, and the engine's request ID
 // inside it is random.
 //
 // # Usage
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -40,7 +40,7 @@
 	// doesn't interrupt it, only the context's deadline shortens it.
 	DialTimeout time.Duration
 	// WriteTimeout limits the sending of a request; 5 s by default. Without it, a request larger
-	// than the socket's buffer would block forever on a dead link.
+	// than the socket's buffer would block forever on a broken link.
 	WriteTimeout time.Duration
 	// IdleTimeout is how long an idle connection is kept; 2 s by default. It is shorter than the
 	// usual idle timeouts of servers, 5 s and more, so that a request rarely uses a connection that
--- a/internal/httpclient/response.go
+++ b/internal/httpclient/response.go
@@ -80,7 +80,7 @@
 }
 
 // Close releases the response. If the body was not read to its end, the connection is closed, which
-// tells the server that nobody reads.
+// tells the server that the response is no longer read.
 func (r *Response) Close() {
 	if r.Response == nil {
 		return
@@ -108,7 +108,7 @@
 const drainTimeout = 20 * time.Millisecond
 
 // Drain reads what follows the content of a streamed body, so that Close keeps the connection for
-// another exchange. It waits only briefly, because the end may never arrive on a dead link.
+// another exchange. It waits only briefly, because the end may never arrive on a broken link.
 func (r *Response) Drain() {
 	if !r.stream || r.isCloseDelimited() || r.conn.SetReadTimeout(drainTimeout) != nil {
 		return
--- a/internal/ingress/active_streams.go
+++ b/internal/ingress/active_streams.go
@@ -249,7 +249,7 @@
 	return point, true
 }
 
-// beginCutover records that the server is told to stop the generation: from now on the end of its
+// beginCutover records that the server is asked to stop the generation: from now on the end of its
 // response isn't the end of the generation.
 func (a *activeStream) beginCutover(server string) bool {
 	a.mu.Lock()
--- a/internal/ingress/attempts.go
+++ b/internal/ingress/attempts.go
@@ -41,7 +41,7 @@
 	maxUrgency  = 9
 )
 
-// errResponseAborted means that the response had begun and its connection was closed.
+// errResponseAborted means that the response had started and its connection was closed.
 var errResponseAborted = merry.Sentinel("response aborted")
 
 // result is the outcome of one attempt: [responded], [failed] or [streamDone].
--- a/internal/ingress/migrations.go
+++ b/internal/ingress/migrations.go
@@ -12,7 +12,7 @@
 
 const (
 	// scanInterval is how often the active streams are checked, in addition to every change of the
-	// servers, for streams that began in between.
+	// servers, for streams that started in between.
 	scanInterval = 150 * time.Millisecond
 	// copyTimeout limits one copy. It is longer than engines run after their notice: the engine
 	// continues a copy whose call was given up, which blocks the next one.
@@ -85,7 +85,7 @@
 // migrateStalled migrates the generation of a stalled stream to another engine.
 //
 // A half-open connection delivers neither events nor an error. The engine stops the generation when
-// it is told to migrate it, so the generation can't run twice; if the engine doesn't know the
+// it gets the request to migrate it, so the generation can't run twice; if the engine doesn't know the
 // generation, there is nothing to wait for.
 func (s *Server) migrateStalled(ctx context.Context, st *activeStream) {
 	source := st.server()
--- a/internal/ingress/request.go
+++ b/internal/ingress/request.go
@@ -21,7 +21,7 @@
 	// defaultTimeout applies if neither the caller nor the route sets a timeout.
 	defaultTimeout = 30 * time.Second
 	// denyMaxAge is the maximum age of the last confirmation of the configuration with which a
-	// request may be told that its key or route doesn't exist. A key that was added since then
+	// request may be refused because its key or route doesn't exist. A key that was added since then
 	// would be refused permanently, whereas a temporary refusal is correct in both cases.
 	denyMaxAge = 1900 * time.Millisecond
 	// denyRetryAfter is the Retry-After of an instance without a fresh configuration; it receives a
@@ -49,7 +49,7 @@
 	workspace string
 	priority  int
 	start     time.Time
-	// callerDeadline is when the caller disconnects, startDeadline when a response must have begun.
+	// callerDeadline is when the caller disconnects, startDeadline when a response must have started.
 	callerDeadline time.Time
 	startDeadline  time.Time
 	// promptTokens, expectedOutput and maxOutput are numbers of tokens.
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -63,7 +63,7 @@
 	// maxWorkers limits the concurrent background tasks, most of which are migrations.
 	maxWorkers = 64
 	// directoryTTL is how long callers may cache a directory response. Some cache it three times as
-	// long; in that time a dead instance costs them a failed connection.
+	// long; in that time an instance that is down costs them a failed connection.
 	directoryTTL = time.Second
 )
 
--- a/internal/ingress/stream.go
+++ b/internal/ingress/stream.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// endedDespiteCutover reports whether the stream has ended normally after its engine was told to
-// stop it: the engine refused.
+// endedDespiteCutover reports whether the stream has ended normally after its engine was asked
+// to stop it: the engine refused.
 func (cs *callerStream) endedDespiteCutover(ctx context.Context) bool {
 	point, err := cs.stream.awaitCutover(ctx, cutoverTimeout)
 	if err == nil && !point.refused {
@@ -260,7 +260,7 @@
 // resumeFromCopy resumes a generation from a copy that was made while it ran.
 //
 // The target engine lacks only the last tokens and computes them again. The source engine, if it is
-// still running, is told to stop first: the generation must not run on two engines.
+// still running, is asked to stop first: the generation must not run on two engines.
 func (cs *callerStream) resumeFromCopy(ctx context.Context, point resumePoint) (*upstream.Response, error) {
 	if !cs.stopSource(ctx, point) {
 		cs.s.opts.Balancer.Release(point.target)
--- a/internal/ingress/streams_test.go
+++ b/internal/ingress/streams_test.go
@@ -66,7 +66,7 @@
 
 // migratableEngine is an engine that can migrate its generation.
 type migratableEngine struct {
-	// abortsOnStop makes the engine exit without an answer when it is told to stop; afterwards it
+	// abortsOnStop makes the engine exit without an answer when it is asked to stop; afterwards it
 	// answers conflicts times that an earlier request is in progress.
 	abortsOnStop bool
 	conflicts    int
@@ -173,7 +173,7 @@
 	}
 }
 
-// Guards against losing or running twice a copied generation whose engine exits when it is told to
+// Guards against losing or running twice a copied generation whose engine exits when it is asked to
 // stop: the stream must resume from the copy, with each event once, but only after the engine no
 // longer reports an earlier request in progress.
 func TestStreamResumesFromCopy(t *testing.T) {
@@ -339,8 +339,8 @@
 	require.Equal(t, wantEvents(7), string(three)+string(rest))
 }
 
-// Guards against copying several generations in turn to an engine that has exited but is still
-// listed during a platform outage. The source engine reports it as unreachable after a third of a
+// Guards against copying several generations one after the other to an engine that has exited but
+// is still listed during a platform outage. The source engine reports it as unreachable after a third of a
 // second; an engine that refuses at once is running and full.
 func TestUnreachableTargetIsRemembered(t *testing.T) {
 	tests := map[string]struct {
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -133,7 +133,7 @@
 	return startupWait + time.Duration(rand.Int64N(int64(startupJitter)))
 }
 
-// status returns what other instances are told about this one.
+// status returns what this instance reports about itself to the others.
 func (in *instance) status() membership.Status {
 	return membership.Status{Ready: in.server.Ready(), Leaving: in.server.Draining(), PlatformUnreachable: in.follower.PlatformUnreachable()}
 }
--- a/internal/likelihood/likelihood.go
+++ b/internal/likelihood/likelihood.go
@@ -28,8 +28,8 @@
 var effectSizes = []float64{0.03, 0.08, 0.2, 0.5}
 
 // Ratio returns the likelihood ratio of the observations, averaged over the effect sizes:
-// how much more likely they are if some of the answers that succeed in the baseline fail than if none
-// do. 1 favours neither.
+// how much more likely they are if some of the answers that succeed in the baseline fail than if
+// none do. 1 favours neither.
 func Ratio(pairs ...Pair) float64 {
 	sum := 0.0
 	for _, effect := range effectSizes {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -146,8 +146,8 @@
 	loops.Wait()
 }
 
-// Authority implements owner.AuthoritySource. After a pause of the process there is none until it is confirmed
-// again.
+// Authority implements owner.AuthoritySource. After a pause of the process there is none until it
+// is confirmed again.
 func (m *Member) Authority(now time.Time, s roster.Server) permit.Authority {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/member/outage_test.go
+++ b/internal/member/outage_test.go
@@ -234,8 +234,8 @@
 const upBeforeOutage = 2 * time.Second
 
 // The platform goes down, refusing calls or silently, and a tenth of all heartbeats is lost. No
-// instance hears from more than half of the roster itself. It must learn the rest from the ages in
-// other answers before its last confirmation expires, so that it always accepts new work.
+// instance gets answers from more than half of the roster itself. It must learn the rest from the
+// ages in other answers before its last confirmation expires, so that it always accepts new work.
 func TestPlatformOutage(t *testing.T) {
 	tests := map[string]struct {
 		instances int
--- a/internal/member/versions.go
+++ b/internal/member/versions.go
@@ -19,7 +19,7 @@
 //
 // It serves an operator who waits for a change to be applied everywhere. In a large roster most
 // instances exchange heartbeats with this one only by chance, once in some minutes with 350
-// instances. Without RefreshVersions the operator would be told that the change isn't applied long
+// instances. Without RefreshVersions the operator would see the change as not applied long
 // after it is.
 func (m *Member) RefreshVersions(ctx context.Context, version int64) {
 	// If the operator disconnects, the instances must not be recorded as silent.
--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -29,7 +29,7 @@
 	}
 	for zone, sum := range sums {
 		scope := o.opts.Metrics.Tagged(map[string]string{"zone": zone})
-		// Creates the counter, since a missing one can't be told from zero.
+		// Creates the counter, since a missing one can't be distinguished from zero.
 		scope.Counter("preemptions").Inc(0)
 		scope.Gauge("running").Update(float64(sum.Running))
 		scope.Gauge("queued").Update(float64(sum.Queued))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -35,7 +35,7 @@
 	// nothing.
 	compressMinBytes = 4 << 10
 	// pingAfter and pingTimeout detect a connection that a network device between the two ends has
-	// dropped: nothing comes back on it although new ones work. It is closed before the second
+	// dropped: it delivers nothing although new ones work. It is closed before the second
 	// heartbeat after the last answer, which is due after two seconds and then uses a new
 	// connection. So a single lost heartbeat can't cost an instance its lease of three seconds. A
 	// working connection is never pinged, because it has a heartbeat each second: pings from both
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -79,7 +79,7 @@
 	return testInstance{p, table, address}
 }
 
-// Two instances place generations in turn and don't know of each other's. Whichever plans, no
+// Two instances place generations alternately and don't know of each other's. Whichever plans, no
 // engine gets a second prompt before each has one.
 func TestInstancesShareOnePlanner(t *testing.T) {
 	a, b := startInstance(t, "a", "k", engineList(12)), startInstance(t, "b", "k", engineList(12))
--- a/internal/planner/schedule.go
+++ b/internal/planner/schedule.go
@@ -44,7 +44,7 @@
 	Reserve(c Copy, t Target)
 }
 
-// TransferSlot tells when a copy starts, to which engine it goes and how long it takes.
+// TransferSlot says when a copy starts, to which engine it goes and how long it takes.
 type TransferSlot struct {
 	Start    time.Time
 	Target   string
--- a/internal/platformstate/refresh.go
+++ b/internal/platformstate/refresh.go
@@ -103,7 +103,7 @@
 }
 
 // relistDue reports whether this instance has to list a resource. During an outage only
-// the lists before each watch go on. An instance that isn't a watcher leaves it to others
+// the lists before each watch continue. An instance that isn't a watcher leaves it to others
 // while the platform doesn't answer one of them: they take over in order of rank, not all
 // at once.
 func (f *Follower) relistDue(now time.Time, w *watchedResource) bool {
--- a/internal/platformstate/state.go
+++ b/internal/platformstate/state.go
@@ -121,7 +121,7 @@
 }
 
 // Changed receives a value after servers or zones have changed. It holds at most one: a
-// slow reader reads the newest state anyway.
+// slow reader reads the newest state in any case.
 func (s *State) Changed() <-chan struct{} { return s.changed }
 
 // Table returns the routing table of the current configuration, or nil if there is none.
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -196,7 +196,7 @@
 
 func TestSmallWorkspaceIsQueuedBehindALargeOne(t *testing.T) {
 	// Guards against refusing a request of a small workspace with a close deadline
-	// because a hundred requests of a large one are queued: it is next in turn.
+	// because a hundred requests of a large one are queued: its workspace is served next.
 	q := queue.New(queue.DefaultParams)
 	fill(q, 100)
 	it := item("x", "small", 1)
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -280,7 +280,7 @@
 	return nil
 }
 
-// onGraceExpired cancels a generation whose caller didn't come back. If another handler has taken
+// onGraceExpired cancels a generation whose caller didn't reconnect. If another handler has taken
 // it over, this one keeps reading, so that the permit is held until the engine has finished, and
 // never cancels. The output limit bounds how long that takes.
 func (a *attempt) onGraceExpired() *result {
--- a/internal/relay/progress.go
+++ b/internal/relay/progress.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// DefaultGracePeriod is how long a caller may take to come back. Clients reconnect within
-	// seconds, and generations of callers that don't come back fill engine memory.
+	// DefaultGracePeriod is how long a caller may take to reconnect. Clients reconnect within
+	// seconds, and generations of callers that don't fill engine memory.
 	DefaultGracePeriod = 20 * time.Second
 	// silenceLimit ends a generation that sends no events although the engine has it. It is well
 	// over the time that a preempted generation waits for memory.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// TakeOver records that the caller of a generation of this relay has come back, possibly through
+// TakeOver records that the caller of a generation of this relay has reconnected, possibly through
 // another instance, so that the end of the grace period doesn't cancel it. It reports whether the
 // relay has the generation.
 func (r *Relay) TakeOver(requestID string) bool {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -189,7 +189,7 @@
 	require.NotEqual(t, p.requests[0].ID, p.requests[1].ID, "a delayed start and the retry must have different IDs")
 }
 
-// A caller disconnects in the middle of an answer. If it doesn't come back, the engine's memory
+// A caller disconnects in the middle of an answer. If it doesn't reconnect, the engine's memory
 // must be freed. If it resumes the stream through another instance within the grace period, the
 // generation must not be cancelled.
 func TestCallerGone(t *testing.T) {
@@ -268,7 +268,7 @@
 	return s.fakeStream.Next()
 }
 
-// The process shuts down during a stream. The caller gets its position and is told to resume
+// The process shuts down during a stream. The caller gets its position and is asked to resume
 // through another instance; the engine continues, so the resumed stream is complete.
 func TestEvict(t *testing.T) {
 	release := make(chan struct{})
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -134,7 +134,7 @@
 }
 
 // minCanaryServers is the minimum number of the new version's servers in a canary: with
-// only one, a broken server can't be told apart from a bad version.
+// only one, a broken server can't be distinguished from a bad version.
 const minCanaryServers = 2
 
 // CanaryServers returns the indexes of the n servers of the new version that the canary
--- a/internal/rollout/takeover_test.go
+++ b/internal/rollout/takeover_test.go
@@ -19,7 +19,7 @@
 // modelState is a state of the bounded model check: two instances that may both act as
 // coordinator.
 type modelState struct {
-	// stage is each instance's stage, revision the one that its writes are conditional on.
+	// stage is each instance's stage, revision the revision that its writes are conditional on.
 	stage    [2]rollout.Stage
 	revision [2]int
 	// drained is set when an instance has no requests left on the old version.
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -3,7 +3,7 @@
 // chosen by hashing among the instances that reach the platform, and gets a lease in
 // return: the stage, and the share of requests that may go to the new version. An instance
 // that gets no answer sends nothing to the new version. The coordinator writes the status
-// to the platform, on the condition that nobody has changed it. The next reports hold all
+// to the platform, on the condition that it hasn't changed meanwhile. The next reports hold all
 // that it needs, so any other instance can take over.
 //
 // # Usage
--- a/internal/roster/lease.go
+++ b/internal/roster/lease.go
@@ -52,7 +52,7 @@
 //     reported that they adopted this epoch, and not at all in the first roster,
 //     before which no permits were granted. When most of the previous roster was
 //     removed at once, it waits for the survivors only and trusts the platform's
-//     list that the others are dead.
+//     list that the others are down.
 //  7. An owner that owned the server in the previous epoch continues, but leaves
 //     the share unused until the old deputy has stopped too.
 //
--- a/internal/roster/propose.go
+++ b/internal/roster/propose.go
@@ -44,11 +44,11 @@
 //
 // It handles 45 failures and 150 replacements a day at 350 instances, and the
 // replacement of all instances at once. It must not remove a live instance because
-// the link of one observer is cut, which would move its servers needlessly, nor keep a
-// dead one, whose servers would stay at the deputy's share.
+// the link of one observer is cut, which would move its servers needlessly, nor keep
+// one that is down, whose servers would stay at the deputy's share.
 //
 //   - Added: an instance that is listed and responds to this instance. The list
-//     alone is not enough, since it may name an instance that has died.
+//     alone is not enough, since it may name an instance that has exited.
 //   - Removed: an instance that is not listed and whose responses two observers
 //     miss (one, in a roster of two). Neither alone is enough: a new instance is
 //     missing in the lagging list, and links fail.
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -33,7 +33,7 @@
 	"pollenspindle.example/pollenspindle/internal/httpclient"
 )
 
-// The kinds of failure of a call to a plain service. They determine what a caller may be told about
+// The kinds of failure of a call to a plain service. They determine what a caller may learn about
 // its request.
 var (
 	// ErrNotSent means that no byte of the request left for the service.
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -37,8 +37,8 @@
 	// megabytes of opening brackets would overflow its stack, which ends the process and cannot be
 	// recovered from.
 	MaxDepth = 64
-	// MaxFaults is the maximum number of faults that are kept. Nobody reads more, and each takes
-	// memory.
+	// MaxFaults is the maximum number of faults that are kept. More are not useful to a reader,
+	// and each takes memory.
 	MaxFaults = 1000
 )
 
