--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -27,9 +27,9 @@
 var (
 	// ErrNotSent means that no byte of the request left this process.
 	ErrNotSent = merry.Sentinel("request not sent")
-	// ErrLost means that the exchange failed after bytes may have left. The server may have run the
+	// ErrUnknownOutcome means that the exchange failed after bytes may have left. The server may have run the
 	// request, or may still be running it.
-	ErrLost = merry.Sentinel("exchange lost")
+	ErrUnknownOutcome = merry.Sentinel("exchange lost")
 	// ErrTooLarge means that the response exceeds the size limit. The server has run the request.
 	ErrTooLarge = merry.Sentinel("response too large")
 )
@@ -148,13 +148,13 @@
 		return merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
 	if err := reqcodec.Write(req, r.conn); err != nil {
-		return merry.Wrap(ErrLost, merry.WithCause(err))
+		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 	}
 	if err := r.conn.Flush(); err != nil {
-		return merry.Wrap(ErrLost, merry.WithCause(err))
+		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 	}
 	if err := respcodec.ReadHeaders(r.Response, r.conn); err != nil {
-		return merry.Wrap(ErrLost, merry.WithCause(err))
+		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 	}
 	if call.Stream {
 		return r.openBody()
--- a/internal/httpclient/close_delimited_test.go
+++ b/internal/httpclient/close_delimited_test.go
@@ -60,7 +60,7 @@
 				}
 			}
 			if tt.reset {
-				require.ErrorIs(t, err, ErrLost)
+				require.ErrorIs(t, err, ErrUnknownOutcome)
 				return
 			}
 			require.NoError(t, err)
--- a/internal/httpclient/response.go
+++ b/internal/httpclient/response.go
@@ -61,7 +61,7 @@
 func (b closeDelimitedBody) Read(p []byte) (int, error) {
 	n, err := b.conn.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
-		err = merry.Wrap(ErrLost, merry.WithCause(err))
+		err = merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 	}
 	return n, err
 }
@@ -133,7 +133,7 @@
 	}
 	err := respcodec.ReadRespBodyStream(r.Response, r.conn, 0, func(bool) error { return nil })
 	if err != nil {
-		return merry.Wrap(ErrLost, merry.WithCause(err))
+		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 	}
 	r.stream = r.IsBodyStream()
 	return nil
@@ -167,7 +167,7 @@
 	if errors.Is(err, herrors.ErrBodyTooLarge) {
 		return merry.Wrap(ErrTooLarge, merry.WithCause(err))
 	}
-	return merry.Wrap(ErrLost, merry.WithCause(err))
+	return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 }
 
 // Abort closes the connection from another goroutine, which interrupts a pending read. Close must
@@ -184,7 +184,7 @@
 	body, err := io.ReadAll(io.LimitReader(r.Body(), int64(limit)+1))
 	switch {
 	case err != nil:
-		return nil, merry.Wrap(ErrLost, merry.WithCause(err))
+		return nil, merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 	case len(body) > limit:
 		return nil, merry.Wrap(ErrTooLarge)
 	}
