--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -181,7 +181,7 @@
 // once, unless the service certainly didn't run it. The outcome may be "not run" only if no attempt
 // can have run, and each permit must be released once.
 func TestDo(t *testing.T) {
-	lost, notSent := service.ErrLost, service.ErrNotSent
+	lost, notSent := service.ErrUnknownOutcome, service.ErrNotSent
 	tests := map[string]struct {
 		idempotent, expired bool
 		refuseAt            int
@@ -262,7 +262,7 @@
 		again   int
 	}{
 		"nothing is sent while the platform is down": {down: true, outcome: answer.OutcomeNotRun},
-		"the key stays claimed after a lost answer":  {errs: []error{service.ErrLost}, outcome: answer.OutcomeUnknown, sent: 1, again: 1},
+		"the key stays claimed after a lost answer":  {errs: []error{service.ErrUnknownOutcome}, outcome: answer.OutcomeUnknown, sent: 1, again: 1},
 		"a call that did not run releases its key":   {errs: []error{&service.Refusal{Status: 429}}, outcome: answer.OutcomeNotRun, sent: 1, again: 2},
 	}
 	for name, tt := range tests {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -41,9 +41,9 @@
 	// ErrRefused means that the service refused the request before running
 	// it. errors.As with a *Refusal gives the details.
 	ErrRefused = merry.Sentinel("service: request refused")
-	// ErrLost means that no response arrived. The service may have run the request, or may still be
+	// ErrUnknownOutcome means that no response arrived. The service may have run the request, or may still be
 	// running it.
-	ErrLost = merry.Sentinel("service: response lost")
+	ErrUnknownOutcome = merry.Sentinel("service: response lost")
 	// ErrTooLarge means that the service ran the request and the response exceeds the size limit.
 	ErrTooLarge = merry.Sentinel("service: response too large")
 	// ErrBadRequest means that the request can't be written as HTTP.
@@ -167,7 +167,7 @@
 	case errors.Is(err, httpclient.ErrTooLarge):
 		return merry.Wrap(ErrTooLarge, merry.WithCause(err))
 	default:
-		return merry.Wrap(ErrLost, merry.WithCause(err))
+		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 	}
 }
 
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -82,7 +82,7 @@
 		"refused":        {faults: standin.Faults{Refuse: 1}, err: service.ErrRefused},
 		"fails before":   {faults: standin.Faults{FailBefore: 1}, status: 500},
 		"fails after":    {faults: standin.Faults{FailAfter: 1}, status: 500, effects: 1},
-		"loses answer":   {faults: standin.Faults{LoseAnswers: 1}, err: service.ErrLost, effects: 1},
+		"loses answer":   {faults: standin.Faults{LoseAnswers: 1}, err: service.ErrUnknownOutcome, effects: 1},
 		"answers slowly": {faults: standin.Faults{AnswerDelayMillis: 30}, status: 200, effects: 1},
 	}
 	for name, tt := range tests {
@@ -144,7 +144,7 @@
 	_, err = c.Do(ctx, ln.Addr().String(), request)
 	require.NoError(t, err)
 	_, err = c.Do(ctx, ln.Addr().String(), request)
-	require.ErrorIs(t, err, service.ErrLost)
+	require.ErrorIs(t, err, service.ErrUnknownOutcome)
 	require.Len(t, accepted, 1)
 
 	request.FreshConnection = true
@@ -214,7 +214,7 @@
 		return err == nil && report.Running == 1
 	}, 30*time.Second, time.Millisecond)
 	_, err := c.Do(ctx, address, service.Request{Method: "POST", Path: "/b"})
-	require.ErrorIs(t, err, service.ErrLost)
-	require.ErrorIs(t, <-first, service.ErrLost)
+	require.ErrorIs(t, err, service.ErrUnknownOutcome)
+	require.ErrorIs(t, <-first, service.ErrUnknownOutcome)
 	require.Empty(t, readLedger(t, address).Effects)
 }
