--- a/internal/enginecommand/handler.go
+++ b/internal/enginecommand/handler.go
@@ -17,7 +17,7 @@
 	resultBusy        = "busy"
 	resultNotOwner    = "notOwner"
 	resultInvalid     = "refused"
-	resultOvertaken   = "overtaken"
+	resultSuperseded  = "overtaken"
 	resultUnavailable = "unavailable"
 	resultUnknown     = "unknown"
 )
@@ -52,7 +52,7 @@
 	case errors.Is(err, ErrInvalid):
 		return resultInvalid
 	case errors.Is(err, ErrSuperseded):
-		return resultOvertaken
+		return resultSuperseded
 	case errors.Is(err, ErrUnavailable):
 		return resultUnavailable
 	}
@@ -71,7 +71,7 @@
 		return outcome, ErrNotOwner
 	case resultInvalid:
 		return outcome, merry.Append(ErrInvalid, res.GetMessage())
-	case resultOvertaken:
+	case resultSuperseded:
 		return outcome, ErrSuperseded
 	case resultUnavailable:
 		return outcome, merry.Append(ErrUnavailable, res.GetMessage())
