--- a/internal/commandlock/commandlock.go
+++ b/internal/commandlock/commandlock.go
@@ -49,9 +49,9 @@
 	// Version is 0 if there is no object.
 	Version int64
 	Record  Record
-	// SeenAt is when this instance first saw this version, by its own clock. Clocks of different
+	// ObservedAt is when this instance first saw this version, by its own clock. Clocks of different
 	// instances are never compared.
-	SeenAt time.Time
+	ObservedAt time.Time
 }
 
 // Decision is [Acquire] or [Wait].
@@ -75,7 +75,7 @@
 	if held.Version == 0 || held.Record.Ended || checksFencing {
 		return Acquire{held.Version}
 	}
-	remaining := held.SeenAt.Add(t.SendTimeout + t.MaxDuration).Sub(now)
+	remaining := held.ObservedAt.Add(t.SendTimeout + t.MaxDuration).Sub(now)
 	if remaining > 0 {
 		return Wait{remaining}
 	}
--- a/internal/commandlock/commandlock_test.go
+++ b/internal/commandlock/commandlock_test.go
@@ -176,7 +176,7 @@
 	if h.seen != w.version {
 		h.seen, h.seenAt = w.version, w.now
 	}
-	held := commandlock.LockState{Version: w.version, Record: commandlock.Record{Ended: w.ended}, SeenAt: at(h.seenAt)}
+	held := commandlock.LockState{Version: w.version, Record: commandlock.Record{Ended: w.ended}, ObservedAt: at(h.seenAt)}
 	if acquire, ok := commandlock.Decide(at(w.now), s.timing, held, s.checked).(commandlock.Acquire); ok {
 		h.phase, h.base = decided, acquire.Version
 		h.started = w.now
--- a/internal/enginecommand/lock.go
+++ b/internal/enginecommand/lock.go
@@ -114,7 +114,7 @@
 	if err := json.Unmarshal(o.Value, &held.Record); err != nil {
 		return commandlock.LockState{}, unavailable(err)
 	}
-	held.SeenAt = s.firstSeen(time.Now(), name, o.Version)
+	held.ObservedAt = s.firstSeen(time.Now(), name, o.Version)
 	return held, nil
 }
 
