--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -74,14 +74,14 @@
 	}
 	in.follower = platformstate.NewFollower(platformstate.Options{
 		State: in.state, Objects: objects, Dialect: d, Log: telemetry.ComponentLogger(in.tel.Log, "platform"), Now: time.Now,
-		Rank: in.table.Rank, Broadcast: in.gossip.Broadcast, StartWait: in.startupWait(), InstanceCount: in.instances, PropagationLimits: platformBounds(cfg),
+		Rank: in.table.Rank, Broadcast: in.gossip.Broadcast, StartWait: in.startupWait(), InstanceCount: in.instances, PropagationLimits: propagationLimits(cfg),
 	})
 	return in.buildServer(ctx, lb)
 }
 
-// platformBounds returns the deployment's time limits for changes of the platform state, or the
+// propagationLimits returns the deployment's time limits for changes of the platform state, or the
 // default ones.
-func platformBounds(cfg settings.Ingress) platformstate.PropagationLimits {
+func propagationLimits(cfg settings.Ingress) platformstate.PropagationLimits {
 	b := platformstate.DefaultPropagationLimits
 	for _, limit := range []struct {
 		millis float64
@@ -161,7 +161,7 @@
 		Callers: listeners[0], Ready: listeners[1], Directory: listeners[2], Zone: cfg.Zone,
 		State: in.state, Dialect: in.opts.Dialect, Balancer: lb,
 		Retries:   retry.NewSharedBudgets(rand.New(rand.NewPCG(rand.Uint64(), 2)), in.retryLimits),
-		Instances: in.instances, DenyMaxAge: time.Duration(float64(platformBounds(cfg).Configuration) * denyAgeShare), Addresses: in.callerAddresses, Planner: in.planner, Rollouts: in.rollouts, Outliers: in.outliers, Suspects: in.suspects,
+		Instances: in.instances, DenyMaxAge: time.Duration(float64(propagationLimits(cfg).Configuration) * denyAgeShare), Addresses: in.callerAddresses, Planner: in.planner, Rollouts: in.rollouts, Outliers: in.outliers, Suspects: in.suspects,
 		Grace: time.Duration(cfg.GraceSeconds * float64(time.Second)),
 		Log:   telemetry.ComponentLogger(in.tel.Log, "caller"), Scope: in.tel.Metrics.SubScope("ingress"), Tracer: in.tel.Tracer, Now: time.Now,
 	})
