--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -218,9 +218,9 @@
 	if s.cfg.MemoryTokens == 0 {
 		return 1
 	}
-	bound := req.MaxTokens
-	if bound <= 0 {
-		bound = outputlength.MaxTokens
+	maxTokens := req.MaxTokens
+	if maxTokens <= 0 {
+		maxTokens = outputlength.MaxTokens
 	}
-	return float64(req.PromptTokens) + s.lengths.Curve(lengthKey(req)).MeanRemaining(0, bound)
+	return float64(req.PromptTokens) + s.lengths.Curve(lengthKey(req)).MeanRemaining(0, maxTokens)
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -110,7 +110,7 @@
 	return permit.Permit{Server: fmt.Sprint("s", n), Address: fmt.Sprint("a", n), ExpiresAt: expires}, nil
 }
 
-func (p *fakePermits) MaySend(now time.Time, given permit.Permit) bool { return given.Valid(now) }
+func (p *fakePermits) MaySend(now time.Time, granted permit.Permit) bool { return granted.Valid(now) }
 
 func (p *fakePermits) ReportBroken(time.Time, permit.Permit) {}
 
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -182,12 +182,12 @@
 func (g *Gossip) fetchCompressed(ctx context.Context, address, procedure string) ([]byte, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	asked := g.opts.Now()
+	sentAt := g.opts.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+procedure, nil)
 	if err != nil {
 		return nil, 0, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
-	g.client.Sign(asked, req.Header, procedure)
+	g.client.Sign(sentAt, req.Header, procedure)
 	res, err := g.client.HTTP.Do(req)
 	if err != nil {
 		return nil, 0, merry.Wrap(ErrFetch, merry.WithCause(err))
@@ -207,5 +207,5 @@
 	}
 	millis, _ := strconv.ParseInt(res.Header.Get(ageHeader), 10, 64)
 	// The transfer time is part of the age.
-	return raw, time.Duration(millis)*time.Millisecond + g.opts.Now().Sub(asked), nil
+	return raw, time.Duration(millis)*time.Millisecond + g.opts.Now().Sub(sentAt), nil
 }
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -27,8 +27,8 @@
 var (
 	// ErrNotSent means that no byte of the request left this process.
 	ErrNotSent = merry.Sentinel("request not sent")
-	// ErrUnknownOutcome means that the exchange failed after bytes may have left. The server may have run the
-	// request, or may still be running it.
+	// ErrUnknownOutcome means that the exchange failed after bytes may have left. The server may
+	// have run the request, or may still be running it.
 	ErrUnknownOutcome = merry.Sentinel("exchange lost")
 	// ErrTooLarge means that the response exceeds the size limit. The server has run the request.
 	ErrTooLarge = merry.Sentinel("response too large")
--- a/internal/ingress/migrator.go
+++ b/internal/ingress/migrator.go
@@ -21,7 +21,7 @@
 	source := st.server()
 	p := migration.Progress{NoticedAt: noticed, Remaining: expectedRemaining(st)}
 	m := &migrator{s: s, stream: st, source: source, excluded: map[string]bool{source.ID: true}}
-	if _, stays := migration.Next(noticed, p).(migration.Stay); !stays {
+	if _, stay := migration.Next(noticed, p).(migration.Stay); !stay {
 		p.HasTransferSlot = m.awaitTransferSlot(ctx)
 		p.Remaining = expectedRemaining(st)
 	}
--- a/internal/ingress/streams_test.go
+++ b/internal/ingress/streams_test.go
@@ -73,39 +73,39 @@
 	// garblesResponse makes the engine stop and answer with invalid JSON.
 	garblesResponse bool
 
-	stop        chan struct{}
-	mu          sync.Mutex
-	stopped     bool
-	moves       []dialect.MigrationRequest
-	resumedFrom string
+	stop              chan struct{}
+	mu                sync.Mutex
+	stopped           bool
+	migrationRequests []dialect.MigrationRequest
+	resumedFrom       string
 }
 
 func (m *migratableEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/move":
-		var move dialect.MigrationRequest
-		_ = json.NewDecoder(r.Body).Decode(&move)
+		var req dialect.MigrationRequest
+		_ = json.NewDecoder(r.Body).Decode(&req)
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.moves = append(m.moves, move)
-		if move.Stop && m.stopped && m.conflicts > 0 {
+		m.migrationRequests = append(m.migrationRequests, req)
+		if req.Stop && m.stopped && m.conflicts > 0 {
 			m.conflicts--
 			w.WriteHeader(http.StatusConflict)
 			return
 		}
-		if move.Stop && m.stopped {
+		if req.Stop && m.stopped {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		if move.Stop {
+		if req.Stop {
 			m.stopped = m.abortsOnStop || m.garblesResponse
 			close(m.stop)
 			m.stop = make(chan struct{})
 		}
-		if move.Stop && m.abortsOnStop {
+		if req.Stop && m.abortsOnStop {
 			panic(http.ErrAbortHandler)
 		}
-		if move.Stop && m.garblesResponse {
+		if req.Stop && m.garblesResponse {
 			_, _ = io.WriteString(w, `{"Handle":`)
 			return
 		}
@@ -166,8 +166,8 @@
 			require.Equal(t, wantEvents(7), string(three)+string(rest))
 			server, _ := f.state.Server(at)
 			require.True(t, server.Leaving)
-			require.False(t, source.moves[0].Stop)
-			require.True(t, source.moves[len(source.moves)-1].Stop)
+			require.False(t, source.migrationRequests[0].Stop)
+			require.True(t, source.migrationRequests[len(source.migrationRequests)-1].Stop)
 			require.Equal(t, server.Address+"/h1 after 3", target.resumedFrom)
 		})
 	}
@@ -235,9 +235,9 @@
 
 func (s *refusingEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/move" {
-		var move dialect.MigrationRequest
-		_ = json.NewDecoder(r.Body).Decode(&move)
-		if !move.Stop {
+		var req dialect.MigrationRequest
+		_ = json.NewDecoder(r.Body).Decode(&req)
+		if !req.Stop {
 			_, _ = io.WriteString(w, `{"Handle":"h1","Events":3}`)
 			return
 		}
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -41,14 +41,14 @@
 	in.table = membership.NewTable(membership.Record{
 		ID: cfg.Instance, Peer: cfg.PeerAddress, Caller: cfg.CallerAddress, Zone: cfg.Zone, StartedAt: time.Now().UnixMilli(),
 	})
-	bounds := balancer.ColdLimits{ColdOverage: cfg.ColdOverage, ColdSlack: cfg.ColdSlack}
-	lb := balancer.New(bounds, rand.New(rand.NewPCG(rand.Uint64(), 1)), nil)
+	coldLimits := balancer.ColdLimits{ColdOverage: cfg.ColdOverage, ColdSlack: cfg.ColdSlack}
+	lb := balancer.New(coldLimits, rand.New(rand.NewPCG(rand.Uint64(), 1)), nil)
 	key, err := peer.NewKey(cfg.PeerKey)
 	if err != nil {
 		return err
 	}
 	in.planner = planner.New(planner.Options{
-		Self: cfg.Instance, Table: in.table, Key: key, State: in.state, ColdLimits: bounds, OwnLoads: lb.Loads, LoadChanged: lb.Changed(), Failures: lb.Failures,
+		Self: cfg.Instance, Table: in.table, Key: key, State: in.state, ColdLimits: coldLimits, OwnLoads: lb.Loads, LoadChanged: lb.Changed(), Failures: lb.Failures,
 		Log: telemetry.ComponentLogger(in.tel.Log, "planner"), Now: time.Now,
 	})
 	in.buildRollouts(key, objects, lb)
@@ -85,10 +85,10 @@
 	b := platformstate.DefaultPropagationLimits
 	for _, limit := range []struct {
 		millis float64
-		bound  *time.Duration
+		target *time.Duration
 	}{{cfg.ConfigurationMillis, &b.Configuration}, {cfg.DrainMillis, &b.Servers}, {cfg.EvacuationMillis, &b.Zones}, {cfg.RollbackMillis, &b.Rollouts}} {
 		if limit.millis > 0 {
-			*limit.bound = time.Duration(limit.millis * float64(time.Millisecond))
+			*limit.target = time.Duration(limit.millis * float64(time.Millisecond))
 		}
 	}
 	return b
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -48,7 +48,7 @@
 	Snapshot() *config.Snapshot
 	Version() int64
 	Confirm(now time.Time)
-	Confirmed(now time.Time, within time.Duration) bool
+	Confirmed(now time.Time, maxAge time.Duration) bool
 	ObjectsAfter(after int64) (int64, []config.Object, error)
 	Merge(now time.Time, objects []config.Object) (bool, error)
 }
--- a/internal/member/outage.go
+++ b/internal/member/outage.go
@@ -31,8 +31,8 @@
 // requested only after a failed call, or three quarters of a lease after the last confirmation.
 // With a watch waiting, a confirmation can normally be two thirds of a lease old.
 func (m *Member) unconfirmed(now time.Time) bool {
-	within := m.opts.Timing.LeaseDuration * 3 / 4
-	return m.platformFailed || !m.lease.ConfirmedByPlatform(now, within) || !m.opts.Config.Confirmed(now, within)
+	maxAge := m.opts.Timing.LeaseDuration * 3 / 4
+	return m.platformFailed || !m.lease.ConfirmedByPlatform(now, maxAge) || !m.opts.Config.Confirmed(now, maxAge)
 }
 
 // randomTargetCount returns how many random instances get a heartbeat in a round. Through them
--- a/internal/member/outage_test.go
+++ b/internal/member/outage_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-func (c *timedConfig) Confirmed(now time.Time, within time.Duration) bool {
-	return now.Sub(c.confirmed) <= within
+func (c *timedConfig) Confirmed(now time.Time, maxAge time.Duration) bool {
+	return now.Sub(c.confirmed) <= maxAge
 }
 
 type noSuspects struct{}
--- a/internal/member/versions_test.go
+++ b/internal/member/versions_test.go
@@ -17,9 +17,9 @@
 	m := newMemberInRoster(t, now, members)
 	for range 12 {
 		now = now.Add(100 * time.Millisecond)
-		asked := m.outdatedInstances(now, version)
-		require.LessOrEqual(t, len(asked), maxInFlight/2)
-		for _, in := range asked {
+		queried := m.outdatedInstances(now, version)
+		require.LessOrEqual(t, len(queried), maxInFlight/2)
+		for _, in := range queried {
 			require.NotEqual(t, m.opts.Self.ID, in.ID)
 			require.Less(t, m.peerStates[in.ID].configVersion, int64(version))
 			if in.ID != silent {
--- a/internal/owner/decide.go
+++ b/internal/owner/decide.go
@@ -77,7 +77,7 @@
 }
 
 func (o *Owner) admissionRequest(now time.Time, snap *config.Snapshot, req *peerv1.AcquireRequest) admission.AcquireRequest {
-	ask := admission.AcquireRequest{
+	acquireRequest := admission.AcquireRequest{
 		PermitID: NewPermitID(),
 		MayQueue: req.GetWaitMillis() > 0,
 		Suspect:  o.opts.Suspects.check(now, req.GetFingerprint()) == crashsuspect.Suspected,
@@ -95,9 +95,9 @@
 		},
 	}
 	if w, ok := snap.WorkspaceByName[req.GetWorkspace()]; ok {
-		ask.Weight, ask.MaxRunning, ask.MaxQueued = w.Weight, w.MaxRunning, w.MaxQueued
+		acquireRequest.Weight, acquireRequest.MaxRunning, acquireRequest.MaxQueued = w.Weight, w.MaxRunning, w.MaxQueued
 	}
-	return ask
+	return acquireRequest
 }
 
 func holderOf(req *peerv1.AcquireRequest) permitHolder {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-func ask(hash uint64) placement.Query {
+func queryFor(hash uint64) placement.Query {
 	return placement.Query{
 		Hash: hash, Zone: "zone-0", Request: &permit.Request{},
 		Accepts: func(*pollenspindle.Server) bool { return true },
@@ -34,8 +34,8 @@
 	ring := placement.NewRing(servers(12))
 	for hash := range uint64(50) {
 		h := hash * 0x9e3779b97f4a7c15
-		a := placement.Choose(now, ring, ask(h), nil, rand.New(rand.NewPCG(1, hash)))
-		b := placement.Choose(now, ring, ask(h), nil, rand.New(rand.NewPCG(2, hash)))
+		a := placement.Choose(now, ring, queryFor(h), nil, rand.New(rand.NewPCG(1, hash)))
+		b := placement.Choose(now, ring, queryFor(h), nil, rand.New(rand.NewPCG(2, hash)))
 		require.Len(t, a, placement.MaxCandidates)
 		require.ElementsMatch(t, a[:2], b[:2], "affine servers")
 	}
@@ -117,7 +117,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			a := ask(99)
+			a := queryFor(99)
 			if tt.change != nil {
 				tt.change(&a)
 			}
@@ -140,7 +140,7 @@
 		if rng.IntN(2) == 0 {
 			h = rng.Uint64()
 		}
-		for _, s := range placement.Choose(now, ring, ask(h), views, rng) {
+		for _, s := range placement.Choose(now, ring, queryFor(h), views, rng) {
 			if running[s.Name] < limit {
 				running[s.Name]++
 				views[s.Name] = placement.View{LoadPermille: running[s.Name] * 1000 / limit, ObservedAt: now}
@@ -165,7 +165,7 @@
 			rng := rand.New(rand.NewPCG(1, 1))
 			b.ReportAllocs()
 			for b.Loop() {
-				placement.Choose(now, ring, ask(rng.Uint64()), nil, rng)
+				placement.Choose(now, ring, queryFor(rng.Uint64()), nil, rng)
 			}
 		})
 	}
--- a/internal/platformstate/follow.go
+++ b/internal/platformstate/follow.go
@@ -143,13 +143,13 @@
 func (f *Follower) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	kinds := f.opts.Dialect.Kinds
-	bounds := f.opts.PropagationLimits
+	limits := f.opts.PropagationLimits
 	var all []*watchedResource
 	for _, w := range []*watchedResource{
-		{resource: Configuration, kind: kinds.Configuration, timeout: watchTimeout, limit: bounds.Configuration, list: f.listConfiguration, apply: f.applyConfiguration},
-		{resource: Servers, kind: kinds.Servers, timeout: serversWatchTimeout, limit: bounds.Servers, list: f.listServers, apply: f.applyServers},
-		{resource: Zones, kind: kinds.DrainedZones, timeout: watchTimeout, limit: bounds.Zones, list: f.listZones},
-		{resource: Rollouts, kind: kinds.Rollouts, timeout: watchTimeout, limit: bounds.Rollouts, list: f.listRollouts},
+		{resource: Configuration, kind: kinds.Configuration, timeout: watchTimeout, limit: limits.Configuration, list: f.listConfiguration, apply: f.applyConfiguration},
+		{resource: Servers, kind: kinds.Servers, timeout: serversWatchTimeout, limit: limits.Servers, list: f.listServers, apply: f.applyServers},
+		{resource: Zones, kind: kinds.DrainedZones, timeout: watchTimeout, limit: limits.Zones, list: f.listZones},
+		{resource: Rollouts, kind: kinds.Rollouts, timeout: watchTimeout, limit: limits.Rollouts, list: f.listRollouts},
 	} {
 		if w.limit == 0 {
 			continue
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -139,15 +139,15 @@
 	}, nil
 }
 
-func (p *fakePermits) MaySend(now time.Time, given permit.Permit) bool { return given.Valid(now) }
+func (p *fakePermits) MaySend(now time.Time, granted permit.Permit) bool { return granted.Valid(now) }
 
-func (p *fakePermits) ReportBroken(_ time.Time, given permit.Permit) {
+func (p *fakePermits) ReportBroken(_ time.Time, granted permit.Permit) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.broken == nil {
 		p.broken = map[string]int{}
 	}
-	p.broken[given.Server]++
+	p.broken[granted.Server]++
 }
 
 func (p *fakePermits) Release(_ permit.Permit, o permit.Outcome) {
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -73,9 +73,9 @@
 		if ring == nil {
 			continue
 		}
-		ask := placement.Query{Hash: req.PrefixHash, Zone: r.opts.Self.Zone, Request: req, Accepts: snap.AcceptsRequests}
+		query := placement.Query{Hash: req.PrefixHash, Zone: r.opts.Self.Zone, Request: req, Accepts: snap.AcceptsRequests}
 		r.mu.Lock()
-		found := placement.Choose(now, ring, ask, r.views, r.rng)
+		found := placement.Choose(now, ring, query, r.views, r.rng)
 		r.mu.Unlock()
 		if len(found) > 0 {
 			return found, nil
--- a/internal/router/cluster_test.go
+++ b/internal/router/cluster_test.go
@@ -229,9 +229,9 @@
 }
 
 // serve acquires a permit through in and runs a short request.
-func (c *cluster) serve(in *instance, id string, within time.Duration) error {
+func (c *cluster) serve(in *instance, id string, timeout time.Duration) error {
 	now := time.Now()
-	p, err := in.router.Acquire(c.t.Context(), now, request(id, within))
+	p, err := in.router.Acquire(c.t.Context(), now, request(id, timeout))
 	if err != nil {
 		return err
 	}
@@ -247,10 +247,10 @@
 	return nil
 }
 
-func request(id string, within time.Duration) permit.Request {
+func request(id string, timeout time.Duration) permit.Request {
 	return permit.Request{
 		ID: id, Service: "briefing", Model: "m", Workspace: "w", Class: pollenspindle.ClassInteractive,
-		PromptTokens: 10, PrefixHash: xxhash.Sum64String(id), Deadline: time.Now().Add(within),
+		PromptTokens: 10, PrefixHash: xxhash.Sum64String(id), Deadline: time.Now().Add(timeout),
 	}
 }
 
--- a/internal/serve/adapters.go
+++ b/internal/serve/adapters.go
@@ -48,8 +48,8 @@
 }
 
 // Confirmed implements caller.ConfigSource.
-func (g guardedConfig) Confirmed(now time.Time, within time.Duration) bool {
-	return g.members.NewWorkAllowed(now) && g.Store.Confirmed(now, within)
+func (g guardedConfig) Confirmed(now time.Time, maxAge time.Duration) bool {
+	return g.members.NewWorkAllowed(now) && g.Store.Confirmed(now, maxAge)
 }
 
 // configVersions queries the configuration versions of the instances.
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -11,7 +11,7 @@
 //	switch {
 //	case errors.Is(err, service.ErrNotSent), errors.Is(err, service.ErrRefused):
 //		// not run
-//	case errors.Is(err, service.ErrLost):
+//	case errors.Is(err, service.ErrUnknownOutcome):
 //		// unknown
 //	}
 package service
@@ -41,8 +41,8 @@
 	// ErrRefused means that the service refused the request before running
 	// it. errors.As with a *Refusal gives the details.
 	ErrRefused = merry.Sentinel("service: request refused")
-	// ErrUnknownOutcome means that no response arrived. The service may have run the request, or may still be
-	// running it.
+	// ErrUnknownOutcome means that no response arrived. The service may have run the request, or
+	// may still be running it.
 	ErrUnknownOutcome = merry.Sentinel("service: response lost")
 	// ErrTooLarge means that the service ran the request and the response exceeds the size limit.
 	ErrTooLarge = merry.Sentinel("service: response too large")
--- a/internal/slopes/background_loops.go
+++ b/internal/slopes/background_loops.go
@@ -82,9 +82,9 @@
 type fakeLoads struct{}
 
 // Load implements owner.Loads.
-func (fakeLoads) Load(_ context.Context, asked time.Time, _ pollenspindle.ServiceKind, _ string) (admission.Report, error) {
+func (fakeLoads) Load(_ context.Context, polledAt time.Time, _ pollenspindle.ServiceKind, _ string) (admission.Report, error) {
 	r := engineReport(runningPerServer)
-	r.MeasuredAt = asked
+	r.MeasuredAt = polledAt
 	return r, nil
 }
 
--- a/internal/slopes/poll_rates.go
+++ b/internal/slopes/poll_rates.go
@@ -40,12 +40,12 @@
 }
 
 // Load implements owner.Loads.
-func (l *countingLoads) Load(_ context.Context, asked time.Time, _ pollenspindle.ServiceKind, address string) (admission.Report, error) {
+func (l *countingLoads) Load(_ context.Context, polledAt time.Time, _ pollenspindle.ServiceKind, address string) (admission.Report, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.polls[address]++
 	r := engineReport(runningPerServer)
-	r.MeasuredAt = asked
+	r.MeasuredAt = polledAt
 	return r, nil
 }
 
