--- a/internal/outlier/simulation_test.go
+++ b/internal/outlier/simulation_test.go
@@ -22,7 +22,7 @@
 	servers int
 	// rate is in requests per second, reads the fraction of them that are reads.
 	rate, reads float64
-	// usualBooking and usualRead are the failure rates on a healthy server.
+	// baselineBooking and baselineRead are the failure rates on a healthy server.
 	baselineBooking, baselineRead float64
 	// faulty servers additionally fail the fraction fails of all requests between
 	// begin and end.
