--- a/internal/commandlock/commandlock.go
+++ b/internal/commandlock/commandlock.go
@@ -1,5 +1,5 @@
-// Package commandlock decides when a command, such as loading a model, may be sent to a model engine. Two
-// instances may each believe that they own the engine, since a lease can expire while its holder is
+// Package commandlock decides when a command, such as loading a model, may be sent to a model engine.
+// Two instances may each believe that they own the engine, since a lease can expire while its holder is
 // paused; a command of one must not undo a later command of the other. All functions are pure.
 //
 // A lock that permits one command is an object of the platform, acquired by a conditional update.
