--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/forecast"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/permit"
 )
 
@@ -195,7 +195,7 @@
 		}
 		s.memory.Add(seq)
 	}
-	curve := s.lengths.Curve(length.Key{})
+	curve := s.lengths.Curve(outputlength.Key{})
 	for _, f := range s.foreign {
 		s.memory.Add(forecast.Sequence{Prompt: f.Prompt, Generated: f.Output + grown, Curve: curve})
 	}
@@ -218,9 +218,9 @@
 	if s.cfg.MemoryTokens == 0 {
 		return 1
 	}
-	bound := req.MaxTokens
-	if bound <= 0 {
-		bound = length.MaxTokens
+	maxTokens := req.MaxTokens
+	if maxTokens <= 0 {
+		maxTokens = outputlength.MaxTokens
 	}
-	return float64(req.PromptTokens) + s.lengths.Curve(lengthKey(req)).MeanRemaining(0, bound)
+	return float64(req.PromptTokens) + s.lengths.Curve(lengthKey(req)).MeanRemaining(0, maxTokens)
 }
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -4,10 +4,10 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/forecast"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/queue"
-	"pollenspindle.example/pollenspindle/internal/warmup"
+	"pollenspindle.example/pollenspindle/internal/slowstart"
 )
 
 // maxReportAge is how long after its last report an unreachable server still queues
@@ -20,9 +20,9 @@
 type Server struct {
 	cfg      Config
 	policy   Policy
-	limit    *warmup.Limit
+	limit    *slowstart.Limit
 	interval *forecast.Interval
-	lengths  *length.Estimator
+	lengths  *outputlength.Estimator
 	queue    *queue.Queue
 
 	// grants is indexed by request ID, permits by permit ID.
@@ -63,7 +63,7 @@
 
 // New returns the state of a server about which nothing is known. It grants no
 // permits before Open and a load report.
-func New(cfg Config, p Policy, lengths *length.Estimator) *Server {
+func New(cfg Config, p Policy, lengths *outputlength.Estimator) *Server {
 	params := queue.DefaultParams
 	if cfg.MaxQueued > 0 {
 		params.MaxItems = cfg.MaxQueued
@@ -71,7 +71,7 @@
 	return &Server{
 		cfg:            cfg,
 		policy:         p,
-		limit:          warmup.NewLimit(cfg.ColdLimit, cfg.WarmLimit),
+		limit:          slowstart.NewLimit(cfg.ColdLimit, cfg.WarmLimit),
 		interval:       forecast.NewInterval(),
 		lengths:        lengths,
 		queue:          queue.New(params),
--- a/internal/order/order.go
+++ b/internal/commandlock/commandlock.go
@@ -1,5 +1,5 @@
-// Package order decides when a command, such as loading a model, may be sent to a model engine. Two
-// instances may each believe that they own the engine, since a lease can expire while its holder is
+// Package commandlock decides when a command, such as loading a model, may be sent to a model engine.
+// Two instances may each believe that they own the engine, since a lease can expire while its holder is
 // paused; a command of one must not undo a later command of the other. All functions are pure.
 //
 // A lock that permits one command is an object of the platform, acquired by a conditional update.
@@ -10,12 +10,12 @@
 //
 // # Usage
 //
-//	switch d := order.Decide(now, timing, held, checksFencing).(type) {
-//	case order.Acquire: // conditional update on d.Version
-//	case order.Wait: // retry after d.Delay
+//	switch d := commandlock.Decide(now, timing, held, checksFencing).(type) {
+//	case commandlock.Acquire: // conditional update on d.Version
+//	case commandlock.Wait: // retry after d.Delay
 //	}
-//	if order.MaySend(time.Now(), timing, started) { ... }
-package order
+//	if commandlock.MaySend(time.Now(), timing, started) { ... }
+package commandlock
 
 import "time"
 
@@ -49,9 +49,9 @@
 	// Version is 0 if there is no object.
 	Version int64
 	Record  Record
-	// SeenAt is when this instance first saw this version, by its own clock. Clocks of different
+	// ObservedAt is when this instance first saw this version, by its own clock. Clocks of different
 	// instances are never compared.
-	SeenAt time.Time
+	ObservedAt time.Time
 }
 
 // Decision is [Acquire] or [Wait].
@@ -75,7 +75,7 @@
 	if held.Version == 0 || held.Record.Ended || checksFencing {
 		return Acquire{held.Version}
 	}
-	remaining := held.SeenAt.Add(t.SendTimeout + t.MaxDuration).Sub(now)
+	remaining := held.ObservedAt.Add(t.SendTimeout + t.MaxDuration).Sub(now)
 	if remaining > 0 {
 		return Wait{remaining}
 	}
--- a/internal/engineorder/engineorder.go
+++ b/internal/enginecommand/enginecommand.go
@@ -1,14 +1,14 @@
-// Package engineorder sends commands to the model engines that this instance owns: to load a
+// Package enginecommand sends commands to the model engines that this instance owns: to load a
 // version of a model. Each command has a fencing token from the platform, an engine gets one
-// command at a time, and the engine's state is read before and after. Package order decides when a
-// command may be sent.
+// command at a time, and the engine's state is read before and after. Package commandlock decides
+// when a command may be sent.
 //
 // # Usage
 //
-//	g, err := engineorder.New(engineorder.Options{Self: id, Objects: objects, Engines: engines, Ownership: member, ...})
+//	g, err := enginecommand.New(enginecommand.Options{Self: id, Objects: objects, Engines: engines, Ownership: member, ...})
 //	defer g.Close()
-//	outcome, err := g.Load(ctx, engineorder.Command{Server: "engine-1", Model: "briefing", Version: "3"})
-package engineorder
+//	outcome, err := g.Load(ctx, enginecommand.Command{Server: "engine-1", Model: "briefing", Version: "3"})
+package enginecommand
 
 import (
 	"context"
@@ -19,9 +19,9 @@
 	"github.com/panjf2000/ants/v2"
 	"github.com/rs/zerolog"
 
+	"pollenspindle.example/pollenspindle/internal/commandlock"
 	"pollenspindle.example/pollenspindle/internal/config"
 	"pollenspindle.example/pollenspindle/internal/engine"
-	"pollenspindle.example/pollenspindle/internal/order"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
@@ -49,7 +49,7 @@
 
 // Ownership tells what this instance may do for an engine; *member.Member implements it.
 type Ownership interface {
-	Right(now time.Time, s roster.Server) permit.Authority
+	Authority(now time.Time, s roster.Server) permit.Authority
 }
 
 // Options configures a [Executor].
@@ -59,8 +59,8 @@
 	Engines   Engines
 	Ownership Ownership
 	Config    func() *config.Snapshot
-	// Timing defaults to [order.DefaultTiming]; tests set it.
-	Timing order.Timing
+	// Timing defaults to [commandlock.DefaultTiming]; tests set it.
+	Timing commandlock.Timing
 	Log    zerolog.Logger
 }
 
@@ -79,8 +79,8 @@
 
 // New returns an executor. Close it after use.
 func New(opts Options) (*Executor, error) {
-	if opts.Timing == (order.Timing{}) {
-		opts.Timing = order.DefaultTiming
+	if opts.Timing == (commandlock.Timing{}) {
+		opts.Timing = commandlock.DefaultTiming
 	}
 	pool, err := ants.NewPool(maxConcurrentCommands, ants.WithNonblocking(true))
 	if err != nil {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -110,7 +110,7 @@
 	return permit.Permit{Server: fmt.Sprint("s", n), Address: fmt.Sprint("a", n), ExpiresAt: expires}, nil
 }
 
-func (p *fakePermits) MaySend(now time.Time, given permit.Permit) bool { return given.Valid(now) }
+func (p *fakePermits) MaySend(now time.Time, granted permit.Permit) bool { return granted.Valid(now) }
 
 func (p *fakePermits) ReportBroken(time.Time, permit.Permit) {}
 
@@ -181,7 +181,7 @@
 // once, unless the service certainly didn't run it. The outcome may be "not run" only if no attempt
 // can have run, and each permit must be released once.
 func TestDo(t *testing.T) {
-	lost, notSent := service.ErrLost, service.ErrNotSent
+	lost, notSent := service.ErrUnknownOutcome, service.ErrNotSent
 	tests := map[string]struct {
 		idempotent, expired bool
 		refuseAt            int
@@ -226,8 +226,8 @@
 }
 
 // Concurrent and later requests use the same idempotency key. The service must receive the booking
-// once, all callers that get an answer must get the same one, and no other may be told that it
-// wasn't run.
+// once, all callers that get an answer must get the same one, and no other may get the answer
+// that it wasn't run.
 func TestKeyRunsOnce(t *testing.T) {
 	s, claims := &fakeService{}, newClaims(false)
 	f := newTestForwarder(t, s, &fakePermits{}, claims)
@@ -262,7 +262,7 @@
 		again   int
 	}{
 		"nothing is sent while the platform is down": {down: true, outcome: answer.OutcomeNotRun},
-		"the key stays claimed after a lost answer":  {errs: []error{service.ErrLost}, outcome: answer.OutcomeUnknown, sent: 1, again: 1},
+		"the key stays claimed after a lost answer":  {errs: []error{service.ErrUnknownOutcome}, outcome: answer.OutcomeUnknown, sent: 1, again: 1},
 		"a call that did not run releases its key":   {errs: []error{&service.Refusal{Status: 429}}, outcome: answer.OutcomeNotRun, sent: 1, again: 2},
 	}
 	for name, tt := range tests {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -31,12 +31,12 @@
 	"github.com/uber-go/tally/v4"
 	"golang.org/x/time/rate"
 
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peer"
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
-	"pollenspindle.example/pollenspindle/internal/suspect"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 const (
@@ -71,7 +71,7 @@
 // Options configures a [Gossip].
 type Options struct {
 	Table *membership.Table
-	State *observed.State
+	State *platformstate.State
 	Key   peer.Key
 	// Seeds are the addresses of instances to join; some may be outdated.
 	Seeds []string
@@ -81,8 +81,8 @@
 	ApplyConfiguration func(now time.Time, value []byte, source string)
 	// ApplySuspects applies crash suspects from other instances, and Suspects returns those for
 	// an instance that joins; nil for none.
-	ApplySuspects func(now time.Time, entries []suspect.Entry)
-	Suspects      func(now time.Time) []suspect.Entry
+	ApplySuspects func(now time.Time, entries []crashsuspect.Entry)
+	Suspects      func(now time.Time) []crashsuspect.Entry
 	// Handlers are further handlers for calls of instances, by path.
 	Handlers map[string]http.Handler
 	Log      zerolog.Logger
@@ -95,7 +95,7 @@
 type Gossip struct {
 	opts       Options
 	self       string
-	caller     *peerrpc.Client
+	client     *instancerpc.Client
 	calls      *ants.Pool
 	deliveries *deliveries
 	// wake holds a value while there is something to broadcast. One is enough: a broadcast
@@ -126,17 +126,17 @@
 		return nil, merry.Prepend(err, "create pool for calls to instances")
 	}
 	if opts.ApplySuspects == nil {
-		opts.ApplySuspects = func(time.Time, []suspect.Entry) {}
+		opts.ApplySuspects = func(time.Time, []crashsuspect.Entry) {}
 	}
 	if opts.Suspects == nil {
-		opts.Suspects = func(time.Time) []suspect.Entry { return nil }
+		opts.Suspects = func(time.Time) []crashsuspect.Entry { return nil }
 	}
 	if opts.Scope == nil {
 		opts.Scope = tally.NoopScope
 	}
 	self := opts.Table.Self().ID
 	return &Gossip{
-		opts: opts, self: self, caller: peerrpc.NewClient(opts.Key, self, probeTimeout), calls: calls, deliveries: newDeliveries(),
+		opts: opts, self: self, client: instancerpc.NewClient(opts.Key, self, probeTimeout), calls: calls, deliveries: newDeliveries(),
 		wake: make(chan struct{}, 1), serveLimiter: rate.NewLimiter(servedPerSecond, servedPerSecond),
 	}, nil
 }
@@ -186,7 +186,7 @@
 		}
 	}
 	background.Wait()
-	g.caller.CloseIdleConnections()
+	g.client.CloseIdleConnections()
 }
 
 // periodFor returns the time between two probes of one of n instances.
@@ -210,16 +210,16 @@
 	From    string              `json:"from"`
 	Records []membership.Record `json:"records,omitempty"`
 	// Versions are the sender's versions, Update is what the receiver lacks.
-	Versions *observed.Versions `json:"versions,omitempty"`
+	Versions *platformstate.Versions `json:"versions,omitempty"`
 	// Instances is the number of instances that the sender knows.
 	Instances int `json:"instances,omitempty"`
 	// Digest is the digest of the running processes that the sender knows.
-	Digest uint64           `json:"digest,omitempty"`
-	Update *observed.Update `json:"update,omitempty"`
+	Digest uint64                `json:"digest,omitempty"`
+	Update *platformstate.Update `json:"update,omitempty"`
 	// Snapshot tells the receiver to fetch a snapshot instead of an update.
 	Snapshot bool `json:"snapshot,omitempty"`
 	// Suspects are crash suspects.
-	Suspects []suspect.Entry `json:"suspects,omitempty"`
+	Suspects []crashsuspect.Entry `json:"suspects,omitempty"`
 	// Origin, Incarnation and Sequence identify a broadcast.
 	Origin      string `json:"origin,omitempty"`
 	Incarnation int64  `json:"started,omitempty"`
@@ -234,9 +234,9 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	m.From = g.self
-	client := connect.NewClient[Message, Message](g.caller.HTTP, "http://"+address+procedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[Message, Message](g.client.HTTP, "http://"+address+procedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(m)
-	g.caller.Sign(g.opts.Now(), req.Header(), procedure)
+	g.client.Sign(g.opts.Now(), req.Header(), procedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
 		g.opts.Scope.Tagged(map[string]string{"procedure": procedure[len(servicePath):]}).Counter("callsFailed").Inc(1)
@@ -249,13 +249,13 @@
 // handler returns a handler for calls of instances that have the key.
 func (g *Gossip) handler(procedure string, answer func(ctx context.Context, m *Message) *Message) http.Handler {
 	return connect.NewUnaryHandler(procedure, func(ctx context.Context, req *connect.Request[Message]) (*connect.Response[Message], error) {
-		if err := peerrpc.Verify(g.opts.Key, g.opts.Now(), req.Header(), procedure); err != nil {
+		if err := instancerpc.Verify(g.opts.Key, g.opts.Now(), req.Header(), procedure); err != nil {
 			return nil, err
 		}
 		m := answer(ctx, req.Msg)
 		m.From = g.self
 		return connect.NewResponse(m), nil
-	}, peerrpc.HandlerOptions()...)
+	}, instancerpc.HandlerOptions()...)
 }
 
 // Serve serves other instances on the listener until ctx ends.
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -15,8 +15,8 @@
 	"github.com/ansel1/merry/v2"
 	gojson "github.com/goccy/go-json"
 
-	"pollenspindle.example/pollenspindle/internal/observed"
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 const (
@@ -48,7 +48,7 @@
 }
 
 // configuration returns the compressed configuration.
-func (p *compressedCache) configuration(state *observed.State) ([]byte, error) {
+func (p *compressedCache) configuration(state *platformstate.State) ([]byte, error) {
 	raw, version := state.RawConfiguration()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +65,7 @@
 
 // snapshot returns a compressed snapshot of the platform state without the configuration,
 // and its age.
-func (p *compressedCache) snapshot(now time.Time, state *observed.State) ([]byte, time.Duration, error) {
+func (p *compressedCache) snapshot(now time.Time, state *platformstate.State) ([]byte, time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if age := now.Sub(p.at); p.data != nil && age >= 0 && age < snapshotTTL {
@@ -110,7 +110,7 @@
 }
 
 func (g *Gossip) serveCompressed(w http.ResponseWriter, r *http.Request, procedure string, get func() ([]byte, time.Duration, error)) {
-	if peerrpc.Verify(g.opts.Key, g.opts.Now(), r.Header, procedure) != nil {
+	if instancerpc.Verify(g.opts.Key, g.opts.Now(), r.Header, procedure) != nil {
 		w.WriteHeader(http.StatusUnauthorized)
 		return
 	}
@@ -133,14 +133,14 @@
 }
 
 // lacksConfiguration reports whether another instance has a newer configuration.
-func (g *Gossip) lacksConfiguration(v *observed.Versions) bool {
-	version, _ := g.opts.State.Version(observed.Configuration)
-	return v[observed.Configuration].Version > version
+func (g *Gossip) lacksConfiguration(v *platformstate.Versions) bool {
+	version, _ := g.opts.State.Version(platformstate.Configuration)
+	return v[platformstate.Configuration].Version > version
 }
 
 // fetchNewerConfiguration fetches the configuration of another instance in the background
 // if it is newer.
-func (g *Gossip) fetchNewerConfiguration(ctx context.Context, v *observed.Versions, address string) {
+func (g *Gossip) fetchNewerConfiguration(ctx context.Context, v *platformstate.Versions, address string) {
 	if g.lacksConfiguration(v) {
 		g.submit("configuration", func() { g.fetchConfiguration(ctx, address) })
 	}
@@ -149,10 +149,10 @@
 // fetchConfiguration fetches the configuration of another instance, one fetch at a time:
 // concurrent calls wait, as they usually want the same one.
 func (g *Gossip) fetchConfiguration(ctx context.Context, address string) {
-	before, _ := g.opts.State.Version(observed.Configuration)
+	before, _ := g.opts.State.Version(platformstate.Configuration)
 	g.configurationMu.Lock()
 	defer g.configurationMu.Unlock()
-	if now, _ := g.opts.State.Version(observed.Configuration); now != before {
+	if now, _ := g.opts.State.Version(platformstate.Configuration); now != before {
 		return
 	}
 	raw, _, err := g.fetchCompressed(ctx, address, configurationProcedure)
@@ -165,12 +165,12 @@
 
 // fetchSnapshot fetches and applies another instance's platform state without the
 // configuration.
-func (g *Gossip) fetchSnapshot(ctx context.Context, address, from string) (*observed.Update, error) {
+func (g *Gossip) fetchSnapshot(ctx context.Context, address, from string) (*platformstate.Update, error) {
 	raw, age, err := g.fetchCompressed(ctx, address, snapshotProcedure)
 	if err != nil {
 		return nil, err
 	}
-	var u observed.Update
+	var u platformstate.Update
 	if err := gojson.Unmarshal(raw, &u); err != nil {
 		return nil, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
@@ -182,13 +182,13 @@
 func (g *Gossip) fetchCompressed(ctx context.Context, address, procedure string) ([]byte, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	asked := g.opts.Now()
+	sentAt := g.opts.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+procedure, nil)
 	if err != nil {
 		return nil, 0, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
-	g.caller.Sign(asked, req.Header, procedure)
-	res, err := g.caller.HTTP.Do(req)
+	g.client.Sign(sentAt, req.Header, procedure)
+	res, err := g.client.HTTP.Do(req)
 	if err != nil {
 		return nil, 0, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
@@ -201,11 +201,11 @@
 	if err != nil {
 		return nil, 0, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
-	raw, err := io.ReadAll(io.LimitReader(unpacked, peerrpc.MaxBytes))
+	raw, err := io.ReadAll(io.LimitReader(unpacked, instancerpc.MaxBytes))
 	if err != nil {
 		return nil, 0, merry.Wrap(ErrFetch, merry.WithCause(err))
 	}
 	millis, _ := strconv.ParseInt(res.Header.Get(ageHeader), 10, 64)
 	// The transfer time is part of the age.
-	return raw, time.Duration(millis)*time.Millisecond + g.opts.Now().Sub(asked), nil
+	return raw, time.Duration(millis)*time.Millisecond + g.opts.Now().Sub(sentAt), nil
 }
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -27,9 +27,9 @@
 var (
 	// ErrNotSent means that no byte of the request left this process.
 	ErrNotSent = merry.Sentinel("request not sent")
-	// ErrLost means that the exchange failed after bytes may have left. The server may have run the
-	// request, or may still be running it.
-	ErrLost = merry.Sentinel("exchange lost")
+	// ErrUnknownOutcome means that the exchange failed after bytes may have left. The server may
+	// have run the request, or may still be running it.
+	ErrUnknownOutcome = merry.Sentinel("exchange lost")
 	// ErrTooLarge means that the response exceeds the size limit. The server has run the request.
 	ErrTooLarge = merry.Sentinel("response too large")
 )
@@ -40,7 +40,7 @@
 	// doesn't interrupt it, only the context's deadline shortens it.
 	DialTimeout time.Duration
 	// WriteTimeout limits the sending of a request; 5 s by default. Without it, a request larger
-	// than the socket's buffer would block forever on a dead link.
+	// than the socket's buffer would block forever on a broken link.
 	WriteTimeout time.Duration
 	// IdleTimeout is how long an idle connection is kept; 2 s by default. It is shorter than the
 	// usual idle timeouts of servers, 5 s and more, so that a request rarely uses a connection that
@@ -148,13 +148,13 @@
 		return merry.Wrap(ErrNotSent, merry.WithCause(err))
 	}
 	if err := reqcodec.Write(req, r.conn); err != nil {
-		return merry.Wrap(ErrLost, merry.WithCause(err))
+		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 	}
 	if err := r.conn.Flush(); err != nil {
-		return merry.Wrap(ErrLost, merry.WithCause(err))
+		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 	}
 	if err := respcodec.ReadHeaders(r.Response, r.conn); err != nil {
-		return merry.Wrap(ErrLost, merry.WithCause(err))
+		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 	}
 	if call.Stream {
 		return r.openBody()
--- a/internal/ingress/active_streams.go
+++ b/internal/ingress/active_streams.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/balancer"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 // activeStreams holds the streams that are being relayed.
@@ -158,7 +158,7 @@
 	return int(a.eventCount()) * max(1, a.request.service.Engine.TokensPerEvent)
 }
 
-func (a *activeStream) server() observed.Server {
+func (a *activeStream) server() platformstate.Server {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.placement.Server
@@ -249,7 +249,7 @@
 	return point, true
 }
 
-// beginCutover records that the server is told to stop the generation: from now on the end of its
+// beginCutover records that the server is asked to stop the generation: from now on the end of its
 // response isn't the end of the generation.
 func (a *activeStream) beginCutover(server string) bool {
 	a.mu.Lock()
--- a/internal/ingress/migrations.go
+++ b/internal/ingress/migrations.go
@@ -7,12 +7,12 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 const (
 	// scanInterval is how often the active streams are checked, in addition to every change of the
-	// servers, for streams that began in between.
+	// servers, for streams that started in between.
 	scanInterval = 150 * time.Millisecond
 	// copyTimeout limits one copy. It is longer than engines run after their notice: the engine
 	// continues a copy whose call was given up, which blocks the next one.
@@ -85,7 +85,7 @@
 // migrateStalled migrates the generation of a stalled stream to another engine.
 //
 // A half-open connection delivers neither events nor an error. The engine stops the generation when
-// it is told to migrate it, so the generation can't run twice; if the engine doesn't know the
+// it gets the request to migrate it, so the generation can't run twice; if the engine doesn't know the
 // generation, there is nothing to wait for.
 func (s *Server) migrateStalled(ctx context.Context, st *activeStream) {
 	source := st.server()
@@ -118,7 +118,7 @@
 // the size of the deployment.
 func (s *Server) pollReports(ctx context.Context, lastPolled map[string]time.Time) {
 	now := s.opts.Now()
-	if s.opts.State.Age(now, observed.Servers) < observed.ServersInterval+platformSilenceMargin {
+	if s.opts.State.Age(now, platformstate.Servers) < platformstate.ServersInterval+platformSilenceMargin {
 		clear(lastPolled)
 		return
 	}
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s *Server) pollReport(ctx context.Context, server observed.Server) {
+func (s *Server) pollReport(ctx context.Context, server platformstate.Server) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	_, body, err := s.upstream.Call(ctx, server.Address, http.MethodGet, s.opts.Dialect.Paths.Report, nil)
--- a/internal/ingress/request.go
+++ b/internal/ingress/request.go
@@ -12,7 +12,7 @@
 	"github.com/cloudwego/hertz/pkg/app"
 
 	"pollenspindle.example/pollenspindle/internal/answer"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/routes"
 	"pollenspindle.example/pollenspindle/internal/service"
 )
@@ -21,7 +21,7 @@
 	// defaultTimeout applies if neither the caller nor the route sets a timeout.
 	defaultTimeout = 30 * time.Second
 	// denyMaxAge is the maximum age of the last confirmation of the configuration with which a
-	// request may be told that its key or route doesn't exist. A key that was added since then
+	// request may be refused because its key or route doesn't exist. A key that was added since then
 	// would be refused permanently, whereas a temporary refusal is correct in both cases.
 	denyMaxAge = 1900 * time.Millisecond
 	// denyRetryAfter is the Retry-After of an instance without a fresh configuration; it receives a
@@ -49,7 +49,7 @@
 	workspace string
 	priority  int
 	start     time.Time
-	// callerDeadline is when the caller disconnects, startDeadline when a response must have begun.
+	// callerDeadline is when the caller disconnects, startDeadline when a response must have started.
 	callerDeadline time.Time
 	startDeadline  time.Time
 	// promptTokens, expectedOutput and maxOutput are numbers of tokens.
@@ -141,7 +141,7 @@
 
 // deny returns f, which says that something doesn't exist, only if the configuration is fresh.
 func (s *Server) deny(now time.Time, f *answer.Failure) error {
-	if s.opts.State.Age(now, observed.Configuration) > s.opts.DenyMaxAge {
+	if s.opts.State.Age(now, platformstate.Configuration) > s.opts.DenyMaxAge {
 		return s.notReady()
 	}
 	return f
@@ -207,7 +207,7 @@
 	body, err := c.Body()
 	if err != nil {
 		c.SetConnectionClose()
-		return nil, answer.Invalid("body", "ended before its length")
+		return nil, answer.Invalid("body", "is shorter than its Content-Length")
 	}
 	if limit > 0 && len(body) > limit {
 		return nil, answer.NotRun(http.StatusRequestEntityTooLarge, answer.CodeBodyTooLarge, "body: larger than "+strconv.Itoa(limit)+" bytes")
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -39,9 +39,9 @@
 	"pollenspindle.example/pollenspindle/internal/answer"
 	"pollenspindle.example/pollenspindle/internal/balancer"
 	"pollenspindle.example/pollenspindle/internal/dialect"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/outlierpeer"
 	"pollenspindle.example/pollenspindle/internal/planner"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/retry"
 	"pollenspindle.example/pollenspindle/internal/rolloutpeer"
 	"pollenspindle.example/pollenspindle/internal/upstream"
@@ -63,7 +63,7 @@
 	// maxWorkers limits the concurrent background tasks, most of which are migrations.
 	maxWorkers = 64
 	// directoryTTL is how long callers may cache a directory response. Some cache it three times as
-	// long; in that time a dead instance costs them a failed connection.
+	// long; in that time an instance that is down costs them a failed connection.
 	directoryTTL = time.Second
 )
 
@@ -75,7 +75,7 @@
 	Ready     net.Listener
 	Directory net.Listener
 	Zone      string
-	State     *observed.State
+	State     *platformstate.State
 	Dialect   dialect.Dialect
 	Balancer  *balancer.Balancer
 	Retries   *retry.Budgets
--- a/internal/ingress/streams_test.go
+++ b/internal/ingress/streams_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"pollenspindle.example/pollenspindle/internal/dialect"
-	"pollenspindle.example/pollenspindle/internal/observed"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 // sendEvents sends the events first to last, and then ends the stream or aborts it within an event.
@@ -66,46 +66,46 @@
 
 // migratableEngine is an engine that can migrate its generation.
 type migratableEngine struct {
-	// abortsOnStop makes the engine exit without an answer when it is told to stop; afterwards it
+	// abortsOnStop makes the engine exit without an answer when it is asked to stop; afterwards it
 	// answers conflicts times that an earlier request is in progress.
 	abortsOnStop bool
 	conflicts    int
 	// garblesResponse makes the engine stop and answer with invalid JSON.
 	garblesResponse bool
 
-	stop        chan struct{}
-	mu          sync.Mutex
-	stopped     bool
-	moves       []dialect.MigrationRequest
-	resumedFrom string
+	stop              chan struct{}
+	mu                sync.Mutex
+	stopped           bool
+	migrationRequests []dialect.MigrationRequest
+	resumedFrom       string
 }
 
 func (m *migratableEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/move":
-		var move dialect.MigrationRequest
-		_ = json.NewDecoder(r.Body).Decode(&move)
+		var req dialect.MigrationRequest
+		_ = json.NewDecoder(r.Body).Decode(&req)
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.moves = append(m.moves, move)
-		if move.Stop && m.stopped && m.conflicts > 0 {
+		m.migrationRequests = append(m.migrationRequests, req)
+		if req.Stop && m.stopped && m.conflicts > 0 {
 			m.conflicts--
 			w.WriteHeader(http.StatusConflict)
 			return
 		}
-		if move.Stop && m.stopped {
+		if req.Stop && m.stopped {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		if move.Stop {
+		if req.Stop {
 			m.stopped = m.abortsOnStop || m.garblesResponse
 			close(m.stop)
 			m.stop = make(chan struct{})
 		}
-		if move.Stop && m.abortsOnStop {
+		if req.Stop && m.abortsOnStop {
 			panic(http.ErrAbortHandler)
 		}
-		if move.Stop && m.garblesResponse {
+		if req.Stop && m.garblesResponse {
 			_, _ = io.WriteString(w, `{"Handle":`)
 			return
 		}
@@ -141,7 +141,7 @@
 			a, b := &migratableEngine{stop: make(chan struct{})}, &migratableEngine{stop: make(chan struct{})}
 			f := startFixture(t, map[string]http.Handler{"llm-1": a, "llm-2": b})
 			if silent {
-				f.clock.advance(observed.ServersInterval + platformSilenceMargin + time.Second)
+				f.clock.advance(platformstate.ServersInterval + platformSilenceMargin + time.Second)
 			}
 			resp := f.send("POST", "/plan/1", "{}", "T-Tokens", "3000,4000", "T-Hint", "900")
 			three := make([]byte, len(wantEvents(3)))
@@ -166,14 +166,14 @@
 			require.Equal(t, wantEvents(7), string(three)+string(rest))
 			server, _ := f.state.Server(at)
 			require.True(t, server.Leaving)
-			require.False(t, source.moves[0].Stop)
-			require.True(t, source.moves[len(source.moves)-1].Stop)
+			require.False(t, source.migrationRequests[0].Stop)
+			require.True(t, source.migrationRequests[len(source.migrationRequests)-1].Stop)
 			require.Equal(t, server.Address+"/h1 after 3", target.resumedFrom)
 		})
 	}
 }
 
-// Guards against losing or running twice a copied generation whose engine exits when it is told to
+// Guards against losing or running twice a copied generation whose engine exits when it is asked to
 // stop: the stream must resume from the copy, with each event once, but only after the engine no
 // longer reports an earlier request in progress.
 func TestStreamResumesFromCopy(t *testing.T) {
@@ -235,9 +235,9 @@
 
 func (s *refusingEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/move" {
-		var move dialect.MigrationRequest
-		_ = json.NewDecoder(r.Body).Decode(&move)
-		if !move.Stop {
+		var req dialect.MigrationRequest
+		_ = json.NewDecoder(r.Body).Decode(&req)
+		if !req.Stop {
 			_, _ = io.WriteString(w, `{"Handle":"h1","Events":3}`)
 			return
 		}
@@ -339,8 +339,8 @@
 	require.Equal(t, wantEvents(7), string(three)+string(rest))
 }
 
-// Guards against copying several generations in turn to an engine that has exited but is still
-// listed during a platform outage. The source engine reports it as unreachable after a third of a
+// Guards against copying several generations one after the other to an engine that has exited but
+// is still listed during a platform outage. The source engine reports it as unreachable after a third of a
 // second; an engine that refuses at once is running and full.
 func TestUnreachableTargetIsRemembered(t *testing.T) {
 	tests := map[string]struct {
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -11,19 +11,19 @@
 	"time"
 
 	"pollenspindle.example/pollenspindle/internal/balancer"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/gossip"
 	"pollenspindle.example/pollenspindle/internal/ingress"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/outlierpeer"
 	"pollenspindle.example/pollenspindle/internal/peer"
 	"pollenspindle.example/pollenspindle/internal/planner"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/retry"
 	"pollenspindle.example/pollenspindle/internal/rollout"
 	"pollenspindle.example/pollenspindle/internal/rolloutpeer"
 	"pollenspindle.example/pollenspindle/internal/settings"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 	"pollenspindle.example/pollenspindle/internal/telemetry"
 )
 
@@ -34,21 +34,21 @@
 // build creates the components of the instance.
 func (in *instance) build(ctx context.Context) error {
 	cfg, d := in.cfg, in.opts.Dialect
-	in.state = observed.NewState()
+	in.state = platformstate.NewState()
 	objects := objectapi.NewClient("http://"+cfg.PlatformAddress, objectapi.Options{
 		Codec: d.Objects, ReadsPerSecond: readsPerSecond, ReadBurst: readBurst, OnCall: in.recordCall,
 	})
 	in.table = membership.NewTable(membership.Record{
 		ID: cfg.Instance, Peer: cfg.PeerAddress, Caller: cfg.CallerAddress, Zone: cfg.Zone, StartedAt: time.Now().UnixMilli(),
 	})
-	bounds := balancer.ColdLimits{ColdOverage: cfg.ColdOverage, ColdSlack: cfg.ColdSlack}
-	lb := balancer.New(bounds, rand.New(rand.NewPCG(rand.Uint64(), 1)), nil)
+	coldLimits := balancer.ColdLimits{ColdOverage: cfg.ColdOverage, ColdSlack: cfg.ColdSlack}
+	lb := balancer.New(coldLimits, rand.New(rand.NewPCG(rand.Uint64(), 1)), nil)
 	key, err := peer.NewKey(cfg.PeerKey)
 	if err != nil {
 		return err
 	}
 	in.planner = planner.New(planner.Options{
-		Self: cfg.Instance, Table: in.table, Key: key, State: in.state, ColdLimits: bounds, OwnLoads: lb.Loads, LoadChanged: lb.Changed(), Failures: lb.Failures,
+		Self: cfg.Instance, Table: in.table, Key: key, State: in.state, ColdLimits: coldLimits, OwnLoads: lb.Loads, LoadChanged: lb.Changed(), Failures: lb.Failures,
 		Log: telemetry.ComponentLogger(in.tel.Log, "planner"), Now: time.Now,
 	})
 	in.buildRollouts(key, objects, lb)
@@ -58,7 +58,7 @@
 	})
 	lb.SetAvoid(in.outliers.ShouldAvoid)
 	in.suspects = ingress.NewSuspects()
-	in.suspects.Broadcast = func(entries []suspect.Entry) { in.gossip.BroadcastSuspects(entries) }
+	in.suspects.Broadcast = func(entries []crashsuspect.Entry) { in.gossip.BroadcastSuspects(entries) }
 	in.gossip, err = gossip.New(gossip.Options{
 		ApplySuspects: in.suspects.Merge, Suspects: in.suspects.Newest,
 		Table: in.table, State: in.state, Key: key,
@@ -72,23 +72,23 @@
 	if err != nil {
 		return err
 	}
-	in.follower = observed.NewFollower(observed.Options{
+	in.follower = platformstate.NewFollower(platformstate.Options{
 		State: in.state, Objects: objects, Dialect: d, Log: telemetry.ComponentLogger(in.tel.Log, "platform"), Now: time.Now,
-		Rank: in.table.Rank, Broadcast: in.gossip.Broadcast, StartWait: in.startupWait(), InstanceCount: in.instances, PropagationLimits: platformBounds(cfg),
+		Rank: in.table.Rank, Broadcast: in.gossip.Broadcast, StartWait: in.startupWait(), InstanceCount: in.instances, PropagationLimits: propagationLimits(cfg),
 	})
 	return in.buildServer(ctx, lb)
 }
 
-// platformBounds returns the deployment's time limits for changes of the platform state, or the
+// propagationLimits returns the deployment's time limits for changes of the platform state, or the
 // default ones.
-func platformBounds(cfg settings.Ingress) observed.PropagationLimits {
-	b := observed.DefaultPropagationLimits
+func propagationLimits(cfg settings.Ingress) platformstate.PropagationLimits {
+	b := platformstate.DefaultPropagationLimits
 	for _, limit := range []struct {
 		millis float64
-		bound  *time.Duration
+		target *time.Duration
 	}{{cfg.ConfigurationMillis, &b.Configuration}, {cfg.DrainMillis, &b.Servers}, {cfg.EvacuationMillis, &b.Zones}, {cfg.RollbackMillis, &b.Rollouts}} {
 		if limit.millis > 0 {
-			*limit.bound = time.Duration(limit.millis * float64(time.Millisecond))
+			*limit.target = time.Duration(limit.millis * float64(time.Millisecond))
 		}
 	}
 	return b
@@ -133,7 +133,7 @@
 	return startupWait + time.Duration(rand.Int64N(int64(startupJitter)))
 }
 
-// status returns what other instances are told about this one.
+// status returns what this instance reports about itself to the others.
 func (in *instance) status() membership.Status {
 	return membership.Status{Ready: in.server.Ready(), Leaving: in.server.Draining(), PlatformUnreachable: in.follower.PlatformUnreachable()}
 }
@@ -161,7 +161,7 @@
 		Callers: listeners[0], Ready: listeners[1], Directory: listeners[2], Zone: cfg.Zone,
 		State: in.state, Dialect: in.opts.Dialect, Balancer: lb,
 		Retries:   retry.NewSharedBudgets(rand.New(rand.NewPCG(rand.Uint64(), 2)), in.retryLimits),
-		Instances: in.instances, DenyMaxAge: time.Duration(float64(platformBounds(cfg).Configuration) * denyAgeShare), Addresses: in.callerAddresses, Planner: in.planner, Rollouts: in.rollouts, Outliers: in.outliers, Suspects: in.suspects,
+		Instances: in.instances, DenyMaxAge: time.Duration(float64(propagationLimits(cfg).Configuration) * denyAgeShare), Addresses: in.callerAddresses, Planner: in.planner, Rollouts: in.rollouts, Outliers: in.outliers, Suspects: in.suspects,
 		Grace: time.Duration(cfg.GraceSeconds * float64(time.Second)),
 		Log:   telemetry.ComponentLogger(in.tel.Log, "caller"), Scope: in.tel.Metrics.SubScope("ingress"), Tracer: in.tel.Tracer, Now: time.Now,
 	})
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -7,7 +7,7 @@
 //	m, err := member.New(member.Options{Self: self, Objects: objects, List: list, Config: store, Peers: pool})
 //	server := peer.NewServer(m.Handler(owner), key, scope)
 //	go m.Run(ctx)
-//	authority := m.Right(now, server)
+//	authority := m.Authority(now, server)
 package member
 
 import (
@@ -22,12 +22,12 @@
 	"github.com/uber-go/tally/v4"
 
 	"pollenspindle.example/pollenspindle/internal/config"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/instancelist"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
 	"pollenspindle.example/pollenspindle/internal/peer"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
 // Objects is the part of the platform's object API that stores the roster.
@@ -48,15 +48,15 @@
 	Snapshot() *config.Snapshot
 	Version() int64
 	Confirm(now time.Time)
-	Confirmed(now time.Time, within time.Duration) bool
+	Confirmed(now time.Time, maxAge time.Duration) bool
 	ObjectsAfter(after int64) (int64, []config.Object, error)
 	Merge(now time.Time, objects []config.Object) (bool, error)
 }
 
 // Suspects is the table of crash suspects, which instances exchange in heartbeats.
 type Suspects interface {
-	Newest(now time.Time, n int) []suspect.Entry
-	Merge(now time.Time, entries []suspect.Entry)
+	Newest(now time.Time, n int) []crashsuspect.Entry
+	Merge(now time.Time, entries []crashsuspect.Entry)
 }
 
 // Options configures a [Member].
@@ -146,15 +146,15 @@
 	loops.Wait()
 }
 
-// Right implements owner.Rights. After a pause of the process there is none until it is confirmed
-// again.
-func (m *Member) Right(now time.Time, s roster.Server) permit.Authority {
+// Authority implements owner.AuthoritySource. After a pause of the process there is none until it
+// is confirmed again.
+func (m *Member) Authority(now time.Time, s roster.Server) permit.Authority {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.guard.Allowed(now) {
 		return permit.Authority{Epoch: m.lease.Roster().Epoch}
 	}
-	return m.lease.Right(now, s)
+	return m.lease.Authority(now, s)
 }
 
 // Roster returns the current roster. Its epoch is 0 before the first one was adopted.
--- a/internal/member/outage_test.go
+++ b/internal/member/outage_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 	"github.com/uber-go/tally/v4"
 
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/peer"
 	"pollenspindle.example/pollenspindle/internal/roster"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
 // timedConfig is a configuration of version 1 without servers.
@@ -32,14 +32,14 @@
 	}
 }
 
-func (c *timedConfig) Confirmed(now time.Time, within time.Duration) bool {
-	return now.Sub(c.confirmed) <= within
+func (c *timedConfig) Confirmed(now time.Time, maxAge time.Duration) bool {
+	return now.Sub(c.confirmed) <= maxAge
 }
 
 type noSuspects struct{}
 
-func (noSuspects) Newest(time.Time, int) []suspect.Entry { return nil }
-func (noSuspects) Merge(time.Time, []suspect.Entry)      {}
+func (noSuspects) Newest(time.Time, int) []crashsuspect.Entry { return nil }
+func (noSuspects) Merge(time.Time, []crashsuspect.Entry)      {}
 
 // action is a function that runs at a point in simulated time.
 type action struct {
@@ -110,7 +110,7 @@
 	for i := range n {
 		cfg := &timedConfig{}
 		m, err := New(Options{
-			Self: all[i], Timing: roster.Timing{LeaseDuration: fleetLease, PermitValidity: 2 * time.Second}, Config: cfg, Suspects: noSuspects{},
+			Self: all[i], Timing: roster.Timing{LeaseDuration: fleetLease, PermitLifetime: 2 * time.Second}, Config: cfg, Suspects: noSuspects{},
 			Peers: peer.NewPool(all[i].ID, key, tally.NoopScope), Heartbeat: fleetHeartbeat,
 			Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: seed + uint64(i),
 		})
@@ -234,8 +234,8 @@
 const upBeforeOutage = 2 * time.Second
 
 // The platform goes down, refusing calls or silently, and a tenth of all heartbeats is lost. No
-// instance hears from more than half of the roster itself. It must learn the rest from the ages in
-// other answers before its last confirmation expires, so that it always accepts new work.
+// instance gets answers from more than half of the roster itself. It must learn the rest from the
+// ages in other answers before its last confirmation expires, so that it always accepts new work.
 func TestPlatformOutage(t *testing.T) {
 	tests := map[string]struct {
 		instances int
--- a/internal/outlierpeer/peer.go
+++ b/internal/outlierpeer/peer.go
@@ -23,12 +23,12 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/outlier"
 	"pollenspindle.example/pollenspindle/internal/peer"
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 const (
@@ -73,7 +73,7 @@
 // concurrent use.
 type Peer struct {
 	opts   Options
-	caller *peerrpc.Client
+	client *instancerpc.Client
 
 	mu          sync.Mutex
 	detector    *outlier.Detector
@@ -89,13 +89,13 @@
 		opts.Scope = tally.NoopScope
 	}
 	return &Peer{
-		opts: opts, caller: peerrpc.NewClient(opts.Key, opts.Self, callTimeout), detector: outlier.NewDetector(),
+		opts: opts, client: instancerpc.NewClient(opts.Key, opts.Self, callTimeout), detector: outlier.NewDetector(),
 		answers: map[answerKey]*outlier.Answers{}, ejected: map[string]ejection{},
 	}
 }
 
 // RecordAnswer records an answer of a server.
-func (p *Peer) RecordAnswer(server observed.Server, route string, failed bool) {
+func (p *Peer) RecordAnswer(server platformstate.Server, route string, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := answerKey{server.Service, server.ID, route}
@@ -127,7 +127,7 @@
 			p.report(ctx, now, Report{Answers: answers})
 		}
 	}
-	p.caller.CloseIdleConnections()
+	p.client.CloseIdleConnections()
 }
 
 // dueReport returns the answers to report if a report is due, and clears them.
@@ -163,9 +163,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	client := connect.NewClient[Report, ReportResponse](p.caller.HTTP, "http://"+aggregator.Peer+reportProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[Report, ReportResponse](p.client.HTTP, "http://"+aggregator.Peer+reportProcedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(&r)
-	p.caller.Sign(now, req.Header(), reportProcedure)
+	p.client.Sign(now, req.Header(), reportProcedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
 		p.opts.Log.Debug().Str("instance", aggregator.ID).Err(err).Msg("outlier report failed")
@@ -208,13 +208,13 @@
 func (p *Peer) Handlers() map[string]http.Handler {
 	report := func(_ context.Context, req *connect.Request[Report]) (*connect.Response[ReportResponse], error) {
 		now := p.opts.Now()
-		if err := peerrpc.Verify(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
+		if err := instancerpc.Verify(p.opts.Key, now, req.Header(), reportProcedure); err != nil {
 			return nil, err
 		}
 		v := p.aggregate(now, *req.Msg)
 		return connect.NewResponse(&v), nil
 	}
 	return map[string]http.Handler{
-		reportProcedure: connect.NewUnaryHandler(reportProcedure, report, peerrpc.HandlerOptions()...),
+		reportProcedure: connect.NewUnaryHandler(reportProcedure, report, instancerpc.HandlerOptions()...),
 	}
 }
--- a/internal/outlierpeer/peer_test.go
+++ b/internal/outlierpeer/peer_test.go
@@ -13,11 +13,11 @@
 
 	"pollenspindle.example/pollenspindle/internal/dialect"
 	"pollenspindle.example/pollenspindle/internal/membership"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peer"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
-// newZone starts the instances of one availability newZone.
+// newZone starts the instances of one availability zone.
 func newZone(t *testing.T, ids ...string) []*Peer {
 	key, err := peer.NewKey(base64.StdEncoding.EncodeToString([]byte(strings.Repeat("k", 32))))
 	require.NoError(t, err)
@@ -43,8 +43,8 @@
 	return peers
 }
 
-func deskServer(id string) observed.Server {
-	return observed.Server{Server: dialect.Server{ID: id, Service: "desk"}}
+func deskServer(id string) platformstate.Server {
+	return platformstate.Server{Server: dialect.Server{ID: id, Service: "desk"}}
 }
 
 // reportAll makes every instance send its report.
@@ -57,7 +57,7 @@
 	}
 }
 
-// Guards against missing a failing server because each instance of the newZone sees too
+// Guards against missing a failing server because each instance of the zone sees too
 // few of its answers.
 func TestInstancesOfAZoneDetectAFailingServer(t *testing.T) {
 	peers := newZone(t, "i1", "i2", "i3", "i4")
@@ -89,7 +89,7 @@
 	other, err := peer.NewKey(base64.StdEncoding.EncodeToString([]byte(strings.Repeat("x", 32))))
 	require.NoError(t, err)
 	for _, p := range peers {
-		p.caller.Key = other
+		p.client.Key = other
 		for range 30 {
 			p.RecordAnswer(deskServer("healthy"), "bookings", false)
 			p.RecordAnswer(deskServer("faulty"), "bookings", true)
--- a/internal/owner/acquire.go
+++ b/internal/owner/acquire.go
@@ -8,10 +8,10 @@
 	"go.opentelemetry.io/otel/trace"
 
 	"pollenspindle.example/pollenspindle/internal/admission"
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 	"pollenspindle.example/pollenspindle/internal/permit"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 )
 
 // fullLoadPermille is the load reported for a server without free capacity.
@@ -39,14 +39,14 @@
 	if !ok || !snap.AcceptsRequests(server) {
 		return refusedResponse(permit.ReasonNoServer, defaultRetryAfter, fullLoadPermille)
 	}
-	if o.opts.Suspects.check(received, req.GetFingerprint()) == suspect.Refused {
+	if o.opts.Suspects.check(received, req.GetFingerprint()) == crashsuspect.Refused {
 		return refusedResponse(permit.ReasonSuspect, o.opts.Suspects.retryAfter(received, req.GetFingerprint()), fullLoadPermille)
 	}
-	right := o.right(received, snap, server)
-	if req.GetEpoch() != right.Epoch || right.Role == permit.RoleNone {
-		return notOwnerResponse(right)
+	authority := o.authority(received, snap, server)
+	if req.GetEpoch() != authority.Epoch || authority.Role == permit.RoleNone {
+		return notOwnerResponse(authority)
 	}
-	if right.Role == permit.RoleWaiting {
+	if authority.Role == permit.RoleWaiting {
 		return delayedResponse(ctx, o.waitLimit(req))
 	}
 	e := o.entry(snap, server)
@@ -68,7 +68,7 @@
 	if o.permitExpired(received, decision) {
 		return delayedResponse(ctx, o.waitLimit(req))
 	}
-	return o.response(received, right, decision)
+	return o.response(received, authority, decision)
 }
 
 // permitExpired reports whether a permit granted to an earlier call with the same
@@ -79,7 +79,7 @@
 }
 
 func (o *Owner) validFor(received time.Time, g admission.Granted) time.Duration {
-	return min(o.opts.PermitValidity, g.ExpiresAt.Sub(received))
+	return min(o.opts.PermitLifetime, g.ExpiresAt.Sub(received))
 }
 
 // startSpan starts a span for the owner's part of a traced request, which may
@@ -139,12 +139,12 @@
 	})
 }
 
-func (o *Owner) response(received time.Time, right permit.Authority, decision admission.Decision) *peerv1.AcquireResponse {
+func (o *Owner) response(received time.Time, authority permit.Authority, decision admission.Decision) *peerv1.AcquireResponse {
 	switch d := decision.(type) {
 	case admission.Granted:
 		return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_Granted{Granted: &peerv1.Granted{
 			PermitId:          d.PermitID,
-			Epoch:             right.Epoch,
+			Epoch:             authority.Epoch,
 			OwnerIncarnation:  o.opts.Incarnation,
 			ServerIncarnation: d.ServerIncarnation,
 			ValidMillis:       int32(o.validFor(received, d) / time.Millisecond),
@@ -179,7 +179,7 @@
 // waitLimit returns how long a request may wait here. A permit's validity counts
 // from the request, so one granted after half of it could hardly be used.
 func (o *Owner) waitLimit(req *peerv1.AcquireRequest) time.Duration {
-	return min(max(0, time.Duration(req.GetWaitMillis())*time.Millisecond), maxAcquireWait, o.opts.PermitValidity/2)
+	return min(max(0, time.Duration(req.GetWaitMillis())*time.Millisecond), maxAcquireWait, o.opts.PermitLifetime/2)
 }
 
 func refusedResponse(reason permit.Reason, retryAfter time.Duration, loadPermille int) *peerv1.AcquireResponse {
@@ -190,15 +190,15 @@
 	}}}
 }
 
-func notOwnerResponse(right permit.Authority) *peerv1.AcquireResponse {
+func notOwnerResponse(authority permit.Authority) *peerv1.AcquireResponse {
 	return &peerv1.AcquireResponse{Answer: &peerv1.AcquireResponse_NotOwner{NotOwner: &peerv1.NotOwner{
-		Epoch: right.Epoch, Owner: right.Owner,
+		Epoch: authority.Epoch, Owner: authority.Owner,
 	}}}
 }
 
 // Release handles the release of permits by the instances that hold them.
 func (o *Owner) Release(released []*peerv1.Released) {
-	o.opts.Costs.Meter(control.RolePermits).Run(func() { o.release(released) })
+	o.opts.Costs.Meter(controlcost.RolePermits).Run(func() { o.release(released) })
 }
 
 func (o *Owner) release(released []*peerv1.Released) {
--- a/internal/owner/decide.go
+++ b/internal/owner/decide.go
@@ -6,10 +6,10 @@
 
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 	"pollenspindle.example/pollenspindle/internal/permit"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
@@ -33,7 +33,7 @@
 	for {
 		now := time.Now()
 		var d acquireResult
-		o.opts.Costs.Meter(control.RolePermits).Run(func() { d = o.decide(now, snap, server, e, req) })
+		o.opts.Costs.Meter(controlcost.RolePermits).Run(func() { d = o.decide(now, snap, server, e, req) })
 		if d.reportReady != nil {
 			// The poll continues if the requesting instance goes away.
 			o.poll(context.WithoutCancel(ctx), now, snap, *server, e)
@@ -56,7 +56,7 @@
 	o.withLock(e, func() {
 		// The right is read again under the lock, so that no decision is made
 		// under a right that a newer roster has revoked.
-		e.applyRight(now, o.right(now, snap, server), snap.AcceptsRequests(server))
+		e.applyAuthority(now, o.authority(now, snap, server), snap.AcceptsRequests(server))
 		out.grantingSince = e.grantingSince
 		sufficient := e.lastReportSuffices(now, o.opts.PollInterval)
 		out.reportReady = e.reportReady
@@ -77,10 +77,10 @@
 }
 
 func (o *Owner) admissionRequest(now time.Time, snap *config.Snapshot, req *peerv1.AcquireRequest) admission.AcquireRequest {
-	ask := admission.AcquireRequest{
+	acquireRequest := admission.AcquireRequest{
 		PermitID: NewPermitID(),
 		MayQueue: req.GetWaitMillis() > 0,
-		Suspect:  o.opts.Suspects.check(now, req.GetFingerprint()) == suspect.Suspected,
+		Suspect:  o.opts.Suspects.check(now, req.GetFingerprint()) == crashsuspect.Suspected,
 		Request: permit.Request{
 			ID:           req.GetId(),
 			Service:      req.GetService(),
@@ -95,9 +95,9 @@
 		},
 	}
 	if w, ok := snap.WorkspaceByName[req.GetWorkspace()]; ok {
-		ask.Weight, ask.MaxRunning, ask.MaxQueued = w.Weight, w.MaxRunning, w.MaxQueued
+		acquireRequest.Weight, acquireRequest.MaxRunning, acquireRequest.MaxQueued = w.Weight, w.MaxRunning, w.MaxQueued
 	}
-	return ask
+	return acquireRequest
 }
 
 func holderOf(req *peerv1.AcquireRequest) permitHolder {
--- a/internal/owner/expired_permit_test.go
+++ b/internal/owner/expired_permit_test.go
@@ -35,16 +35,16 @@
 		Servers:  []pollenspindle.Server{server},
 	})
 	o, err := New(Options{
-		Rights: alwaysOwner{}, Config: func() *config.Snapshot { return snap }, Loads: immediateLoads{},
-		Policy: admission.Predicted{}, Suspects: NewSuspects(), PermitValidity: permitFor, PollInterval: time.Minute,
+		AuthoritySource: alwaysOwner{}, Config: func() *config.Snapshot { return snap }, Loads: immediateLoads{},
+		Policy: admission.Predicted{}, Suspects: NewSuspects(), PermitLifetime: permitFor, PollInterval: time.Minute,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	require.NoError(t, err)
 	defer o.workers.Release()
 	now := time.Now()
-	right := permit.Authority{Role: permit.RoleOwner}
+	authority := permit.Authority{Role: permit.RoleOwner}
 	e := o.entry(snap, &server)
-	e.applyRight(now.Add(-time.Hour), right, true)
+	e.applyAuthority(now.Add(-time.Hour), authority, true)
 	e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 	e.reachable, e.polledAt = true, now
 	past := now.Add(-permitFor - 5*time.Millisecond)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	o, err := owner.New(owner.Options{Self: self, Rights: member, Config: store.Snapshot, Loads: loads})
+//	o, err := owner.New(owner.Options{Self: self, AuthoritySource: member, Config: store.Snapshot, Loads: loads})
 //	go o.Run(ctx)
 //	res := o.Acquire(ctx, req)
 package owner
@@ -22,8 +22,8 @@
 
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
-	"pollenspindle.example/pollenspindle/internal/control"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
@@ -59,36 +59,36 @@
 	ErrNotListening = merry.Sentinel("backend server refuses connections")
 )
 
-// Rights returns what this instance may grant for a server, and the roster.
-type Rights interface {
-	Right(now time.Time, s roster.Server) permit.Authority
+// AuthoritySource returns what this instance may grant for a server, and the roster.
+type AuthoritySource interface {
+	Authority(now time.Time, s roster.Server) permit.Authority
 	Roster() *roster.Roster
 }
 
 // Options configures an [Owner].
 type Options struct {
-	Self        string
-	Incarnation string
-	Rights      Rights
-	Config      func() *config.Snapshot
-	Loads       Loads
-	Policy      admission.Policy
-	Suspects    *Suspects
-	// PermitValidity is how long a permit is valid, PollInterval the usual time
+	Self            string
+	Incarnation     string
+	AuthoritySource AuthoritySource
+	Config          func() *config.Snapshot
+	Loads           Loads
+	Policy          admission.Policy
+	Suspects        *Suspects
+	// PermitLifetime is how long a permit is valid, PollInterval the usual time
 	// between two load reports of one server.
-	PermitValidity time.Duration
+	PermitLifetime time.Duration
 	PollInterval   time.Duration
 	Log            zerolog.Logger
 	Metrics        tally.Scope
 	// Costs accounts for the owner's resource use; it may be nil.
-	Costs *control.Meters
+	Costs *controlcost.Meters
 }
 
 // Owner grants permits for backend servers. It is safe for concurrent use.
 type Owner struct {
 	opts    Options
 	workers *ants.Pool
-	lengths *length.Estimator
+	lengths *outputlength.Estimator
 
 	// mu guards entries; each entry has its own lock. All entries share the
 	// length estimator, so lengthsMu is held during admission calls.
@@ -112,7 +112,7 @@
 	return &Owner{
 		opts:    opts,
 		workers: workers,
-		lengths: length.NewEstimator(length.DefaultParams),
+		lengths: outputlength.NewEstimator(outputlength.DefaultParams),
 		entries: map[string]*entry{},
 	}, nil
 }
@@ -127,7 +127,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			o.opts.Costs.Meter(control.RoleOwner).Run(func() { o.tick(ctx, time.Now()) })
+			o.opts.Costs.Meter(controlcost.RoleOwner).Run(func() { o.tick(ctx, time.Now()) })
 		}
 	}
 }
@@ -136,7 +136,7 @@
 // no longer assigned, and polls.
 func (o *Owner) tick(ctx context.Context, now time.Time) {
 	snap := o.opts.Config()
-	r := o.opts.Rights.Roster()
+	r := o.opts.AuthoritySource.Roster()
 	epochChanged := r.Epoch != o.epoch
 	if epochChanged || snap.Version != o.version {
 		o.assigned = assignedServers(snap, r, o.opts.Self)
@@ -144,17 +144,17 @@
 		o.revokeUnassigned(now, snap)
 	}
 	for _, server := range o.assigned {
-		right := o.right(now, snap, server)
+		authority := o.authority(now, snap, server)
 		e := o.entry(snap, server)
 		o.withLock(e, func() {
 			if epochChanged {
 				e.releaseOrphanedPermits(now, r)
 			}
 			e.setConfig(o.admissionConfig(snap, server))
-			e.applyRight(now, right, snap.AcceptsRequests(server))
+			e.applyAuthority(now, authority, snap.AcceptsRequests(server))
 			e.deliver(e.state.Tick(now))
 		})
-		if right.Role != permit.RoleNone {
+		if authority.Role != permit.RoleNone {
 			o.poll(ctx, now, snap, *server, e)
 		}
 	}
@@ -188,7 +188,7 @@
 	defer o.mu.Unlock()
 	for name, e := range o.entries {
 		if !keep[name] {
-			o.withLock(e, func() { e.applyRight(now, permit.Authority{}, false) })
+			o.withLock(e, func() { e.applyAuthority(now, permit.Authority{}, false) })
 		}
 		if _, ok := snap.Servers[name]; !ok {
 			delete(o.entries, name)
@@ -229,8 +229,8 @@
 	f()
 }
 
-func (o *Owner) right(now time.Time, snap *config.Snapshot, server *pollenspindle.Server) permit.Authority {
-	return o.opts.Rights.Right(now, RosterServer(snap, server))
+func (o *Owner) authority(now time.Time, snap *config.Snapshot, server *pollenspindle.Server) permit.Authority {
+	return o.opts.AuthoritySource.Authority(now, RosterServer(snap, server))
 }
 
 // RosterServer returns the properties of server that decide on its owner.
@@ -247,7 +247,7 @@
 		Name:           server.Name,
 		ColdLimit:      server.ColdLimit,
 		WarmLimit:      server.WarmLimit,
-		PermitLifetime: o.opts.PermitValidity,
+		PermitLifetime: o.opts.PermitLifetime,
 		QueueTimeout:   queuePlaceTTL,
 	}
 	service, ok := snap.Services[server.Service]
@@ -284,7 +284,7 @@
 	o.withLock(e, func() {
 		l = Load{
 			Server:       server,
-			Role:         e.right.Role,
+			Role:         e.authority.Role,
 			Running:      e.state.Running(),
 			Queued:       e.state.Queued(),
 			Limit:        e.state.Limit(),
--- a/internal/owner/poll_interval_test.go
+++ b/internal/owner/poll_interval_test.go
@@ -14,7 +14,7 @@
 
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
-	"pollenspindle.example/pollenspindle/internal/length"
+	"pollenspindle.example/pollenspindle/internal/outputlength"
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
@@ -25,10 +25,10 @@
 func stableEntry(now time.Time) *entry {
 	cfg := admission.Config{Name: "desk-1", ColdLimit: 4, WarmLimit: 4, MemoryTokens: 1000, PermitLifetime: time.Second, QueueTimeout: time.Second}
 	e := &entry{
-		cfg: cfg, state: admission.New(cfg, admission.FixedLimit{}, length.NewEstimator(length.DefaultParams)),
+		cfg: cfg, state: admission.New(cfg, admission.FixedLimit{}, outputlength.NewEstimator(outputlength.DefaultParams)),
 		waiters: map[string]chan admission.Decision{}, holders: map[string]permitHolder{}, reachable: true,
 	}
-	e.applyRight(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
+	e.applyAuthority(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
 	e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now})
 	return e
 }
@@ -70,7 +70,7 @@
 		"silent":                    {func(e *entry) { e.recordPoll(now, errors.New("lost"), admission.Report{}, admission.Report{}) }, usual},
 		"not reachable":             {func(e *entry) { e.reachable = false }, usual},
 		"newly owned":               {func(e *entry) { e.grantingSince = now }, usual},
-		"owned by another instance": {func(e *entry) { e.applyRight(now, permit.Authority{}, true) }, usual},
+		"owned by another instance": {func(e *entry) { e.applyAuthority(now, permit.Authority{}, true) }, usual},
 		"report requested":          {func(e *entry) { require.True(t, e.lastReportSuffices(now, usual)) }, 0},
 	}
 	for name, tt := range tests {
@@ -85,7 +85,7 @@
 // alwaysOwner makes this instance the owner of all servers.
 type alwaysOwner struct{}
 
-func (alwaysOwner) Right(time.Time, roster.Server) permit.Authority {
+func (alwaysOwner) Authority(time.Time, roster.Server) permit.Authority {
 	return permit.Authority{Role: permit.RoleOwner}
 }
 func (alwaysOwner) Roster() *roster.Roster { return &roster.Roster{} }
@@ -112,15 +112,15 @@
 	})
 	loads := make(blockedLoads)
 	o, err := New(Options{
-		Rights: alwaysOwner{}, Config: func() *config.Snapshot { return snap }, Loads: loads,
-		Policy: admission.Predicted{}, Suspects: NewSuspects(), PermitValidity: time.Minute, PollInterval: time.Minute,
+		AuthoritySource: alwaysOwner{}, Config: func() *config.Snapshot { return snap }, Loads: loads,
+		Policy: admission.Predicted{}, Suspects: NewSuspects(), PermitLifetime: time.Minute, PollInterval: time.Minute,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	require.NoError(t, err)
 	defer o.workers.Release()
 	now := time.Now()
 	e := o.entry(snap, &server)
-	e.applyRight(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
+	e.applyAuthority(now.Add(-time.Hour), permit.Authority{Role: permit.RoleOwner}, true)
 	e.state.ApplyReport(now, admission.Report{Incarnation: "a", MeasuredAt: now.Add(-2 * time.Minute)})
 	e.reachable, e.polledAt = true, now.Add(-2*time.Minute)
 	for i := 0; e.state.Limit() < server.WarmLimit; i++ {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -25,10 +25,10 @@
 	"github.com/rs/zerolog"
 
 	"pollenspindle.example/pollenspindle/internal/balancer"
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 	"pollenspindle.example/pollenspindle/internal/membership"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peer"
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 const (
@@ -115,7 +115,7 @@
 	Self  string
 	Table *membership.Table
 	Key   peer.Key
-	State *observed.State
+	State *platformstate.State
 	// ColdLimits limits the request rate of cold servers.
 	ColdLimits balancer.ColdLimits
 	// OwnLoads returns this instance's load on each server.
@@ -135,7 +135,7 @@
 	schedule     *Schedule
 	loads        *Loads
 	loadBalancer *balancer.Balancer
-	rpc          *peerrpc.Client
+	rpc          *instancerpc.Client
 
 	mu sync.Mutex
 	// backoff holds the planners that didn't answer, and until when they aren't asked.
@@ -149,7 +149,7 @@
 // New returns a planner.
 func New(opts Options) *Planner {
 	p := &Planner{
-		opts: opts, schedule: NewSchedule(), loads: NewLoads(isAlive(opts.Table)), rpc: peerrpc.NewClient(opts.Key, opts.Self, transferTimeout),
+		opts: opts, schedule: NewSchedule(), loads: NewLoads(isAlive(opts.Table)), rpc: instancerpc.NewClient(opts.Key, opts.Self, transferTimeout),
 		backoff: map[string]time.Time{}, scores: map[string]groupScore{}, groupCache: map[string]serviceGroups{},
 	}
 	p.loadBalancer = balancer.New(opts.ColdLimits, rand.New(rand.NewPCG(rand.Uint64(), 3)), p.loads.ForEngine)
@@ -178,12 +178,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	client := connect.NewClient[TransferRequest, TransferResponse](p.rpc.HTTP, "http://"+address+transferProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[TransferRequest, TransferResponse](p.rpc.HTTP, "http://"+address+transferProcedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(&l)
 	p.rpc.Sign(p.opts.Now(), req.Header(), transferProcedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
-		return TransferResponse{}, p.noteFailure(address, err)
+		return TransferResponse{}, p.recordFailure(address, err)
 	}
 	return *res.Msg, nil
 }
@@ -255,12 +255,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	client := connect.NewClient[PlacementRequest, PlacementResponse](p.rpc.HTTP, "http://"+address+placeProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[PlacementRequest, PlacementResponse](p.rpc.HTTP, "http://"+address+placeProcedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(&r)
 	p.rpc.Sign(p.opts.Now(), req.Header(), placeProcedure)
 	res, err := client.CallUnary(ctx, req)
 	if err != nil {
-		return PlacementResponse{}, p.noteFailure(address, err)
+		return PlacementResponse{}, p.recordFailure(address, err)
 	}
 	return *res.Msg, nil
 }
@@ -282,9 +282,9 @@
 	return address, !now.Before(p.backoff[address])
 }
 
-// noteFailure starts the backoff of a planner that didn't answer and closes its connection, since
+// recordFailure starts the backoff of a planner that didn't answer and closes its connection, since
 // the connection may be what failed.
-func (p *Planner) noteFailure(address string, err error) error {
+func (p *Planner) recordFailure(address string, err error) error {
 	if connect.CodeOf(err) == connect.CodeResourceExhausted {
 		return merry.Wrap(ErrFull, merry.WithCause(err))
 	}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -16,8 +16,8 @@
 	"pollenspindle.example/pollenspindle/internal/balancer"
 	"pollenspindle.example/pollenspindle/internal/dialect"
 	"pollenspindle.example/pollenspindle/internal/membership"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peer"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/routes"
 )
 
@@ -56,7 +56,7 @@
 	require.NoError(t, err)
 	key, err := peer.NewKey(base64.StdEncoding.EncodeToString([]byte(strings.Repeat(secret, 32))))
 	require.NoError(t, err)
-	state, address := observed.NewState(), l.Addr().String()
+	state, address := platformstate.NewState(), l.Addr().String()
 	state.Configure(time.Now(), routes.Configuration{Version: 1, Services: []routes.Service{{
 		Name: "llm", Engine: &routes.Engine{Slots: 24, MemoryTokens: 34000, TokenBytes: 163840, LinkMbps: 24000, SupportsMigration: true, TokensPerEvent: 4},
 	}}}, nil)
@@ -79,7 +79,7 @@
 	return testInstance{p, table, address}
 }
 
-// Two instances place generations in turn and don't know of each other's. Whichever plans, no
+// Two instances place generations alternately and don't know of each other's. Whichever plans, no
 // engine gets a second prompt before each has one.
 func TestInstancesShareOnePlanner(t *testing.T) {
 	a, b := startInstance(t, "a", "k", engineList(12)), startInstance(t, "b", "k", engineList(12))
--- a/internal/planner/reports.go
+++ b/internal/planner/reports.go
@@ -8,9 +8,9 @@
 	"connectrpc.com/connect"
 
 	"pollenspindle.example/pollenspindle/internal/balancer"
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
 const (
@@ -115,11 +115,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	client := connect.NewClient[Report, ReportResponse](p.rpc.HTTP, "http://"+address+reportProcedure, peerrpc.ClientOptions()...)
+	client := connect.NewClient[Report, ReportResponse](p.rpc.HTTP, "http://"+address+reportProcedure, instancerpc.ClientOptions()...)
 	req := connect.NewRequest(&r)
 	p.rpc.Sign(now, req.Header(), reportProcedure)
 	if _, err := client.CallUnary(ctx, req); err != nil {
-		_ = p.noteFailure(address, err)
+		_ = p.recordFailure(address, err)
 		return false
 	}
 	return true
@@ -129,7 +129,7 @@
 type ReportResponse struct{}
 
 // groupEngines returns the engines in the group of an engine.
-func (p *Planner) groupEngines(service, zone, id string) []observed.Server {
+func (p *Planner) groupEngines(service, zone, id string) []platformstate.Server {
 	groups, l := p.groups(service)
 	key := groupKey(l, service, zone, id)
 	for _, g := range groups {
--- a/internal/observed/refresh.go
+++ b/internal/platformstate/refresh.go
@@ -1,4 +1,4 @@
-package observed
+package platformstate
 
 import (
 	"context"
@@ -60,9 +60,9 @@
 
 // relist lists a resource and broadcasts the result.
 func (f *Follower) relist(ctx context.Context, w *watchedResource) error {
-	patience := objectapi.AdaptiveTimeout{Min: callTimeout, Max: maxCallTimeout}
+	adaptive := objectapi.AdaptiveTimeout{Min: callTimeout, Max: maxCallTimeout}
 	before := f.opts.State.ContentHash(w.resource)
-	if _, err := f.list(ctx, w, &patience); err != nil {
+	if _, err := f.list(ctx, w, &adaptive); err != nil {
 		return err
 	}
 	if f.opts.State.ContentHash(w.resource) != before {
@@ -103,7 +103,7 @@
 }
 
 // relistDue reports whether this instance has to list a resource. During an outage only
-// the lists before each watch go on. An instance that isn't a watcher leaves it to others
+// the lists before each watch continue. An instance that isn't a watcher leaves it to others
 // while the platform doesn't answer one of them: they take over in order of rank, not all
 // at once.
 func (f *Follower) relistDue(now time.Time, w *watchedResource) bool {
--- a/internal/rolloutpeer/peer.go
+++ b/internal/rolloutpeer/peer.go
@@ -3,7 +3,7 @@
 // chosen by hashing among the instances that reach the platform, and gets a lease in
 // return: the stage, and the share of requests that may go to the new version. An instance
 // that gets no answer sends nothing to the new version. The coordinator writes the status
-// to the platform, on the condition that nobody has changed it. The next reports hold all
+// to the platform, on the condition that it hasn't changed meanwhile. The next reports hold all
 // that it needs, so any other instance can take over.
 //
 // # Usage
@@ -24,11 +24,11 @@
 	"github.com/uber-go/tally/v4"
 
 	"pollenspindle.example/pollenspindle/internal/dialect"
+	"pollenspindle.example/pollenspindle/internal/instancerpc"
 	"pollenspindle.example/pollenspindle/internal/membership"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
-	"pollenspindle.example/pollenspindle/internal/observed"
 	"pollenspindle.example/pollenspindle/internal/peer"
-	"pollenspindle.example/pollenspindle/internal/peerrpc"
+	"pollenspindle.example/pollenspindle/internal/platformstate"
 	"pollenspindle.example/pollenspindle/internal/rollout"
 )
 
@@ -54,7 +54,7 @@
 	Self    string
 	Table   *membership.Table
 	Key     peer.Key
-	State   *observed.State
+	State   *platformstate.State
 	Objects *objectapi.Client
 	Dialect dialect.Dialect
 	Limits  rollout.Limits
@@ -70,7 +70,7 @@
 // Peer is one instance's part in all rollouts. It is safe for concurrent use.
 type Peer struct {
 	opts   Options
-	caller *peerrpc.Client
+	client *instancerpc.Client
 
 	mu sync.Mutex
 	// ready is set once the platform's rollouts are known.
@@ -100,7 +100,7 @@
 		opts.Scope = tally.NoopScope
 	}
 	return &Peer{
-		opts: opts, caller: peerrpc.NewClient(opts.Key, opts.Self, callTimeout),
+		opts: opts, client: instancerpc.NewClient(opts.Key, opts.Self, callTimeout),
 		rollouts: map[string]*localRollout{}, controllers: map[string]*rollout.Controller{}, checkedAt: opts.Now(),
 	}
 }
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	p.caller.CloseIdleConnections()
+	p.client.CloseIdleConnections()
 }
 
 // checkPause discards the reports from before a suspension of this instance: the monotonic
@@ -160,7 +160,7 @@
 			delete(p.controllers, id)
 		}
 	}
-	version, _ := p.opts.State.Version(observed.Rollouts)
+	version, _ := p.opts.State.Version(platformstate.Rollouts)
 	p.ready = p.ready || version > 0
 }
 
@@ -250,7 +250,7 @@
 
 // Canary returns the servers of the new version for a request of the canary, or false if
 // the request isn't one. draw is a random number from 0 to 1.
-func (p *Peer) Canary(now time.Time, service string, draw float64) ([]observed.Server, bool) {
+func (p *Peer) Canary(now time.Time, service string, draw float64) ([]platformstate.Server, bool) {
 	p.mu.Lock()
 	lr := p.rolloutOf(service)
 	p.mu.Unlock()
@@ -258,7 +258,7 @@
 		return nil, false
 	}
 	all := p.opts.State.Canaries(service)
-	servers := make([]observed.Server, 0, len(all))
+	servers := make([]platformstate.Server, 0, len(all))
 	for _, i := range rollout.CanaryServers(p.opts.Limits.Share, lr.Window(now), len(all)) {
 		servers = append(servers, all[i])
 	}
@@ -274,7 +274,7 @@
 }
 
 // Record counts an observation of a server whose service has a rollout.
-func (p *Peer) Record(now time.Time, server observed.Server, s Observation) {
+func (p *Peer) Record(now time.Time, server platformstate.Server, s Observation) {
 	p.mu.Lock()
 	lr := p.rolloutOf(server.Service)
 	p.mu.Unlock()
--- a/internal/router/cluster_test.go
+++ b/internal/router/cluster_test.go
@@ -148,19 +148,19 @@
 	in := &instance{self: roster.Instance{
 		ID: id, Incarnation: incarnation, PeerAddress: listener.Addr().String(), CallerAddress: "127.0.0.1:1", Zone: "a", Region: "r",
 	}}
-	timing := roster.Timing{LeaseDuration: 1500 * time.Millisecond, PermitValidity: 500 * time.Millisecond}
+	timing := roster.Timing{LeaseDuration: 1500 * time.Millisecond, PermitLifetime: 500 * time.Millisecond}
 	in.member, err = member.New(member.Options{
 		Self: in.self, Timing: timing, Objects: objects, List: list, Config: store, Suspects: suspects, Peers: pool,
 		Heartbeat: time.Second / heartbeatsPerSecond, Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
 	require.NoError(c.t, err)
 	in.owner, err = owner.New(owner.Options{
-		Self: id, Incarnation: incarnation, Rights: in.member, Config: store.Snapshot, Loads: c.backend, Policy: admission.Predicted{},
-		Suspects: suspects, PermitValidity: timing.PermitValidity, PollInterval: 100 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
+		Self: id, Incarnation: incarnation, AuthoritySource: in.member, Config: store.Snapshot, Loads: c.backend, Policy: admission.Predicted{},
+		Suspects: suspects, PermitLifetime: timing.PermitLifetime, PollInterval: 100 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	require.NoError(c.t, err)
 	in.router = router.New(router.Options{
-		Self: in.self, Members: in.member, Local: in.owner, Peers: pool, Config: store.Snapshot, Policy: router.Predicted{}, PermitLifetime: timing.PermitValidity,
+		Self: in.self, Members: in.member, Local: in.owner, Peers: pool, Config: store.Snapshot, Policy: router.Predicted{}, PermitLifetime: timing.PermitLifetime,
 		Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
 	ctx, cancel := context.WithCancel(c.t.Context())
@@ -229,9 +229,9 @@
 }
 
 // serve acquires a permit through in and runs a short request.
-func (c *cluster) serve(in *instance, id string, within time.Duration) error {
+func (c *cluster) serve(in *instance, id string, timeout time.Duration) error {
 	now := time.Now()
-	p, err := in.router.Acquire(c.t.Context(), now, request(id, within))
+	p, err := in.router.Acquire(c.t.Context(), now, request(id, timeout))
 	if err != nil {
 		return err
 	}
@@ -247,10 +247,10 @@
 	return nil
 }
 
-func request(id string, within time.Duration) permit.Request {
+func request(id string, timeout time.Duration) permit.Request {
 	return permit.Request{
 		ID: id, Service: "briefing", Model: "m", Workspace: "w", Class: pollenspindle.ClassInteractive,
-		PromptTokens: 10, PrefixHash: xxhash.Sum64String(id), Deadline: time.Now().Add(within),
+		PromptTokens: 10, PrefixHash: xxhash.Sum64String(id), Deadline: time.Now().Add(timeout),
 	}
 }
 
--- a/internal/serve/adapters.go
+++ b/internal/serve/adapters.go
@@ -48,16 +48,16 @@
 }
 
 // Confirmed implements caller.ConfigSource.
-func (g guardedConfig) Confirmed(now time.Time, within time.Duration) bool {
-	return g.members.NewWorkAllowed(now) && g.Store.Confirmed(now, within)
+func (g guardedConfig) Confirmed(now time.Time, maxAge time.Duration) bool {
+	return g.members.NewWorkAllowed(now) && g.Store.Confirmed(now, maxAge)
 }
 
 // configVersions queries the configuration versions of the instances.
 type configVersions struct{ members *member.Member }
 
 // ConfigVersions implements accepted.Fleet.
-func (f configVersions) ConfigVersions(ctx context.Context, atLeast int64) ([]int64, error) {
-	f.members.RefreshVersions(ctx, atLeast)
+func (f configVersions) ConfigVersions(ctx context.Context, minVersion int64) ([]int64, error) {
+	f.members.RefreshVersions(ctx, minVersion)
 	return slices.Collect(maps.Values(f.members.ConfigVersions())), nil
 }
 
@@ -128,7 +128,7 @@
 func (p *components) rosterTiming() roster.Timing {
 	return roster.Timing{
 		LeaseDuration:  millis(p.settings.Timing.ConfirmMillis),
-		PermitValidity: millis(p.settings.Timing.PermitMillis),
+		PermitLifetime: millis(p.settings.Timing.PermitMillis),
 	}
 }
 
--- a/internal/serve/components.go
+++ b/internal/serve/components.go
@@ -12,9 +12,9 @@
 	"pollenspindle.example/pollenspindle/internal/caller"
 	"pollenspindle.example/pollenspindle/internal/claim"
 	"pollenspindle.example/pollenspindle/internal/config"
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/engine"
-	"pollenspindle.example/pollenspindle/internal/engineorder"
+	"pollenspindle.example/pollenspindle/internal/enginecommand"
 	"pollenspindle.example/pollenspindle/internal/fleet"
 	"pollenspindle.example/pollenspindle/internal/generation"
 	"pollenspindle.example/pollenspindle/internal/instancelist"
@@ -38,7 +38,7 @@
 type components struct {
 	settings   settings.Settings
 	tel        *telemetry.Telemetry
-	costs      *control.Meters
+	costs      *controlcost.Meters
 	objects    *objectapi.Client
 	store      *config.Store
 	claims     *claim.Store
@@ -49,7 +49,7 @@
 	owner      *owner.Owner
 	router     *router.Router
 	fleet      *fleet.Fleet
-	commands   *engineorder.Executor
+	commands   *enginecommand.Executor
 	models     models
 	journal    *journal.Journal
 	peerServer *peer.Server
@@ -61,7 +61,7 @@
 }
 
 func newComponents(s settings.Settings, tel *telemetry.Telemetry) (*components, error) {
-	p := &components{settings: s, tel: tel, costs: control.New(tel.Metrics.SubScope("control")), leaving: make(chan struct{}), journal: journal.New(journal.DefaultLimits)}
+	p := &components{settings: s, tel: tel, costs: controlcost.New(tel.Metrics.SubScope("control")), leaving: make(chan struct{}), journal: journal.New(journal.DefaultLimits)}
 	p.self = roster.Instance{
 		ID: s.Instance, Incarnation: uuid.NewString(), Region: s.Region, Zone: s.Zone,
 		CallerAddress: s.CallerAddress, PeerAddress: s.PeerAddress,
@@ -69,8 +69,8 @@
 	p.objects = objectapi.NewClient(s.PlatformURL, objectapi.Options{OnCall: p.countCall})
 	p.store = config.NewStore(config.StoreOptions{Objects: p.objects, Log: telemetry.ComponentLogger(tel.Log, "config")})
 	p.claims = claim.NewStore(p.claimOptions())
-	p.engines = engine.NewClient(engine.Options{LoadMeter: p.costs.Meter(control.RoleLoadPolls)})
-	p.services = service.NewClient(service.Options{LoadMeter: p.costs.Meter(control.RoleLoadPolls)})
+	p.engines = engine.NewClient(engine.Options{LoadMeter: p.costs.Meter(controlcost.RoleLoadPolls)})
+	p.services = service.NewClient(service.Options{LoadMeter: p.costs.Meter(controlcost.RoleLoadPolls)})
 	p.retries = retry.NewBudgets(rand.New(rand.NewPCG(seed(s, 3), 0)))
 	return p, p.newPeers()
 }
@@ -88,7 +88,7 @@
 		Self:      p.self,
 		Timing:    p.rosterTiming(),
 		Objects:   p.objects,
-		List:      instancelist.NewClient(s.PlatformURL, p.costs.Meter(control.RoleInstanceList)),
+		List:      instancelist.NewClient(s.PlatformURL, p.costs.Meter(controlcost.RoleInstanceList)),
 		Config:    p.store,
 		Suspects:  suspects,
 		Peers:     pool,
@@ -102,18 +102,18 @@
 	}
 	placement, admission := router.Policies(s.Policy)
 	p.owner, err = owner.New(owner.Options{
-		Self:           s.Instance,
-		Incarnation:    p.self.Incarnation,
-		Rights:         p.members,
-		Config:         p.store.Snapshot,
-		Loads:          owner.Clients{Engine: p.engines, Service: p.services},
-		Policy:         admission,
-		Suspects:       suspects,
-		PermitValidity: millis(s.Timing.PermitMillis),
-		PollInterval:   millis(s.Timing.LoadPollMillis),
-		Log:            telemetry.ComponentLogger(p.tel.Log, "owner"),
-		Metrics:        p.tel.Metrics.SubScope("owner"),
-		Costs:          p.costs,
+		Self:            s.Instance,
+		Incarnation:     p.self.Incarnation,
+		AuthoritySource: p.members,
+		Config:          p.store.Snapshot,
+		Loads:           owner.Clients{Engine: p.engines, Service: p.services},
+		Policy:          admission,
+		Suspects:        suspects,
+		PermitLifetime:  millis(s.Timing.PermitMillis),
+		PollInterval:    millis(s.Timing.LoadPollMillis),
+		Log:             telemetry.ComponentLogger(p.tel.Log, "owner"),
+		Metrics:         p.tel.Metrics.SubScope("owner"),
+		Costs:           p.costs,
 	})
 	if err != nil {
 		return err
@@ -150,7 +150,7 @@
 		Codec:   codec,
 	})
 	p.peerServer.HandleQueries(p.fleet.Handler())
-	p.commands, err = engineorder.New(engineorder.Options{
+	p.commands, err = enginecommand.New(enginecommand.Options{
 		Self:      p.settings.Instance,
 		Objects:   p.objects,
 		Engines:   p.engines,
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -11,7 +11,7 @@
 //	switch {
 //	case errors.Is(err, service.ErrNotSent), errors.Is(err, service.ErrRefused):
 //		// not run
-//	case errors.Is(err, service.ErrLost):
+//	case errors.Is(err, service.ErrUnknownOutcome):
 //		// unknown
 //	}
 package service
@@ -29,11 +29,11 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/cloudwego/hertz/pkg/protocol"
 
-	"pollenspindle.example/pollenspindle/internal/control"
+	"pollenspindle.example/pollenspindle/internal/controlcost"
 	"pollenspindle.example/pollenspindle/internal/httpclient"
 )
 
-// The kinds of failure of a call to a plain service. They determine what a caller may be told about
+// The kinds of failure of a call to a plain service. They determine what a caller may learn about
 // its request.
 var (
 	// ErrNotSent means that no byte of the request left for the service.
@@ -41,9 +41,9 @@
 	// ErrRefused means that the service refused the request before running
 	// it. errors.As with a *Refusal gives the details.
 	ErrRefused = merry.Sentinel("service: request refused")
-	// ErrLost means that no response arrived. The service may have run the request, or may still be
-	// running it.
-	ErrLost = merry.Sentinel("service: response lost")
+	// ErrUnknownOutcome means that no response arrived. The service may have run the request, or
+	// may still be running it.
+	ErrUnknownOutcome = merry.Sentinel("service: response lost")
 	// ErrTooLarge means that the service ran the request and the response exceeds the size limit.
 	ErrTooLarge = merry.Sentinel("service: response too large")
 	// ErrBadRequest means that the request can't be written as HTTP.
@@ -75,13 +75,13 @@
 type Options struct {
 	HTTP httpclient.Options
 	// LoadMeter measures the cost of load reports; it may be nil.
-	LoadMeter *control.Meter
+	LoadMeter *controlcost.Meter
 }
 
 // Client calls plain services. It is safe for concurrent use.
 type Client struct {
 	http      *httpclient.Client
-	loadMeter *control.Meter
+	loadMeter *controlcost.Meter
 }
 
 // NewClient returns a Client.
@@ -128,7 +128,7 @@
 	return c.do(ctx, address, req, nil)
 }
 
-func (c *Client) do(ctx context.Context, address string, req Request, meter *control.Meter) (Response, error) {
+func (c *Client) do(ctx context.Context, address string, req Request, meter *controlcost.Meter) (Response, error) {
 	r, err := encode(address, req)
 	if err != nil {
 		return Response{}, err
@@ -167,7 +167,7 @@
 	case errors.Is(err, httpclient.ErrTooLarge):
 		return merry.Wrap(ErrTooLarge, merry.WithCause(err))
 	default:
-		return merry.Wrap(ErrLost, merry.WithCause(err))
+		return merry.Wrap(ErrUnknownOutcome, merry.WithCause(err))
 	}
 }
 
--- a/internal/slopes/background_loops.go
+++ b/internal/slopes/background_loops.go
@@ -13,6 +13,7 @@
 
 	"pollenspindle.example/pollenspindle/internal/admission"
 	"pollenspindle.example/pollenspindle/internal/config"
+	"pollenspindle.example/pollenspindle/internal/crashsuspect"
 	"pollenspindle.example/pollenspindle/internal/instancelist"
 	"pollenspindle.example/pollenspindle/internal/member"
 	"pollenspindle.example/pollenspindle/internal/objectapi"
@@ -22,7 +23,6 @@
 	"pollenspindle.example/pollenspindle/internal/peer/peerv1/peerv1connect"
 	"pollenspindle.example/pollenspindle/internal/permit"
 	"pollenspindle.example/pollenspindle/internal/roster"
-	"pollenspindle.example/pollenspindle/internal/suspect"
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
@@ -57,21 +57,21 @@
 	}, lastErr
 }
 
-// confirmedLease implements owner.Rights with a lease that is always confirmed.
+// confirmedLease implements owner.AuthoritySource with a lease that is always confirmed.
 type confirmedLease struct {
 	mu    sync.Mutex
 	lease *roster.Lease
 }
 
-// Right implements owner.Rights.
-func (r *confirmedLease) Right(now time.Time, s roster.Server) permit.Authority {
+// Authority implements owner.AuthoritySource.
+func (r *confirmedLease) Authority(now time.Time, s roster.Server) permit.Authority {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lease.Confirm(now, epoch)
-	return r.lease.Right(now, s)
+	return r.lease.Authority(now, s)
 }
 
-// Roster implements owner.Rights.
+// Roster implements owner.AuthoritySource.
 func (r *confirmedLease) Roster() *roster.Roster {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,22 +82,22 @@
 type fakeLoads struct{}
 
 // Load implements owner.Loads.
-func (fakeLoads) Load(_ context.Context, asked time.Time, _ pollenspindle.ServiceKind, _ string) (admission.Report, error) {
+func (fakeLoads) Load(_ context.Context, polledAt time.Time, _ pollenspindle.ServiceKind, _ string) (admission.Report, error) {
 	r := engineReport(runningPerServer)
-	r.MeasuredAt = asked
+	r.MeasuredAt = polledAt
 	return r, nil
 }
 
 func ownerCPU(ctx context.Context, members, servers int) (float64, error) {
 	list := rosterInstances(members)
 	self := typicalInstance(list, servers)
-	lease := &confirmedLease{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})}
+	lease := &confirmedLease{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitLifetime: 2 * time.Second})}
 	lease.lease.Adopt(time.Now(), roster.New(epoch, initialRoster(list)))
 	snap := config.NewSnapshot(1, fleetConfig(servers, designWorkspaces))
 	o, err := owner.New(owner.Options{
-		Self: self.ID, Incarnation: self.Incarnation, Rights: lease, Config: func() *config.Snapshot { return snap },
+		Self: self.ID, Incarnation: self.Incarnation, AuthoritySource: lease, Config: func() *config.Snapshot { return snap },
 		Loads: fakeLoads{}, Policy: admission.Predicted{}, Suspects: owner.NewSuspects(),
-		PermitValidity: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
+		PermitLifetime: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	if err != nil {
 		return 0, merry.Wrap(ErrMeasure, merry.WithCause(err))
@@ -211,7 +211,7 @@
 	pool := peer.NewPool(self.ID, key, tally.NoopScope)
 	defer pool.Close()
 	m, err := member.New(member.Options{
-		Self: self, Timing: roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second},
+		Self: self, Timing: roster.Timing{LeaseDuration: 3 * time.Second, PermitLifetime: 2 * time.Second},
 		Objects: platform, List: platform, Config: platform, Suspects: noSuspects{}, Peers: pool,
 		Heartbeat: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope, Seed: 1,
 	})
@@ -258,8 +258,8 @@
 // noSuspects implements an empty list of crash suspects.
 type noSuspects struct{}
 
-func (noSuspects) Newest(time.Time, int) []suspect.Entry { return nil }
-func (noSuspects) Merge(time.Time, []suspect.Entry)      {}
+func (noSuspects) Newest(time.Time, int) []crashsuspect.Entry { return nil }
+func (noSuspects) Merge(time.Time, []crashsuspect.Entry)      {}
 
 // prepare builds the roster, the instance list and the configuration snapshot.
 func (w *fakePlatform) prepare(list []roster.Instance) error {
--- a/internal/slopes/poll_rates.go
+++ b/internal/slopes/poll_rates.go
@@ -40,12 +40,12 @@
 }
 
 // Load implements owner.Loads.
-func (l *countingLoads) Load(_ context.Context, asked time.Time, _ pollenspindle.ServiceKind, address string) (admission.Report, error) {
+func (l *countingLoads) Load(_ context.Context, polledAt time.Time, _ pollenspindle.ServiceKind, address string) (admission.Report, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.polls[address]++
 	r := engineReport(runningPerServer)
-	r.MeasuredAt = asked
+	r.MeasuredAt = polledAt
 	return r, nil
 }
 
@@ -66,13 +66,13 @@
 		cfg.Servers = append(cfg.Servers, s)
 	}
 	self := rosterInstances(1)[0]
-	lease := &confirmedLease{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitValidity: 2 * time.Second})}
+	lease := &confirmedLease{lease: roster.NewLease(self, roster.Timing{LeaseDuration: 3 * time.Second, PermitLifetime: 2 * time.Second})}
 	lease.lease.Adopt(time.Now(), roster.New(epoch, initialRoster([]roster.Instance{self})))
 	snap, loads := config.NewSnapshot(1, cfg), &countingLoads{polls: map[string]int{}}
 	o, err := owner.New(owner.Options{
-		Self: self.ID, Incarnation: self.Incarnation, Rights: lease, Config: func() *config.Snapshot { return snap },
+		Self: self.ID, Incarnation: self.Incarnation, AuthoritySource: lease, Config: func() *config.Snapshot { return snap },
 		Loads: loads, Policy: admission.Predicted{}, Suspects: owner.NewSuspects(),
-		PermitValidity: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
+		PermitLifetime: 2 * time.Second, PollInterval: 500 * time.Millisecond, Log: zerolog.Nop(), Metrics: tally.NoopScope,
 	})
 	if err != nil {
 		return out, merry.Wrap(ErrMeasure, merry.WithCause(err))
