--- a/pkg/cmd/server/drain/drain.go
+++ b/pkg/cmd/server/drain/drain.go
@@ -40,10 +40,10 @@
 
 func drainRun(ctx context.Context, o *Options) error {
 	return cmdutil.RunChange(ctx, o.Factory, o.Connection, o.Change, o.Output, cmdutil.PlannedChange{
-		Tell: func(cfg pollenspindle.Config) {
-			cmdutil.PlanServer(o.Factory.Streams, cfg, o.Server, "Draining")
+		PrintPlan: func(cfg pollenspindle.Config) {
+			cmdutil.PrintServerPlan(o.Factory.Streams, cfg, o.Server, "Draining")
 		},
-		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
 			return client.DrainServer(ctx, o.Server, req)
 		},
 	})
--- a/pkg/cmd/zone/drain/drain.go
+++ b/pkg/cmd/zone/drain/drain.go
@@ -41,10 +41,10 @@
 
 func drainRun(ctx context.Context, o *Options) error {
 	return cmdutil.RunChange(ctx, o.Factory, o.Connection, o.Change, o.Output, cmdutil.PlannedChange{
-		Tell: func(cfg pollenspindle.Config) {
-			cmdutil.PlanZone(o.Factory.Streams, cfg, o.Zone, "Taking out")
+		PrintPlan: func(cfg pollenspindle.Config) {
+			cmdutil.PrintZonePlan(o.Factory.Streams, cfg, o.Zone, "Taking out")
 		},
-		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
 			return client.DrainZone(ctx, o.Zone, req)
 		},
 	})
--- a/pkg/cmd/zone/restore/restore.go
+++ b/pkg/cmd/zone/restore/restore.go
@@ -40,10 +40,10 @@
 
 func restoreRun(ctx context.Context, o *Options) error {
 	return cmdutil.RunChange(ctx, o.Factory, o.Connection, o.Change, o.Output, cmdutil.PlannedChange{
-		Tell: func(cfg pollenspindle.Config) {
-			cmdutil.PlanZone(o.Factory.Streams, cfg, o.Zone, "Bringing back")
+		PrintPlan: func(cfg pollenspindle.Config) {
+			cmdutil.PrintZonePlan(o.Factory.Streams, cfg, o.Zone, "Bringing back")
 		},
-		Make: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
 			return client.RestoreZone(ctx, o.Zone, req)
 		},
 	})
--- a/pkg/cmdutil/errors.go
+++ b/pkg/cmdutil/errors.go
@@ -15,20 +15,20 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// ExitCode is the exit code of the program. docs/OPERATING.md lists them.
+// ExitCode is the exit code of the program. docs/OPERATING.md documents them.
 type ExitCode int
 
 // The exit codes.
 const (
 	ExitOK ExitCode = 0
-	// ExitFailed: the command failed for a reason without a code of its own.
+	// ExitFailed: the command failed for a reason that has no other code.
 	ExitFailed ExitCode = 1
 	// ExitUsage: the command line is wrong.
 	ExitUsage ExitCode = 2
-	// ExitConflict: somebody else changed the configuration; nothing was
-	// changed.
+	// ExitConflict: the configuration was changed by someone else in the meantime;
+	// this command changed nothing.
 	ExitConflict ExitCode = 3
-	// ExitInvalid: settings or a configuration are faulty; nothing was changed.
+	// ExitInvalid: the settings or the configuration are invalid; nothing was changed.
 	ExitInvalid ExitCode = 4
 	// ExitUnauthorized: the operators' token is missing or wrong.
 	ExitUnauthorized ExitCode = 5
@@ -37,9 +37,9 @@
 	ExitUnreachable ExitCode = 6
 	// ExitUnknownOutcome: a change may or may not have been accepted.
 	ExitUnknownOutcome ExitCode = 7
-	// ExitNotInForce: a change was accepted but is not yet in force everywhere.
+	// ExitNotInForce: a change was accepted but is not yet in force on all instances.
 	ExitNotInForce ExitCode = 8
-	// ExitNotFound: there is no such zone, server, generation or model.
+	// ExitNotFound: the zone, server, generation or model does not exist.
 	ExitNotFound ExitCode = 9
 	// ExitCancelled: the command was interrupted.
 	ExitCancelled ExitCode = 130
@@ -48,16 +48,16 @@
 // ErrSilent ends a command with ExitFailed and without a message.
 var ErrSilent = merry.Sentinel("silent")
 
-// FlagError is a fault of the command line; usage is shown with it.
+// FlagError is an error in the command line.
 type FlagError struct{ Message string }
 
-// Error gives the message.
+// Error returns the message.
 func (e *FlagError) Error() string { return e.Message }
 
-// NotInForceError says that a change was accepted but not yet seen everywhere.
+// NotInForceError reports that a change was accepted but is not yet in force on all instances.
 type NotInForceError struct{ operatorapi.InForce }
 
-// Error counts the instances.
+// Error returns a message with the number of instances on which the change is in force.
 func (e *NotInForceError) Error() string {
 	return fmt.Sprintf("version %d is accepted but in force on only %d of %d instances",
 		e.Version, e.InForce.InForce, e.Total)
@@ -68,7 +68,7 @@
 	var flag *FlagError
 	var notInForce *NotInForceError
 	var invalid *settings.InvalidError
-	var answer *operatorapi.Error
+	var apiErr *operatorapi.Error
 	switch {
 	case err == nil:
 		return ExitOK
@@ -84,14 +84,14 @@
 		return ExitUnreachable
 	case errors.Is(err, operatorapi.ErrNoAnswer):
 		return ExitUnknownOutcome
-	case errors.As(err, &answer):
-		return exitCodeOfAnswer(answer.Code)
+	case errors.As(err, &apiErr):
+		return exitCodeOfAPI(apiErr.Code)
 	default:
 		return ExitFailed
 	}
 }
 
-func exitCodeOfAnswer(code operatorapi.Code) ExitCode {
+func exitCodeOfAPI(code operatorapi.Code) ExitCode {
 	switch code {
 	case operatorapi.CodeConflict:
 		return ExitConflict
@@ -110,18 +110,18 @@
 	}
 }
 
-// PrintError tells a person what went wrong and what to do next.
+// PrintError prints err and a hint on what to do next.
 func PrintError(w io.Writer, err error) {
 	if err == nil || errors.Is(err, ErrSilent) {
 		return
 	}
 	fmt.Fprintln(w, errortext.Of(err))
-	var answer *operatorapi.Error
-	if errors.As(err, &answer) {
-		printDetail(w, answer.FailureDetail)
+	var apiErr *operatorapi.Error
+	if errors.As(err, &apiErr) {
+		printDetail(w, apiErr.FailureDetail)
 	}
-	if advice := adviceOn(ExitCodeOf(err)); advice != "" {
-		fmt.Fprintln(w, advice)
+	if hint := hintFor(ExitCodeOf(err)); hint != "" {
+		fmt.Fprintln(w, hint)
 	}
 }
 
@@ -134,7 +134,7 @@
 	if detail.Conflict == nil {
 		return
 	}
-	fmt.Fprintf(w, "your change is based on version %d, in force is version %d; since then:\n",
+	fmt.Fprintf(w, "your change is based on version %d, but version %d is in force; changes since then:\n",
 		detail.Conflict.BaseVersion, detail.Conflict.CurrentVersion)
 	for _, change := range detail.Conflict.Changes {
 		fmt.Fprintf(w, "  version %d, %s, %s: %s\n", change.Version,
@@ -145,7 +145,7 @@
 	}
 }
 
-func adviceOn(code ExitCode) string {
+func hintFor(code ExitCode) string {
 	switch code {
 	case ExitConflict:
 		return "See what differs with `pollenspindle config diff`, then apply again with the version in force as --base-version."
--- a/pkg/cmdutil/errors_test.go
+++ b/pkg/cmdutil/errors_test.go
@@ -11,7 +11,7 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Scripts of operators rest on the codes, so the page must name each as it is.
+// Operators' scripts depend on the exit codes, so the page must document each with its number.
 func TestExitCodesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATING.md")
 	require.NoError(t, err)
--- a/pkg/cmdutil/factory.go
+++ b/pkg/cmdutil/factory.go
@@ -1,5 +1,5 @@
-// Package cmdutil holds what commands share: their factory, the connection to
-// an instance, printing and exit codes.
+// Package cmdutil holds code shared by the commands: their factory, the connection to an instance,
+// output and exit codes.
 //
 // # Usage
 //
@@ -24,23 +24,23 @@
 	"pollenspindle.example/pollenspindle/pkg/iostreams"
 )
 
-// maxTokenBytes bounds what is read of a token file.
+// maxTokenBytes limits how much of a token file is read.
 const maxTokenBytes = 4096
 
-// Serve runs an entry instance until ctx ends and its streams are over.
+// Serve runs an entry instance until ctx is done and all its streams have ended.
 type Serve func(ctx context.Context, s settings.Settings, streams *iostreams.IOStreams) error
 
-// Factory holds the things that commands are made with.
+// Factory holds the dependencies of the commands.
 type Factory struct {
 	Streams *iostreams.IOStreams
 	Version string
 	Now     func() time.Time
-	// Author names the person at the keyboard, for the history.
+	// Author is the default author of changes in the history.
 	Author string
 	Serve  Serve
 }
 
-// SystemAuthor returns the name under which the process runs, or "unknown".
+// SystemAuthor returns the name of the user that runs the process, or "unknown".
 func SystemAuthor() string {
 	u, err := user.Current()
 	if err != nil {
@@ -49,13 +49,13 @@
 	return u.Username
 }
 
-// Connection holds the flags that say which instance to talk to.
+// Connection holds the flags for the connection to an instance.
 type Connection struct {
 	Instance  string `help:"Operators' address of any entry instance, host:port." required:"" env:"POLLENSPINDLE_INSTANCE" placeholder:"HOST:PORT"`
-	TokenFile string `help:"File that holds the operators' token." required:"" env:"POLLENSPINDLE_OPERATOR_TOKEN_FILE" placeholder:"FILE"`
+	TokenFile string `help:"File with the operators' token." required:"" env:"POLLENSPINDLE_OPERATOR_TOKEN_FILE" placeholder:"FILE"`
 }
 
-// Client returns a client for the instance.
+// Client returns a client for the instance. The error is a [FlagError] if the token file is invalid.
 func (c Connection) Client() (*operatorapi.Client, error) {
 	file, err := os.Open(c.TokenFile)
 	if err != nil {
@@ -75,12 +75,12 @@
 
 // Change holds the flags of commands that change the configuration.
 type Change struct {
-	Author  string        `help:"Name to keep in the history; your login name by default." placeholder:"NAME"`
-	Summary string        `help:"Why, in a few words, to keep in the history." short:"m" placeholder:"TEXT"`
-	Wait    time.Duration `help:"Longest wait for the change to be in force on every instance." default:"10s"`
+	Author  string        `help:"Author of the change in the history; your login name by default." placeholder:"NAME"`
+	Summary string        `help:"Summary of the change in the history." short:"m" placeholder:"TEXT"`
+	Wait    time.Duration `help:"Maximum time to wait for the change to be in force on every instance." default:"10s"`
 }
 
-// AuthorOr returns the author given by flag, or fallback.
+// AuthorOr returns the author from the flag, or fallback if it isn't set.
 func (c Change) AuthorOr(fallback string) string {
 	if c.Author != "" {
 		return c.Author
@@ -88,7 +88,7 @@
 	return fallback
 }
 
-// ReadInput reads the file at path, or the input stream for "-".
+// ReadInput reads the file at path, or standard input for "-".
 func ReadInput(streams *iostreams.IOStreams, path string) ([]byte, error) {
 	in := streams.In
 	if path != "-" {
@@ -106,7 +106,7 @@
 	return data, nil
 }
 
-// InputName is the name of an input in messages about its faults.
+// InputName returns the name of an input for messages about its faults.
 func InputName(path string) string {
 	if path == "-" {
 		return "stdin"
--- a/pkg/cmdutil/inforce.go
+++ b/pkg/cmdutil/inforce.go
@@ -9,25 +9,25 @@
 	"pollenspindle.example/pollenspindle/pkg/iostreams"
 )
 
-// inForcePeriod is the time between two questions whether a change is in
-// force. The instance answers from what it knows, so asking costs little.
-const inForcePeriod = 100 * time.Millisecond
+// inForcePollInterval is the time between two requests that check whether a change is in force. The
+// instance answers from memory, so a request is cheap.
+const inForcePollInterval = 100 * time.Millisecond
 
-// ChangeOutcome is what commands that change the configuration print as JSON.
+// ChangeOutcome is the JSON output of commands that change the configuration.
 type ChangeOutcome struct {
 	operatorapi.Accepted
 	InForce int `json:"inForce"`
 	Total   int `json:"total"`
 }
 
-// FinishChange waits until an accepted change is in force on every instance
-// and prints what changed. If that takes longer than the wait it fails with a
-// [NotInForceError]: the change is accepted all the same.
+// FinishChange waits until an accepted change is in force on every instance and prints the changed
+// fields. If that takes longer than flags.Wait, it returns a [NotInForceError]; the change remains
+// accepted.
 func FinishChange(ctx context.Context, streams *iostreams.IOStreams, client *operatorapi.Client,
 	flags Change, output Output, accepted operatorapi.Accepted,
 ) error {
-	seen, err := waitInForce(ctx, streams, client, flags.Wait, accepted.Version)
-	outcome := ChangeOutcome{Accepted: accepted, InForce: seen.InForce, Total: seen.Total}
+	status, err := waitInForce(ctx, streams, client, flags.Wait, accepted.Version)
+	outcome := ChangeOutcome{Accepted: accepted, InForce: status.InForce, Total: status.Total}
 	if printErr := output.Print(streams, outcome, ChangeTable(accepted.Changes)); printErr != nil {
 		return printErr
 	}
@@ -38,7 +38,7 @@
 		fmt.Fprintln(streams.Err, "Nothing to change.")
 	}
 	fmt.Fprintf(streams.Err, "Version %d is in force on %d of %d instances.\n",
-		accepted.Version, seen.InForce, seen.Total)
+		accepted.Version, status.InForce, status.Total)
 	return nil
 }
 
@@ -47,33 +47,33 @@
 ) (operatorapi.InForce, error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
-	ticker := time.NewTicker(inForcePeriod)
+	ticker := time.NewTicker(inForcePollInterval)
 	defer ticker.Stop()
 	for {
-		seen, err := client.InForce(ctx, version)
-		if err == nil && seen.Total > 0 && seen.InForce >= seen.Total {
+		status, err := client.InForce(ctx, version)
+		if err == nil && status.Total > 0 && status.InForce >= status.Total {
 			clearProgress(streams)
-			return seen, nil
+			return status, nil
 		}
-		showProgress(streams, seen)
+		showProgress(streams, status)
 		select {
 		case <-ctx.Done():
 			clearProgress(streams)
-			return seen, ctx.Err()
+			return status, ctx.Err()
 		case <-deadline.C:
 			clearProgress(streams)
-			// Whatever kept the count from being heard, the change stands; an
-			// error of the connection would say that nothing was changed.
-			seen.Version = version
-			return seen, &NotInForceError{InForce: seen}
+			// Any connection error is dropped: it would be reported as if nothing had been changed, but the
+			// change was accepted.
+			status.Version = version
+			return status, &NotInForceError{InForce: status}
 		case <-ticker.C:
 		}
 	}
 }
 
-func showProgress(streams *iostreams.IOStreams, seen operatorapi.InForce) {
+func showProgress(streams *iostreams.IOStreams, status operatorapi.InForce) {
 	if streams.ErrIsTerminal {
-		fmt.Fprintf(streams.Err, "\rIn force on %d of %d instances", seen.InForce, seen.Total)
+		fmt.Fprintf(streams.Err, "\rIn force on %d of %d instances", status.InForce, status.Total)
 	}
 }
 
--- a/pkg/cmdutil/plan.go
+++ b/pkg/cmdutil/plan.go
@@ -9,17 +9,16 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// PlannedChange is a change of one state, by which [RunChange] is the same for
-// zones and backend servers, out and back.
+// PlannedChange is a drain or restore of a zone or backend server, for [RunChange].
 type PlannedChange struct {
-	// Tell says what the change will do.
-	Tell func(cfg pollenspindle.Config)
-	// Make has it accepted.
-	Make func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error)
+	// PrintPlan prints the effect that the change will have on cfg.
+	PrintPlan func(cfg pollenspindle.Config)
+	// Submit sends the change to the instance.
+	Submit func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error)
 }
 
-// RunChange tells what a change will do, has it accepted, and waits until it is
-// in force; see [FinishChange].
+// RunChange prints the effect of a change, submits it and waits until it is in force; see
+// [FinishChange].
 func RunChange(ctx context.Context, f *Factory, to Connection, flags Change, output Output, planned PlannedChange) error {
 	client, err := to.Client()
 	if err != nil {
@@ -30,8 +29,8 @@
 	if err != nil {
 		return err
 	}
-	planned.Tell(current.Config)
-	accepted, err := planned.Make(client, operatorapi.ChangeRequest{
+	planned.PrintPlan(current.Config)
+	accepted, err := planned.Submit(client, operatorapi.ChangeRequest{
 		Author: flags.AuthorOr(f.Author), Summary: flags.Summary,
 	})
 	if err != nil {
@@ -40,21 +39,21 @@
 	return FinishChange(ctx, f.Streams, client, flags, output, accepted)
 }
 
-// PlanZone tells before a zone is drained or restored which backend servers
-// that concerns, so that a slip in the name is seen.
-func PlanZone(streams *iostreams.IOStreams, cfg pollenspindle.Config, zone, what string) {
+// PrintZonePlan prints how many backend servers the drain or restore of a zone affects, so that the
+// operator notices a mistyped name. action begins the message, as in "Taking out".
+func PrintZonePlan(streams *iostreams.IOStreams, cfg pollenspindle.Config, zone, action string) {
 	count := 0
 	for _, s := range cfg.Servers {
 		if s.Zone == zone {
 			count++
 		}
 	}
-	fmt.Fprintf(streams.Err, "%s zone %s: %d of %d backend servers.\n", what, zone, count, len(cfg.Servers))
+	fmt.Fprintf(streams.Err, "%s zone %s: %d of %d backend servers.\n", action, zone, count, len(cfg.Servers))
 }
 
-// PlanServer tells before a backend server is drained or restored how many
-// others of its service may receive new work.
-func PlanServer(streams *iostreams.IOStreams, cfg pollenspindle.Config, server, what string) {
+// PrintServerPlan prints, before a backend server is drained or restored, how many other backend
+// servers of its service may receive new work. action begins the message, as in "Draining".
+func PrintServerPlan(streams *iostreams.IOStreams, cfg pollenspindle.Config, server, action string) {
 	inService := make(map[string]bool, len(cfg.Zones))
 	for _, z := range cfg.Zones {
 		inService[z.Name] = z.State == pollenspindle.ZoneInService
@@ -70,6 +69,6 @@
 	}
 	if service != "" {
 		fmt.Fprintf(streams.Err, "%s server %s of service %s; %d others may receive new work.\n",
-			what, server, service, others[service])
+			action, server, service, others[service])
 	}
 }
--- a/pkg/cmdutil/print.go
+++ b/pkg/cmdutil/print.go
@@ -13,19 +13,19 @@
 	"pollenspindle.example/pollenspindle/pkg/iostreams"
 )
 
-// Output holds the flag that chooses JSON.
+// Output holds the flag that selects JSON output.
 type Output struct {
 	JSON bool `help:"Print JSON." name:"json"`
 }
 
-// Table is data in rows under a heading.
+// Table is a table of text with one heading per column.
 type Table struct {
 	Heading []string
 	Rows    [][]string
 }
 
-// Print writes v as JSON if that was asked for and else table: aligned under
-// its heading on a terminal, tab-separated without heading when piped.
+// Print writes v if JSON output is selected and table otherwise: aligned with a heading on a terminal,
+// tab-separated without a heading when piped.
 func (o Output) Print(streams *iostreams.IOStreams, v any, table Table) error {
 	switch {
 	case o.JSON:
@@ -40,7 +40,7 @@
 	}
 }
 
-// PrintJSON writes v indented.
+// PrintJSON writes v as indented JSON.
 func PrintJSON(w io.Writer, v any) error {
 	enc := json.NewEncoder(w)
 	enc.SetEscapeHTML(false)
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// ChangeTable lists the differences between two configurations.
+// ChangeTable returns a table of the differences between two configurations.
 func ChangeTable(changes []operatorapi.FieldChange) Table {
 	table := Table{Heading: []string{"change", "path", "before", "after"}}
 	for _, c := range changes {
@@ -80,7 +80,7 @@
 	return table
 }
 
-// PrintText writes what text returns to the output stream.
+// PrintText writes the result of text to the output stream.
 func PrintText(streams *iostreams.IOStreams, text func() ([]byte, error)) error {
 	data, err := text()
 	if err != nil {
