--- a/pkg/cmd/completion/completion.go
+++ b/pkg/cmd/completion/completion.go
@@ -1,5 +1,5 @@
-// Package completion is the command `pollenspindle completion`: it prints a
-// script that completes commands and flags in a shell.
+// Package completion implements the command `pollenspindle completion`: it prints a
+// shell script that completes commands and flags.
 //
 // # Usage
 //
@@ -18,7 +18,7 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 
@@ -28,82 +28,83 @@
 // NewCmdCompletion returns the command.
 func NewCmdCompletion(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
 	return `Examples:
   source <(pollenspindle completion bash)
   pollenspindle completion fish > ~/.config/fish/completions/pollenspindle.fish`
 }
 
-// Run runs the command; parsed holds the grammar of the program.
+// Run runs the command. parsed holds the commands and flags of the program.
 func (o *Options) Run(ctx context.Context, parsed *kong.Context) error {
 	return completionRun(ctx, o, parsed.Model.Node)
 }
 
 func completionRun(_ context.Context, o *Options, program *kong.Node) error {
-	places := placesOf(program, "")
+	commands := collectCommands(program, "")
 	switch o.Shell {
 	case "fish":
-		printFish(o.Factory.Streams.Out, program.Name, places)
+		printFish(o.Factory.Streams.Out, program.Name, commands)
 	case "zsh":
 		fmt.Fprintln(o.Factory.Streams.Out, "autoload -U +X bashcompinit && bashcompinit")
-		printBash(o.Factory.Streams.Out, program.Name, places)
+		printBash(o.Factory.Streams.Out, program.Name, commands)
 	default:
-		printBash(o.Factory.Streams.Out, program.Name, places)
+		printBash(o.Factory.Streams.Out, program.Name, commands)
 	}
 	return nil
 }
 
-// place is a command and the words that may follow it.
-type place struct {
-	// path is the command without the program's name, as in "config apply".
+// command is a command with its completions: the names of its subcommands and flags.
+type command struct {
+	// path is the command without the program's name, for example "config apply".
 	path  string
 	words []string
 }
 
-func placesOf(node *kong.Node, path string) []place {
-	here := place{path: path}
-	var below []place
+// collectCommands returns the command of node, followed by all commands below it.
+func collectCommands(node *kong.Node, path string) []command {
+	current := command{path: path}
+	var subcommands []command
 	for _, child := range node.Children {
 		if child.Type != kong.CommandNode {
 			continue
 		}
-		here.words = append(here.words, child.Name)
-		below = append(below, placesOf(child, strings.TrimSpace(path+" "+child.Name))...)
+		current.words = append(current.words, child.Name)
+		subcommands = append(subcommands, collectCommands(child, strings.TrimSpace(path+" "+child.Name))...)
 	}
 	for _, flag := range node.Flags {
-		here.words = append(here.words, "--"+flag.Name)
+		current.words = append(current.words, "--"+flag.Name)
 	}
-	return append([]place{here}, below...)
+	return append([]command{current}, subcommands...)
 }
 
-func printBash(w io.Writer, program string, places []place) {
+func printBash(w io.Writer, program string, commands []command) {
 	fmt.Fprintf(w, "_%s() {\n  local path=\"\" word words\n", program)
 	fmt.Fprintf(w, "  for word in \"${COMP_WORDS[@]:1:COMP_CWORD-1}\"; do\n")
 	fmt.Fprintf(w, "    case \"$word\" in -*) break ;; *) path=\"${path:+$path }$word\" ;; esac\n  done\n")
 	fmt.Fprintf(w, "  case \"$path\" in\n")
-	// The longest paths come first, so that a command's argument after them
-	// still finds the command.
-	for i := len(places) - 1; i >= 0; i-- {
-		p := places[i]
-		pattern := fmt.Sprintf("%q|%q*", p.path, p.path+" ")
-		if p.path == "" {
+	// Subcommands come before their parents, so that a path with positional
+	// arguments matches the most specific command.
+	for i := len(commands) - 1; i >= 0; i-- {
+		cmd := commands[i]
+		pattern := fmt.Sprintf("%q|%q*", cmd.path, cmd.path+" ")
+		if cmd.path == "" {
 			pattern = "*"
 		}
-		fmt.Fprintf(w, "    %s) words=%q ;;\n", pattern, strings.Join(p.words, " "))
+		fmt.Fprintf(w, "    %s) words=%q ;;\n", pattern, strings.Join(cmd.words, " "))
 	}
 	fmt.Fprintf(w, "  esac\n  COMPREPLY=($(compgen -W \"$words\" -- \"${COMP_WORDS[COMP_CWORD]}\"))\n}\n")
 	fmt.Fprintf(w, "complete -o default -F _%s %s\n", program, program)
 }
 
-func printFish(w io.Writer, program string, places []place) {
+func printFish(w io.Writer, program string, commands []command) {
 	fmt.Fprintf(w, "complete -c %s -f\n", program)
-	for _, p := range places {
+	for _, cmd := range commands {
 		condition := "__fish_use_subcommand"
-		if p.path != "" {
-			condition = "__fish_seen_subcommand_from " + strings.Join(strings.Fields(p.path), "; and __fish_seen_subcommand_from ")
+		if cmd.path != "" {
+			condition = "__fish_seen_subcommand_from " + strings.Join(strings.Fields(cmd.path), "; and __fish_seen_subcommand_from ")
 		}
-		for _, word := range p.words {
+		for _, word := range cmd.words {
 			if flag, ok := strings.CutPrefix(word, "--"); ok {
 				fmt.Fprintf(w, "complete -c %s -n %q -l %s\n", program, condition, flag)
 				continue
--- a/pkg/cmd/config/apply/apply.go
+++ b/pkg/cmd/config/apply/apply.go
@@ -1,4 +1,4 @@
-// Package apply is the command `pollenspindle config apply`: it hands a configuration over.
+// Package apply implements the command `pollenspindle config apply`: it applies a configuration.
 //
 // # Usage
 //
@@ -15,7 +15,7 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -23,18 +23,18 @@
 	cmdutil.Output
 
 	File        string `help:"File with the configuration, or - for standard input." short:"f" required:"" placeholder:"FILE"`
-	BaseVersion int64  `help:"Version that the configuration was made for; the one in force by default." default:"-1" placeholder:"N"`
+	BaseVersion int64  `help:"Version that the configuration is based on; the version in force by default." default:"-1" placeholder:"N"`
 }
 
 // NewCmdApply returns the command.
 func NewCmdApply(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `The configuration is checked as a whole before anything is sent. It is accepted
-only if the base version is still in force; otherwise nothing is changed and
-the changes made since are shown. Zones and servers without a state keep the
-one they are in.
+	return `The complete configuration is validated before it is sent. It is accepted only if
+the base version is still in force; otherwise nothing is changed and the changes
+since the base version are shown. Zones and servers without a state keep their
+current state.
 
 Examples:
   go run ./examples/inyange | pollenspindle config apply -f -
@@ -58,7 +58,7 @@
 		return err
 	}
 	defer client.Close()
-	base, err := plan(ctx, o, client, cfg)
+	base, err := printPlan(ctx, o, client, cfg)
 	if err != nil {
 		return err
 	}
@@ -71,10 +71,9 @@
 	return cmdutil.FinishChange(ctx, o.Factory.Streams, client, o.Change, o.Output, accepted)
 }
 
-// plan tells what the change will do and returns the version to base it on: the
-// one given, or else the one in force. A change accepted between this question
-// and the handing over is still a conflict.
-func plan(ctx context.Context, o *Options, client *operatorapi.Client, cfg pollenspindle.Config) (int64, error) {
+// printPlan prints the number of changes and returns the base version: the one from the flag, or else
+// the version in force. A change accepted between this request and Apply is still a conflict.
+func printPlan(ctx context.Context, o *Options, client *operatorapi.Client, cfg pollenspindle.Config) (int64, error) {
 	current, err := client.Configuration(ctx)
 	if err != nil {
 		return 0, err
--- a/pkg/cmd/config/config.go
+++ b/pkg/cmd/config/config.go
@@ -15,17 +15,17 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Command is the group of commands.
+// Command is the command group.
 type Command struct {
-	Apply    apply.Options    `cmd:"" help:"Hand a configuration over"`
+	Apply    apply.Options    `cmd:"" help:"Apply a configuration"`
 	Show     show.Options     `cmd:"" help:"Print the configuration in force"`
 	Diff     diff.Options     `cmd:"" help:"Show what a configuration would change"`
-	History  history.Options  `cmd:"" help:"List the changes of the configuration"`
+	History  history.Options  `cmd:"" help:"List changes of the configuration"`
 	Validate validate.Options `cmd:"" help:"Check a configuration"`
 	Schema   schema.Options   `cmd:"" help:"Print the JSON Schema of a configuration"`
 }
 
-// NewCmdConfig returns the group.
+// NewCmdConfig returns the command group.
 func NewCmdConfig(f *cmdutil.Factory) Command {
 	return Command{
 		Apply:    apply.NewCmdApply(f),
--- a/pkg/cmd/config/diff/diff.go
+++ b/pkg/cmd/config/diff/diff.go
@@ -1,4 +1,5 @@
-// Package diff is the command `pollenspindle config diff`: it shows what handing a configuration over would change.
+// Package diff implements the command `pollenspindle config diff`: it shows what applying a
+// configuration would change.
 //
 // # Usage
 //
@@ -15,7 +16,7 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -27,9 +28,10 @@
 // NewCmdDiff returns the command.
 func NewCmdDiff(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `Objects are compared by name with the configuration in force. Nothing is changed.
+	return `Objects are matched by name with those of the configuration in force. Nothing is
+changed.
 
 Examples:
   go run ./examples/inyange | pollenspindle config diff -f -`
--- a/pkg/cmd/config/history/history.go
+++ b/pkg/cmd/config/history/history.go
@@ -1,4 +1,5 @@
-// Package history is the command `pollenspindle config history`: it lists the changes of the configuration.
+// Package history implements the command `pollenspindle config history`: it lists the changes of
+// the configuration.
 //
 // # Usage
 //
@@ -14,21 +15,21 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
 	cmdutil.Output
 
-	Limit int `help:"Most changes to list." default:"20"`
+	Limit int `help:"Maximum number of changes to list." default:"20"`
 }
 
 // NewCmdHistory returns the command.
 func NewCmdHistory(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `The newest change comes first.
+	return `The newest change is listed first.
 
 Examples:
   pollenspindle config history --limit 5`
--- a/pkg/cmd/config/show/show.go
+++ b/pkg/cmd/config/show/show.go
@@ -1,4 +1,5 @@
-// Package show is the command `pollenspindle config show`: it prints the configuration in force.
+// Package show implements the command `pollenspindle config show`: it prints the configuration in
+// force.
 //
 // # Usage
 //
@@ -13,21 +14,21 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
 
-	Versioned bool `help:"Print an object with the version and the configuration."`
+	Versioned bool `help:"Print a JSON object with the version and the configuration."`
 }
 
 // NewCmdShow returns the command.
 func NewCmdShow(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `The configuration is printed as JSON, the form in which it can be handed over
-again. Its version goes to the error stream, or into the output with --versioned.
+	return `The configuration is printed as JSON that can be applied again. Its version is
+printed to standard error, or as part of the output with --versioned.
 
 Examples:
   pollenspindle config show > inyange.json`
--- a/pkg/cmd/config/validate/validate.go
+++ b/pkg/cmd/config/validate/validate.go
@@ -1,4 +1,5 @@
-// Package validate is the command `pollenspindle config validate`: it checks a configuration without handing it over.
+// Package validate implements the command `pollenspindle config validate`: it validates a
+// configuration without applying it.
 //
 // # Usage
 //
@@ -14,7 +15,7 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	File    string           `help:"File with the configuration, or - for standard input." short:"f" required:"" placeholder:"FILE"`
@@ -23,9 +24,10 @@
 // NewCmdValidate returns the command.
 func NewCmdValidate(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `All faults are listed, each with its line and column. No instance is asked.
+	return `All faults are listed, each with its line and column. No connection to an
+instance is needed.
 
 Examples:
   pollenspindle config validate -f inyange.json`
--- a/pkg/cmd/generation/cancel/cancel.go
+++ b/pkg/cmd/generation/cancel/cancel.go
@@ -1,4 +1,4 @@
-// Package cancel is the command `pollenspindle generation cancel`: it ends a generation.
+// Package cancel implements the command `pollenspindle generation cancel`: it cancels a generation.
 //
 // # Usage
 //
@@ -13,7 +13,7 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -24,9 +24,10 @@
 // NewCmdCancel returns the command.
 func NewCmdCancel(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `The engine frees its memory at once; the caller gets a final error.
+	return `The engine frees the generation's memory immediately; the caller gets a final
+error.
 
 Examples:
   pollenspindle generation cancel gen-5f2c`
--- a/pkg/cmd/generation/generation.go
+++ b/pkg/cmd/generation/generation.go
@@ -11,13 +11,13 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Command is the group of commands.
+// Command is the command group.
 type Command struct {
-	Show   show.Options   `cmd:"" help:"Tell what became of a generation"`
-	Cancel cancel.Options `cmd:"" help:"End a generation"`
+	Show   show.Options   `cmd:"" help:"Show the steps and the state of a generation"`
+	Cancel cancel.Options `cmd:"" help:"Cancel a generation"`
 }
 
-// NewCmdGeneration returns the group.
+// NewCmdGeneration returns the command group.
 func NewCmdGeneration(f *cmdutil.Factory) Command {
 	return Command{
 		Show:   show.NewCmdShow(f),
--- a/pkg/cmd/generation/show/show.go
+++ b/pkg/cmd/generation/show/show.go
@@ -1,4 +1,5 @@
-// Package show is the command `pollenspindle generation show`: it tells what became of a generation.
+// Package show implements the command `pollenspindle generation show`: it shows the steps and
+// the state of a generation or request.
 //
 // # Usage
 //
@@ -15,10 +16,10 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// timeFormat has all its digits, so that columns line up.
+// timeFormat always prints six decimals, so that columns are aligned.
 const timeFormat = "2006-01-02T15:04:05.000000Z07:00"
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -30,11 +31,11 @@
 // NewCmdShow returns the command.
 func NewCmdShow(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `The steps say why a request waited, was refused or was slow. The id is that of
-a generation, or the X-Request-Id that every caller gets, also when refused.
-Instances keep about 1 kB for each request, at most 12 MiB, in memory.
+	return `The steps show why a request waited, was refused or was slow. The id is that of
+a generation or the X-Request-Id of a response, which refused requests get too.
+Instances keep about 1 kB for each request in memory, at most 12 MiB.
 
 Examples:
   pollenspindle generation show gen-5f2c
--- a/pkg/cmd/ingress/ingress.go
+++ b/pkg/cmd/ingress/ingress.go
@@ -1,4 +1,4 @@
-// Package ingress is the command `pollenspindle ingress`: it runs an instance
+// Package ingress implements the command `pollenspindle ingress`: it runs an instance
 // that routes requests by host and path on the users' platform.
 //
 // # Usage
@@ -16,7 +16,7 @@
 	"pollenspindle.example/pollenspindle/platform"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 
@@ -26,11 +26,11 @@
 // NewCmdIngress returns the command.
 func NewCmdIngress(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `Everything the instance is told stands in its settings file. On SIGTERM or
-SIGINT the instance leaves: callers are sent elsewhere, requests end, and it
-exits with 0. On SIGHUP it reads its settings again.
+	return `All settings of the instance are in its settings file. On SIGTERM or SIGINT the
+instance shuts down gracefully: callers are directed to other instances, requests
+in progress end, and it exits with 0. On SIGHUP it reloads its settings.
 
 Examples:
   pollenspindle ingress --settings ingress.jsonc`
--- a/pkg/cmd/instance/instance.go
+++ b/pkg/cmd/instance/instance.go
@@ -11,13 +11,13 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Command is the group of commands.
+// Command is the command group.
 type Command struct {
 	List  list.Options  `cmd:"" help:"List entry instances"`
-	Leave leave.Options `cmd:"" help:"Let an entry instance leave"`
+	Leave leave.Options `cmd:"" help:"Shut an entry instance down gracefully"`
 }
 
-// NewCmdInstance returns the group.
+// NewCmdInstance returns the command group.
 func NewCmdInstance(f *cmdutil.Factory) Command {
 	return Command{
 		List:  list.NewCmdList(f),
--- a/pkg/cmd/instance/leave/leave.go
+++ b/pkg/cmd/instance/leave/leave.go
@@ -1,4 +1,5 @@
-// Package leave is the command `pollenspindle instance leave`: it lets an entry instance leave.
+// Package leave implements the command `pollenspindle instance leave`: it shuts an entry
+// instance down gracefully.
 //
 // # Usage
 //
@@ -13,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -24,11 +25,11 @@
 // NewCmdLeave returns the command.
 func NewCmdLeave(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `The instance at --instance begins its graceful shutdown: it takes no new work
-once callers have stopped asking for it, lets every stream end and exits. Its
-name is asked for so that a mistaken address ends nothing.
+	return `The instance at --instance shuts down gracefully: it accepts no new work once
+callers have stopped sending any, waits for all streams to end and exits. The
+name must match, so that a mistaken address shuts nothing down.
 
 Examples:
   pollenspindle instance leave entry-3 --instance 10.0.0.3:7081`
--- a/pkg/cmd/instance/list/list.go
+++ b/pkg/cmd/instance/list/list.go
@@ -1,4 +1,4 @@
-// Package list is the command `pollenspindle instance list`: it lists the entry instances.
+// Package list implements the command `pollenspindle instance list`: it lists the entry instances.
 //
 // # Usage
 //
@@ -13,7 +13,7 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -23,9 +23,9 @@
 // NewCmdList returns the command.
 func NewCmdList(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `The list is that of the instance asked.
+	return `The list shows the instances as known to the instance at --instance.
 
 Examples:
   pollenspindle instance list`
--- a/pkg/cmd/log/set/set.go
+++ b/pkg/cmd/log/set/set.go
@@ -1,4 +1,5 @@
-// Package set is the command `pollenspindle log set`: it changes the log level of the instance asked.
+// Package set implements the command `pollenspindle log set`: it changes the log level of
+// an instance.
 //
 // # Usage
 //
@@ -14,20 +15,20 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
 
-	Level string `arg:"" enum:"debug,info,warn,error" help:"Least level to log: debug, info, warn or error."`
+	Level string `arg:"" enum:"debug,info,warn,error" help:"Minimum level to log: debug, info, warn or error."`
 }
 
 // NewCmdSet returns the command.
 func NewCmdSet(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `The level lasts until the instance ends; the settings file is not changed.
+	return `The level applies until the instance exits; the settings file is not changed.
 
 Examples:
   pollenspindle log set debug`
--- a/pkg/cmd/log/show/show.go
+++ b/pkg/cmd/log/show/show.go
@@ -1,4 +1,5 @@
-// Package show is the command `pollenspindle log show`: it prints the log level of the instance asked.
+// Package show implements the command `pollenspindle log show`: it prints the log level of
+// an instance.
 //
 // # Usage
 //
@@ -13,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -22,7 +23,7 @@
 // NewCmdShow returns the command.
 func NewCmdShow(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
 	return `Examples:
   pollenspindle log show`
--- a/pkg/cmd/model/load/load.go
+++ b/pkg/cmd/model/load/load.go
@@ -1,4 +1,5 @@
-// Package load is the command `pollenspindle model load`: it orders a backend server to load a model.
+// Package load implements the command `pollenspindle model load`: it makes a backend server
+// load a model.
 //
 // # Usage
 //
@@ -14,24 +15,24 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
 	cmdutil.Output
 
 	Model   string `arg:"" help:"Name of the model."`
-	Server  string `help:"Backend server that loads it." required:"" placeholder:"NAME"`
-	Version string `help:"Version to load; the declared one by default." placeholder:"VERSION"`
+	Server  string `help:"Backend server that loads the model." required:"" placeholder:"NAME"`
+	Version string `help:"Version to load; the declared version by default." placeholder:"VERSION"`
 }
 
 // NewCmdLoad returns the command.
 func NewCmdLoad(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `The order carries a fencing number, so that an order which was overtaken is not
-obeyed.
+	return `The command carries a fencing token, so that a backend server that checks fencing
+tokens refuses it if a newer command was sent.
 
 Examples:
   pollenspindle model load flight-briefing --server briefing-3`
--- a/pkg/cmd/model/model.go
+++ b/pkg/cmd/model/model.go
@@ -11,13 +11,13 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Command is the group of commands.
+// Command is the command group.
 type Command struct {
-	Load load.Options `cmd:"" help:"Order a backend server to load a model"`
+	Load load.Options `cmd:"" help:"Load a model on a backend server"`
 	List list.Options `cmd:"" help:"List the declared models"`
 }
 
-// NewCmdModel returns the group.
+// NewCmdModel returns the command group.
 func NewCmdModel(f *cmdutil.Factory) Command {
 	return Command{
 		Load: load.NewCmdLoad(f),
--- a/pkg/cmd/rollout/list/list.go
+++ b/pkg/cmd/rollout/list/list.go
@@ -1,4 +1,4 @@
-// Package list is the command `pollenspindle rollout list`: it shows the roll-outs
+// Package list implements the command `pollenspindle rollout list`: it lists the rollouts
 // that an instance takes part in.
 //
 // # Usage
@@ -23,14 +23,14 @@
 )
 
 const (
-	timeout  = 3 * time.Second
-	maxBytes = 1 << 20
+	requestTimeout   = 3 * time.Second
+	maxResponseBytes = 1 << 20
 )
 
-// ErrUnanswered means that the instance didn't answer.
-var ErrUnanswered = merry.Sentinel("the instance didn't answer on its metrics address")
+// ErrNoResponse means that the instance gave no usable response on its metrics address.
+var ErrNoResponse = merry.Sentinel("no usable response from the instance's metrics address")
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Output
@@ -41,11 +41,11 @@
 // NewCmdList returns the command.
 func NewCmdList(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `Each instance shows the stage and the share of requests that it sends to the
-new version. Counts, verdict and reason are those of all instances at the one that
-decides, which the column "decides" marks; elsewhere they are the instance's own.
+	return `The stage and the share of requests sent to the new version are those of the
+instance. Counts, verdict and reason cover all instances if the instance is the
+rollout's coordinator (column "decides"), and only the instance itself otherwise.
 
 Examples:
   pollenspindle rollout list --metrics 10.1.0.19:7200
@@ -56,12 +56,12 @@
 func (o *Options) Run(ctx context.Context) error { return listRun(ctx, o) }
 
 func listRun(ctx context.Context, o *Options) error {
-	shown, err := fetch(ctx, o.Metrics)
+	statuses, err := fetch(ctx, o.Metrics)
 	if err != nil {
 		return err
 	}
 	table := cmdutil.Table{Heading: []string{"service", "to", "stage", "share", "age", "new failed", "old failed", "left", "decides", "reason"}}
-	for _, s := range shown {
+	for _, s := range statuses {
 		reason := s.Reason
 		if reason == "" {
 			reason = s.WaitReason
@@ -72,27 +72,27 @@
 			strconv.Itoa(s.Remaining), strconv.FormatBool(s.Coordinator), reason,
 		})
 	}
-	return o.Print(o.Factory.Streams, shown, table)
+	return o.Print(o.Factory.Streams, statuses, table)
 }
 
 func fetch(ctx context.Context, address string) ([]rolloutpeer.Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/rollouts", nil)
 	if err != nil {
-		return nil, merry.Wrap(ErrUnanswered, merry.WithCause(err))
+		return nil, merry.Wrap(ErrNoResponse, merry.WithCause(err))
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, merry.Wrap(ErrUnanswered, merry.WithCause(err))
+		return nil, merry.Wrap(ErrNoResponse, merry.WithCause(err))
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return nil, merry.Wrap(ErrUnanswered, merry.AppendMessagef("status %d", res.StatusCode))
+		return nil, merry.Wrap(ErrNoResponse, merry.AppendMessagef("status %d", res.StatusCode))
 	}
-	var shown []rolloutpeer.Status
-	if err := json.NewDecoder(io.LimitReader(res.Body, maxBytes)).Decode(&shown); err != nil {
-		return nil, merry.Wrap(ErrUnanswered, merry.WithCause(err))
+	var statuses []rolloutpeer.Status
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxResponseBytes)).Decode(&statuses); err != nil {
+		return nil, merry.Wrap(ErrNoResponse, merry.WithCause(err))
 	}
-	return shown, nil
+	return statuses, nil
 }
--- a/pkg/cmd/rollout/rollout.go
+++ b/pkg/cmd/rollout/rollout.go
@@ -10,12 +10,12 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Command is the group of commands.
+// Command is the command group.
 type Command struct {
-	List list.Options `cmd:"" help:"List roll-outs as an instance sees them"`
+	List list.Options `cmd:"" help:"List rollouts as seen by an instance"`
 }
 
-// NewCmdRollout returns the group.
+// NewCmdRollout returns the command group.
 func NewCmdRollout(f *cmdutil.Factory) Command {
 	return Command{List: list.NewCmdList(f)}
 }
--- a/pkg/cmd/root/root.go
+++ b/pkg/cmd/root/root.go
@@ -1,5 +1,5 @@
-// Package root puts the commands of pollenspindle together, parses the command
-// line and turns errors into exit codes.
+// Package root assembles the commands of pollenspindle, parses the command line and maps errors to
+// exit codes.
 //
 // # Usage
 //
@@ -31,7 +31,7 @@
 
 const description = "Serve model generations of unknown length on engines short of memory."
 
-// grammar is the command line.
+// grammar declares the commands of the program for kong.
 type grammar struct {
 	Serve      serve.Options      `cmd:"" help:"Run an entry instance"`
 	Ingress    ingress.Options    `cmd:"" help:"Run an instance that routes by host and path"`
@@ -41,14 +41,14 @@
 	Instance   instance.Command   `cmd:"" help:"Work with entry instances"`
 	Generation generation.Command `cmd:"" help:"Work with generations"`
 	Model      model.Command      `cmd:"" help:"Work with models"`
-	Rollout    rollout.Command    `cmd:"" help:"Work with roll-outs"`
+	Rollout    rollout.Command    `cmd:"" help:"Work with rollouts"`
 	Log        log.Command        `cmd:"" help:"Work with the log level of an instance"`
 	Settings   settings.Command   `cmd:"" help:"Work with settings files"`
 	Version    version.Options    `cmd:"" help:"Print the version"`
 	Completion completion.Options `cmd:"" help:"Print a script for shell completion"`
 }
 
-// Main runs the command that args name and returns the exit code.
+// Main runs the command in args and returns the exit code.
 func Main(ctx context.Context, f *cmdutil.Factory, args []string) cmdutil.ExitCode {
 	commands := &grammar{
 		Serve:      serve.NewCmdServe(f),
@@ -65,11 +65,11 @@
 		Version:    version.NewCmdVersion(f),
 		Completion: completion.NewCmdCompletion(f),
 	}
-	helped := false
+	helpPrinted := false
 	parser, err := kong.New(commands,
 		kong.Name("pollenspindle"), kong.Description(description),
 		kong.Writers(f.Streams.Out, f.Streams.Err),
-		kong.Exit(func(int) { helped = true }),
+		kong.Exit(func(int) { helpPrinted = true }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, NoExpandSubcommands: true}),
 		kong.BindTo(ctx, (*context.Context)(nil)),
 	)
@@ -79,18 +79,18 @@
 	}
 	parsed, err := parser.Parse(args)
 	switch {
-	case helped:
+	case helpPrinted:
 		return cmdutil.ExitOK
 	case err != nil:
-		return usageFault(f, err)
+		return printUsageError(f, err)
 	}
 	err = parsed.Run()
 	cmdutil.PrintError(f.Streams.Err, err)
 	return cmdutil.ExitCodeOf(err)
 }
 
-// usageFault prints the fault and the usage of the command it concerns.
-func usageFault(f *cmdutil.Factory, err error) cmdutil.ExitCode {
+// printUsageError prints err and the usage of the command that it concerns.
+func printUsageError(f *cmdutil.Factory, err error) cmdutil.ExitCode {
 	fmt.Fprintln(f.Streams.Err, err.Error())
 	var parseErr *kong.ParseError
 	if errors.As(err, &parseErr) && parseErr.Context != nil {
--- a/pkg/cmd/serve/serve.go
+++ b/pkg/cmd/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve is the command `pollenspindle serve`: it runs an entry
+// Package serve implements the command `pollenspindle serve`: it runs an entry
 // instance.
 //
 // # Usage
@@ -14,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 
@@ -24,11 +24,11 @@
 // NewCmdServe returns the command.
 func NewCmdServe(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `Everything the instance is told stands in its settings file; no other flag and
-no environment variable changes it. On SIGTERM or SIGINT the instance leaves:
-it lets every stream end and exits with 0.
+	return `All settings of the instance are in its settings file; no other flag and no
+environment variable changes them. On SIGTERM or SIGINT the instance shuts down
+gracefully: it waits for all streams to end and exits with 0.
 
 Examples:
   pollenspindle serve --settings entry-1.jsonc`
--- a/pkg/cmd/server/drain/drain.go
+++ b/pkg/cmd/server/drain/drain.go
@@ -1,4 +1,4 @@
-// Package drain is the command `pollenspindle server drain`: it gives a backend server no new work.
+// Package drain implements the command `pollenspindle server drain`: it drains a backend server.
 //
 // # Usage
 //
@@ -14,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -27,9 +27,9 @@
 // NewCmdDrain returns the command.
 func NewCmdDrain(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `What runs on the backend server ends in its own time.
+	return `The backend server gets no new work. Work in progress on it continues to its end.
 
 Examples:
   pollenspindle server drain briefing-3 -m "reclaimed tonight"`
--- a/pkg/cmd/server/list/list.go
+++ b/pkg/cmd/server/list/list.go
@@ -1,4 +1,4 @@
-// Package list is the command `pollenspindle server list`: it lists the backend servers.
+// Package list implements the command `pollenspindle server list`: it lists the backend servers.
 //
 // # Usage
 //
@@ -15,22 +15,22 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
 	cmdutil.Output
 
-	Zone    string `help:"Only those of an availability zone." placeholder:"NAME"`
-	Service string `help:"Only those of a service." placeholder:"NAME"`
+	Zone    string `help:"List only backend servers of this availability zone." placeholder:"NAME"`
+	Service string `help:"List only backend servers of this service." placeholder:"NAME"`
 }
 
 // NewCmdList returns the command.
 func NewCmdList(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `The load is what the owner last learnt of the backend server.
+	return `The load is the last one that the owner received from the backend server.
 
 Examples:
   pollenspindle server list --zone kigali-a`
--- a/pkg/cmd/server/restore/restore.go
+++ b/pkg/cmd/server/restore/restore.go
@@ -1,4 +1,5 @@
-// Package restore is the command `pollenspindle server restore`: it gives a backend server new work again.
+// Package restore implements the command `pollenspindle server restore`: it restores a drained
+// backend server.
 //
 // # Usage
 //
@@ -14,7 +15,7 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -27,9 +28,9 @@
 // NewCmdRestore returns the command.
 func NewCmdRestore(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `The backend server is taken to be cold.
+	return `The backend server gets new work again and is treated as cold.
 
 Examples:
   pollenspindle server restore briefing-3`
--- a/pkg/cmd/server/server.go
+++ b/pkg/cmd/server/server.go
@@ -12,14 +12,14 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Command is the group of commands.
+// Command is the command group.
 type Command struct {
 	List    list.Options    `cmd:"" help:"List backend servers"`
-	Drain   drain.Options   `cmd:"" help:"Give a backend server no new work"`
-	Restore restore.Options `cmd:"" help:"Give a backend server new work again"`
+	Drain   drain.Options   `cmd:"" help:"Drain a backend server"`
+	Restore restore.Options `cmd:"" help:"Restore a drained backend server"`
 }
 
-// NewCmdServer returns the group.
+// NewCmdServer returns the command group.
 func NewCmdServer(f *cmdutil.Factory) Command {
 	return Command{
 		List:    list.NewCmdList(f),
--- a/pkg/cmd/settings/check/check.go
+++ b/pkg/cmd/settings/check/check.go
@@ -1,4 +1,5 @@
-// Package check is the command `pollenspindle settings check`: it checks a settings file.
+// Package check implements the command `pollenspindle settings check`: it validates a settings
+// file.
 //
 // # Usage
 //
@@ -14,7 +15,7 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	File    string           `arg:"" help:"Settings file."`
@@ -23,7 +24,7 @@
 // NewCmdCheck returns the command.
 func NewCmdCheck(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
 	return `All faults are listed, each with its line and column.
 
--- a/pkg/cmd/settings/print/print.go
+++ b/pkg/cmd/settings/print/print.go
@@ -1,4 +1,5 @@
-// Package print is the command `pollenspindle settings print`: it prints settings with their defaults.
+// Package print implements the command `pollenspindle settings print`: it prints settings with
+// their defaults.
 //
 // # Usage
 //
@@ -13,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	File    string           `arg:"" help:"Settings file."`
@@ -22,9 +23,9 @@
 // NewCmdPrint returns the command.
 func NewCmdPrint(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `Defaults are filled in. Keys are left out.
+	return `Defaults are filled in. Keys are omitted.
 
 Examples:
   pollenspindle settings print entry-1.jsonc`
--- a/pkg/cmd/settings/schema/schema.go
+++ b/pkg/cmd/settings/schema/schema.go
@@ -1,4 +1,5 @@
-// Package schema is the command `pollenspindle settings schema`: it prints the JSON Schema of settings.
+// Package schema implements the command `pollenspindle settings schema`: it prints the JSON Schema
+// of settings.
 //
 // # Usage
 //
@@ -13,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 }
@@ -21,9 +22,9 @@
 // NewCmdSchema returns the command.
 func NewCmdSchema(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `Each field is described with its unit.
+	return `The schema describes each field with its unit.
 
 Examples:
   pollenspindle settings schema > settings.schema.json`
--- a/pkg/cmd/settings/settings.go
+++ b/pkg/cmd/settings/settings.go
@@ -12,14 +12,14 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Command is the group of commands.
+// Command is the command group.
 type Command struct {
 	Check  check.Options  `cmd:"" help:"Check a settings file"`
 	Print  print.Options  `cmd:"" help:"Print settings with their defaults"`
 	Schema schema.Options `cmd:"" help:"Print the JSON Schema of settings"`
 }
 
-// NewCmdSettings returns the group.
+// NewCmdSettings returns the command group.
 func NewCmdSettings(f *cmdutil.Factory) Command {
 	return Command{
 		Check:  check.NewCmdCheck(f),
--- a/pkg/cmd/version/version.go
+++ b/pkg/cmd/version/version.go
@@ -1,4 +1,4 @@
-// Package version is the command `pollenspindle version`.
+// Package version implements the command `pollenspindle version`.
 //
 // # Usage
 //
@@ -13,7 +13,7 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 }
--- a/pkg/cmd/zone/drain/drain.go
+++ b/pkg/cmd/zone/drain/drain.go
@@ -1,4 +1,4 @@
-// Package drain is the command `pollenspindle zone drain`: it takes an availability zone out.
+// Package drain implements the command `pollenspindle zone drain`: it drains an availability zone.
 //
 // # Usage
 //
@@ -14,7 +14,7 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -27,10 +27,10 @@
 // NewCmdDrain returns the command.
 func NewCmdDrain(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `Within seconds no instance sends new work to the availability zone. What runs
-there ends in its own time.
+	return `Within seconds no instance sends new work to the availability zone. Work in
+progress there continues to its end.
 
 Examples:
   pollenspindle zone drain kigali-a -m "power work"`
--- a/pkg/cmd/zone/list/list.go
+++ b/pkg/cmd/zone/list/list.go
@@ -1,4 +1,4 @@
-// Package list is the command `pollenspindle zone list`: it lists the availability zones.
+// Package list implements the command `pollenspindle zone list`: it lists the availability zones.
 //
 // # Usage
 //
@@ -12,7 +12,7 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -22,7 +22,7 @@
 // NewCmdList returns the command.
 func NewCmdList(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
 	return `Examples:
   pollenspindle zone list`
--- a/pkg/cmd/zone/restore/restore.go
+++ b/pkg/cmd/zone/restore/restore.go
@@ -1,4 +1,5 @@
-// Package restore is the command `pollenspindle zone restore`: it brings an availability zone back.
+// Package restore implements the command `pollenspindle zone restore`: it restores a drained
+// availability zone.
 //
 // # Usage
 //
@@ -14,7 +15,7 @@
 	"pollenspindle.example/pollenspindle/pkg/pollenspindle"
 )
 
-// Options is what the command needs.
+// Options holds the flags and dependencies of the command.
 type Options struct {
 	Factory *cmdutil.Factory `kong:"-"`
 	cmdutil.Connection
@@ -27,9 +28,9 @@
 // NewCmdRestore returns the command.
 func NewCmdRestore(f *cmdutil.Factory) Options { return Options{Factory: f} }
 
-// Help is the command's long text.
+// Help returns the long help text of the command.
 func (*Options) Help() string {
-	return `Each backend server of the availability zone is taken to be cold.
+	return `Each backend server of the availability zone is treated as cold.
 
 Examples:
   pollenspindle zone restore kigali-a`
--- a/pkg/cmd/zone/zone.go
+++ b/pkg/cmd/zone/zone.go
@@ -12,14 +12,14 @@
 	"pollenspindle.example/pollenspindle/pkg/cmdutil"
 )
 
-// Command is the group of commands.
+// Command is the command group.
 type Command struct {
-	Drain   drain.Options   `cmd:"" help:"Take an availability zone out"`
-	Restore restore.Options `cmd:"" help:"Bring an availability zone back"`
+	Drain   drain.Options   `cmd:"" help:"Drain an availability zone"`
+	Restore restore.Options `cmd:"" help:"Restore a drained availability zone"`
 	List    list.Options    `cmd:"" help:"List availability zones"`
 }
 
-// NewCmdZone returns the group.
+// NewCmdZone returns the command group.
 func NewCmdZone(f *cmdutil.Factory) Command {
 	return Command{
 		Drain:   drain.NewCmdDrain(f),
