--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -46,7 +46,7 @@
 		s.respondUnsupported(c)
 		return
 	}
-	var command operatorapi.Order
+	var command operatorapi.EngineCommand
 	if !s.decode(c, &command) {
 		return
 	}
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -142,13 +142,13 @@
 	Detail   string `json:"detail,omitempty"`
 }
 
-// Order is a command to load a model, an adapter or a role on a backend server.
-type Order struct {
+// EngineCommand is a command to load a model, an adapter or a role on a backend server.
+type EngineCommand struct {
 	Server  string `json:"server"`
 	Version string `json:"version,omitempty"`
 }
 
-// OrderOutcome is the backend server's response to an [Order].
+// OrderOutcome is the backend server's response to an [EngineCommand].
 type OrderOutcome struct {
 	Server        string `json:"server"`
 	Model         string `json:"model"`
--- a/internal/serve/models.go
+++ b/internal/serve/models.go
@@ -28,7 +28,7 @@
 }
 
 // Load implements operator.Models.
-func (m models) Load(ctx context.Context, _ time.Time, model string, o operatorapi.Order) (operatorapi.OrderOutcome, error) {
+func (m models) Load(ctx context.Context, _ time.Time, model string, o operatorapi.EngineCommand) (operatorapi.OrderOutcome, error) {
 	outcome, err := m.load(ctx, engineorder.Order{Server: o.Server, Model: model, Version: o.Version})
 	if err != nil {
 		return operatorapi.OrderOutcome{}, translateError(err)
--- a/pkg/cmd/model/load/load.go
+++ b/pkg/cmd/model/load/load.go
@@ -46,7 +46,7 @@
 		return err
 	}
 	defer client.Close()
-	outcome, err := client.LoadModel(ctx, o.Model, operatorapi.Order{Server: o.Server, Version: o.Version})
+	outcome, err := client.LoadModel(ctx, o.Model, operatorapi.EngineCommand{Server: o.Server, Version: o.Version})
 	if err != nil {
 		return err
 	}
