--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -112,7 +112,7 @@
 
 // Models sends commands to model engines.
 type Models interface {
-	Load(ctx context.Context, now time.Time, model string, command operatorapi.EngineCommand) (operatorapi.OrderOutcome, error)
+	Load(ctx context.Context, now time.Time, model string, command operatorapi.EngineCommand) (operatorapi.EngineCommandResult, error)
 }
 
 // Deps are the dependencies of a [Server]. Servers, Instances, Generations and Models may be nil;
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -129,8 +129,8 @@
 }
 
 // LoadModel commands a backend server to load a model.
-func (c *Client) LoadModel(ctx context.Context, model string, command EngineCommand) (OrderOutcome, error) {
-	var out OrderOutcome
+func (c *Client) LoadModel(ctx context.Context, model string, command EngineCommand) (EngineCommandResult, error) {
+	var out EngineCommandResult
 	err := c.call(ctx, consts.MethodPost, "/models/"+url.PathEscape(model)+"/load", command, &out)
 	return out, err
 }
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -148,8 +148,8 @@
 	Version string `json:"version,omitempty"`
 }
 
-// OrderOutcome is the backend server's response to an [EngineCommand].
-type OrderOutcome struct {
+// EngineCommandResult is the backend server's response to an [EngineCommand].
+type EngineCommandResult struct {
 	Server        string `json:"server"`
 	Model         string `json:"model"`
 	FencingNumber int64  `json:"fencingNumber"`
--- a/internal/serve/models.go
+++ b/internal/serve/models.go
@@ -28,12 +28,12 @@
 }
 
 // Load implements operator.Models.
-func (m models) Load(ctx context.Context, _ time.Time, model string, o operatorapi.EngineCommand) (operatorapi.OrderOutcome, error) {
+func (m models) Load(ctx context.Context, _ time.Time, model string, o operatorapi.EngineCommand) (operatorapi.EngineCommandResult, error) {
 	outcome, err := m.load(ctx, engineorder.Order{Server: o.Server, Model: model, Version: o.Version})
 	if err != nil {
-		return operatorapi.OrderOutcome{}, translateError(err)
+		return operatorapi.EngineCommandResult{}, translateError(err)
 	}
-	return operatorapi.OrderOutcome{
+	return operatorapi.EngineCommandResult{
 		Server: o.Server, Model: model, FencingNumber: outcome.Number, State: string(outcome.State),
 	}, nil
 }
