--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -138,7 +138,7 @@
 	At time.Time `json:"at"`
 	// Instance is the entry instance that recorded the step, with At from its clock.
 	Instance string `json:"instance,omitempty"`
-	What     string `json:"what"`
+	Kind     string `json:"what"`
 	Detail   string `json:"detail,omitempty"`
 }
 
--- a/internal/serve/generations.go
+++ b/internal/serve/generations.go
@@ -64,11 +64,11 @@
 			g.State = string(f.State)
 		}
 		for _, s := range f.Steps {
-			g.Steps = append(g.Steps, operatorapi.Step{At: s.At, Instance: f.Instance, What: string(s.Kind), Detail: stepDetail(s)})
+			g.Steps = append(g.Steps, operatorapi.Step{At: s.At, Instance: f.Instance, Kind: string(s.Kind), Detail: stepDetail(s)})
 		}
 		if f.Dropped > 0 {
 			g.Steps = append(g.Steps, operatorapi.Step{
-				At: f.Steps[len(f.Steps)-1].At, Instance: f.Instance, What: "note",
+				At: f.Steps[len(f.Steps)-1].At, Instance: f.Instance, Kind: "note",
 				Detail: fmt.Sprintf("%d steps in the middle were dropped", f.Dropped),
 			})
 		}
--- a/pkg/cmd/generation/show/show.go
+++ b/pkg/cmd/generation/show/show.go
@@ -59,7 +59,7 @@
 	table := cmdutil.Table{Heading: []string{"at", "instance", "what", "detail"}}
 	for _, step := range g.Steps {
 		table.Rows = append(table.Rows, []string{
-			step.At.UTC().Format(timeFormat), step.Instance, step.What, step.Detail,
+			step.At.UTC().Format(timeFormat), step.Instance, step.Kind, step.Detail,
 		})
 	}
 	return o.Print(o.Factory.Streams, g, table)
