--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -106,7 +106,7 @@
 
 // Generations shows the history of generations and cancels them.
 type Generations interface {
-	Show(ctx context.Context, id string) (operatorapi.Generation, error)
+	Get(ctx context.Context, id string) (operatorapi.Generation, error)
 	Cancel(ctx context.Context, id string) error
 }
 
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -105,7 +105,7 @@
 		s.respondUnsupported(c)
 		return
 	}
-	generation, err := s.deps.Generations.Show(ctx, c.Param("name"))
+	generation, err := s.deps.Generations.Get(ctx, c.Param("name"))
 	if err != nil {
 		s.respondError(c, err)
 		return
--- a/internal/serve/generations.go
+++ b/internal/serve/generations.go
@@ -22,8 +22,8 @@
 	callers *caller.Server
 }
 
-// Show implements operator.Generations.
-func (g generations) Show(ctx context.Context, id string) (operatorapi.Generation, error) {
+// Get implements operator.Generations.
+func (g generations) Get(ctx context.Context, id string) (operatorapi.Generation, error) {
 	records, err := g.fleet.FindRequest(ctx, id)
 	switch {
 	case errors.Is(err, fleet.ErrUnreachable):
