--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -3,7 +3,7 @@
 // metrics and readiness. Every call under [operatorapi.Prefix] needs the operators' token.
 //
 // It takes no part in handling callers' requests. It accesses the rest of the instance through the
-// interfaces in [Deps].
+// interfaces in [Options].
 //
 // # Usage
 //
@@ -45,7 +45,7 @@
 	callTimeout = 15 * time.Second
 )
 
-// Errors that the interfaces of [Deps] return.
+// Errors that the interfaces of [Options] return.
 var (
 	// ErrNotFound means that the named object doesn't exist.
 	ErrNotFound = merry.Sentinel("not found")
@@ -115,9 +115,9 @@
 	Load(ctx context.Context, now time.Time, model string, command operatorapi.EngineCommand) (operatorapi.EngineCommandResult, error)
 }
 
-// Deps are the dependencies of a [Server]. Servers, Instances, Generations and Models may be nil;
+// Options are the dependencies of a [Server]. Servers, Instances, Generations and Models may be nil;
 // calls that need them then fail as not supported.
-type Deps struct {
+type Options struct {
 	// Instance is the name of this entry instance.
 	Instance string
 	// Listener accepts operators' connections. The server closes it.
@@ -141,13 +141,13 @@
 
 // Server serves the operator API.
 type Server struct {
-	deps   Deps
+	deps   Options
 	tokens [][sha256.Size]byte
 	http   *server.Hertz
 }
 
 // New returns a server. It accepts no connections before [Server.Run].
-func New(deps Deps) (*Server, error) {
+func New(deps Options) (*Server, error) {
 	tokens, err := decodeHashes(append([]string{deps.TokenSHA256}, deps.AcceptedSHA256...))
 	if err != nil {
 		return nil, err
--- a/internal/operator/operatortest/operatortest.go
+++ b/internal/operator/operatortest/operatortest.go
@@ -121,7 +121,7 @@
 
 // Start runs a server until the test ends. It overwrites the fields of deps that every test needs:
 // Instance, Listener, Config, TokenSHA256 and Now.
-func Start(t *testing.T, deps operator.Deps) Harness {
+func Start(t *testing.T, deps operator.Options) Harness {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/serve/components.go
+++ b/internal/serve/components.go
@@ -202,8 +202,8 @@
 	}
 }
 
-func (p *components) operatorDeps(listener net.Listener, callers *caller.Server) operator.Deps {
-	return operator.Deps{
+func (p *components) operatorDeps(listener net.Listener, callers *caller.Server) operator.Options {
+	return operator.Options{
 		Instance:       p.settings.Instance,
 		Listener:       listener,
 		TokenSHA256:    p.settings.OperatorTokenSHA256,
