--- a/internal/operator/operatortest/operatortest.go
+++ b/internal/operator/operatortest/operatortest.go
@@ -35,8 +35,8 @@
 	mu      sync.Mutex
 	current operatorapi.Configuration
 	history []operatorapi.Change
-	// Race, if set, is called once at the start of the next Apply, outside the lock.
-	Race func()
+	// BeforeApply, if set, is called once at the start of the next Apply, outside the lock.
+	BeforeApply func()
 	// Err, if set, is the error that Apply returns.
 	Err error
 	// Behind is the remaining number of calls of InForce that count one instance less than there
@@ -54,8 +54,8 @@
 // Apply accepts change if its base version is the current one.
 func (c *Config) Apply(_ context.Context, now time.Time, change operator.Change) (int64, error) {
 	c.mu.Lock()
-	race := c.Race
-	c.Race = nil
+	race := c.BeforeApply
+	c.BeforeApply = nil
 	c.mu.Unlock()
 	if race != nil {
 		race()
