--- a/internal/operator/operatortest/operatortest.go
+++ b/internal/operator/operatortest/operatortest.go
@@ -39,9 +39,9 @@
 	BeforeApply func()
 	// Err, if set, is the error that Apply returns.
 	Err error
-	// Behind is the remaining number of calls of InForce that count one instance less than there
+	// IncompleteCounts is the remaining number of calls of InForce that count one instance less than there
 	// are.
-	Behind int
+	IncompleteCounts int
 }
 
 // Current returns the configuration.
@@ -89,8 +89,8 @@
 	const instances = 3
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Behind > 0 {
-		c.Behind--
+	if c.IncompleteCounts > 0 {
+		c.IncompleteCounts--
 		return instances - 1, instances, nil
 	}
 	return instances, instances, nil
