--- a/internal/caller/generate.go
+++ b/internal/caller/generate.go
@@ -70,13 +70,13 @@
 	if err != nil {
 		return nil, err
 	}
-	entry := journal.From(ctx)
-	entry.Describe(journal.Subject{Workspace: ident.workspace.Name})
+	entry := journal.FromContext(ctx)
+	entry.SetSubject(journal.Subject{Workspace: ident.workspace.Name})
 	req, err := readGeneration(c, e, ident)
 	if err != nil {
 		return nil, err
 	}
-	entry.Describe(journal.Subject{Workspace: ident.workspace.Name, Model: knownModel(ident, req.Model)})
+	entry.SetSubject(journal.Subject{Workspace: ident.workspace.Name, Model: knownModel(ident, req.Model)})
 	job, err := s.job(ident, req)
 	if err != nil {
 		return nil, err
--- a/internal/caller/resume.go
+++ b/internal/caller/resume.go
@@ -56,11 +56,11 @@
 	if err != nil {
 		return err
 	}
-	entry := journal.From(ctx)
-	entry.Describe(journal.Subject{Workspace: ref.id.Workspace, Model: ref.id.Model})
-	entry.Name(ref.text)
+	entry := journal.FromContext(ctx)
+	entry.SetSubject(journal.Subject{Workspace: ref.id.Workspace, Model: ref.id.Model})
+	entry.AddName(ref.text)
 	trace.SpanFromContext(ctx).SetAttributes(attribute.String("generation.id", ref.text))
-	entry.Add(journal.Step{At: now(), What: journal.Resumed, Server: ref.server.Name, Count: after})
+	entry.Add(journal.Step{At: now(), Kind: journal.Resumed, Server: ref.server.Name, Count: after})
 	s.notifyEntry(c, ref)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/caller/services.go
+++ b/internal/caller/services.go
@@ -33,13 +33,13 @@
 	if err != nil {
 		return err
 	}
-	entry := journal.From(ctx)
-	entry.Describe(journal.Subject{Workspace: ident.workspace.Name})
+	entry := journal.FromContext(ctx)
+	entry.SetSubject(journal.Subject{Workspace: ident.workspace.Name})
 	call, err := s.parseCall(c, ident)
 	if err != nil {
 		return err
 	}
-	entry.Describe(journal.Subject{Workspace: ident.workspace.Name, Service: call.Service.Name})
+	entry.SetSubject(journal.Subject{Workspace: ident.workspace.Name, Service: call.Service.Name})
 	a, err := s.forward.Do(ctx, call)
 	if err != nil {
 		return err
--- a/internal/caller/write.go
+++ b/internal/caller/write.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			return "", err
 		}
-		journal.From(ctx).Name(text)
+		journal.FromContext(ctx).AddName(text)
 		trace.SpanFromContext(ctx).SetAttributes(attribute.String("generation.id", text))
 		return text, nil
 	}
--- a/internal/ingressserve/build.go
+++ b/internal/ingressserve/build.go
@@ -49,11 +49,11 @@
 	}
 	in.planner = planner.New(planner.Options{
 		Self: cfg.Instance, Table: in.table, Key: key, State: in.state, ColdLimits: bounds, OwnLoads: lb.Loads, LoadChanged: lb.Changed(), Failures: lb.Failures,
-		Log: telemetry.Part(in.tel.Log, "planner"), Now: time.Now,
+		Log: telemetry.ComponentLogger(in.tel.Log, "planner"), Now: time.Now,
 	})
 	in.buildRollouts(key, objects, lb)
 	in.outliers = outlierpeer.New(outlierpeer.Options{
-		Self: cfg.Instance, Table: in.table, Key: key, Log: telemetry.Part(in.tel.Log, "outlier"),
+		Self: cfg.Instance, Table: in.table, Key: key, Log: telemetry.ComponentLogger(in.tel.Log, "outlier"),
 		Scope: in.tel.Metrics.SubScope("outlier"), Now: time.Now,
 	})
 	lb.SetAvoid(in.outliers.ShouldAvoid)
@@ -67,13 +67,13 @@
 		ApplyConfiguration: func(now time.Time, value []byte, source string) {
 			in.follower.ApplyRawConfiguration(now, value, source)
 		},
-		Log: telemetry.Part(in.tel.Log, "peer"), Scope: in.tel.Metrics.SubScope("peer"), Now: time.Now,
+		Log: telemetry.ComponentLogger(in.tel.Log, "peer"), Scope: in.tel.Metrics.SubScope("peer"), Now: time.Now,
 	})
 	if err != nil {
 		return err
 	}
 	in.follower = observed.NewFollower(observed.Options{
-		State: in.state, Objects: objects, Dialect: d, Log: telemetry.Part(in.tel.Log, "platform"), Now: time.Now,
+		State: in.state, Objects: objects, Dialect: d, Log: telemetry.ComponentLogger(in.tel.Log, "platform"), Now: time.Now,
 		Rank: in.table.Rank, Broadcast: in.gossip.Broadcast, StartWait: in.startupWait(), InstanceCount: in.instances, PropagationLimits: platformBounds(cfg),
 	})
 	return in.buildServer(ctx, lb)
@@ -103,7 +103,7 @@
 		Self: in.cfg.Instance, Table: in.table, Key: key, State: in.state, Objects: objects, Dialect: in.opts.Dialect,
 		Limits:    rollout.Limits{Share: in.cfg.ExposureShare, Slack: in.cfg.ExposureSlack},
 		Remaining: func(server string) int { return lb.LoadOn(server).Running }, StageChanged: func() { in.gossip.Broadcast() },
-		Log: telemetry.Part(in.tel.Log, "rollout"), Scope: in.tel.Metrics.SubScope("rollout"), Now: time.Now,
+		Log: telemetry.ComponentLogger(in.tel.Log, "rollout"), Scope: in.tel.Metrics.SubScope("rollout"), Now: time.Now,
 	})
 }
 
@@ -163,7 +163,7 @@
 		Retries:   retry.NewSharedBudgets(rand.New(rand.NewPCG(rand.Uint64(), 2)), in.retryLimits),
 		Instances: in.instances, DenyMaxAge: time.Duration(float64(platformBounds(cfg).Configuration) * denyAgeShare), Addresses: in.callerAddresses, Planner: in.planner, Rollouts: in.rollouts, Outliers: in.outliers, Suspects: in.suspects,
 		Grace: time.Duration(cfg.GraceSeconds * float64(time.Second)),
-		Log:   telemetry.Part(in.tel.Log, "caller"), Scope: in.tel.Metrics.SubScope("ingress"), Tracer: in.tel.Tracer, Now: time.Now,
+		Log:   telemetry.ComponentLogger(in.tel.Log, "caller"), Scope: in.tel.Metrics.SubScope("ingress"), Tracer: in.tel.Tracer, Now: time.Now,
 	})
 	in.server = server
 	return err
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -11,52 +11,52 @@
 	"pollenspindle.example/pollenspindle/internal/operatorapi"
 )
 
-// leaveInstance takes the name as a guard: an address that was reused since
-// must not shut another instance down.
+// leaveInstance compares the name in the path with that of this instance: if the address was reused
+// in the meantime, another instance must not be shut down.
 func (s *Server) leaveInstance(ctx context.Context, c *app.RequestContext) {
-	if s.deps.Instances == nil {
-		s.unsupported(c)
+	if s.opts.Instances == nil {
+		s.respondUnsupported(c)
 		return
 	}
-	if name := c.Param("name"); name != s.deps.Instance {
-		s.failWith(c, merry.Appendf(ErrRefused, "this is instance %q, not %q", s.deps.Instance, name))
+	if name := c.Param("name"); name != s.opts.Instance {
+		s.respondError(c, merry.Appendf(ErrRefused, "this is instance %q, not %q", s.opts.Instance, name))
 		return
 	}
-	if err := s.deps.Instances.Leave(ctx); err != nil {
-		s.failWith(c, err)
+	if err := s.opts.Instances.Leave(ctx); err != nil {
+		s.respondError(c, err)
 		return
 	}
 	c.Status(consts.StatusNoContent)
 }
 
 func (s *Server) cancelGeneration(ctx context.Context, c *app.RequestContext) {
-	if s.deps.Generations == nil {
-		s.unsupported(c)
+	if s.opts.Generations == nil {
+		s.respondUnsupported(c)
 		return
 	}
-	if err := s.deps.Generations.Cancel(ctx, c.Param("name")); err != nil {
-		s.failWith(c, err)
+	if err := s.opts.Generations.Cancel(ctx, c.Param("name")); err != nil {
+		s.respondError(c, err)
 		return
 	}
 	c.Status(consts.StatusNoContent)
 }
 
 func (s *Server) loadModel(ctx context.Context, c *app.RequestContext) {
-	if s.deps.Models == nil {
-		s.unsupported(c)
+	if s.opts.Models == nil {
+		s.respondUnsupported(c)
 		return
 	}
-	var order operatorapi.Order
-	if !s.decode(c, &order) {
+	var command operatorapi.EngineCommand
+	if !s.decode(c, &command) {
 		return
 	}
-	if order.Server == "" {
-		s.badField(c, "server", "is missing")
+	if command.Server == "" {
+		s.respondInvalidField(c, "server", "is missing")
 		return
 	}
-	outcome, err := s.deps.Models.Load(ctx, s.deps.Now(), c.Param("name"), order)
+	outcome, err := s.opts.Models.Load(ctx, s.opts.Now(), c.Param("name"), command)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, outcome)
@@ -69,10 +69,10 @@
 	}
 	level, err := zerolog.ParseLevel(req.Level)
 	if err != nil || level < zerolog.DebugLevel || level > zerolog.ErrorLevel {
-		s.badField(c, "level", "must be one of debug, info, warn, error")
+		s.respondInvalidField(c, "level", "must be one of debug, info, warn, error")
 		return
 	}
 	zerolog.SetGlobalLevel(level)
-	s.deps.Log.WithLevel(zerolog.InfoLevel).Str("level", req.Level).Msg("Log level changed.")
+	s.opts.Log.WithLevel(zerolog.InfoLevel).Str("level", req.Level).Msg("Log level changed.")
 	c.Status(consts.StatusNoContent)
 }
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -11,18 +11,19 @@
 	"pollenspindle.example/pollenspindle/internal/operatorapi"
 )
 
-// health says that the process answers.
+// health responds with 200 while the process runs.
 func (s *Server) health(_ context.Context, c *app.RequestContext) {
 	c.String(consts.StatusOK, "ok\n")
 }
 
-// readiness says whether the instance takes new work.
+// readiness responds with 200 if the instance accepts new requests, otherwise with 503 and the
+// reason.
 func (s *Server) readiness(_ context.Context, c *app.RequestContext) {
-	if s.deps.Ready == nil {
+	if s.opts.Ready == nil {
 		c.String(consts.StatusOK, "ready\n")
 		return
 	}
-	if err := s.deps.Ready(); err != nil {
+	if err := s.opts.Ready(); err != nil {
 		c.String(consts.StatusServiceUnavailable, "%s\n", err.Error())
 		return
 	}
@@ -30,9 +31,9 @@
 }
 
 func (s *Server) showConfig(ctx context.Context, c *app.RequestContext) {
-	current, err := s.deps.Config.Current(ctx)
+	current, err := s.opts.Config.Current(ctx)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, current)
@@ -43,14 +44,14 @@
 	if text := c.Query("limit"); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 1 || n > maxHistory {
-			s.badField(c, "limit", "must be from 1 to "+strconv.Itoa(maxHistory))
+			s.respondInvalidField(c, "limit", "must be from 1 to "+strconv.Itoa(maxHistory))
 			return
 		}
 		limit = n
 	}
-	changes, err := s.deps.Config.History(ctx, limit)
+	changes, err := s.opts.Config.History(ctx, limit)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, operatorapi.History{Changes: changes})
@@ -59,26 +60,26 @@
 func (s *Server) showInForce(ctx context.Context, c *app.RequestContext) {
 	version, err := strconv.ParseInt(c.Query("version"), 10, 64)
 	if err != nil || version < 0 {
-		s.badField(c, "version", "must be a version")
+		s.respondInvalidField(c, "version", "must be a version")
 		return
 	}
-	inForce, total, err := s.deps.Config.InForce(ctx, version)
+	inForce, total, err := s.opts.Config.InForce(ctx, version)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, operatorapi.InForce{Version: version, InForce: inForce, Total: total})
 }
 
 func (s *Server) listServers(ctx context.Context, c *app.RequestContext) {
-	current, err := s.deps.Config.Current(ctx)
+	current, err := s.opts.Config.Current(ctx)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	var statuses map[string]operatorapi.ServerStatus
-	if s.deps.Servers != nil {
-		statuses = s.deps.Servers.Statuses(ctx)
+	if s.opts.Servers != nil {
+		statuses = s.opts.Servers.Statuses(ctx)
 	}
 	list := operatorapi.Servers{Servers: make([]operatorapi.Server, 0, len(current.Config.Servers))}
 	for _, declared := range current.Config.Servers {
@@ -88,26 +89,26 @@
 }
 
 func (s *Server) listInstances(ctx context.Context, c *app.RequestContext) {
-	if s.deps.Instances == nil {
-		s.unsupported(c)
+	if s.opts.Instances == nil {
+		s.respondUnsupported(c)
 		return
 	}
-	list, err := s.deps.Instances.List(ctx)
+	list, err := s.opts.Instances.List(ctx)
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, operatorapi.Instances{Instances: list})
 }
 
 func (s *Server) showGeneration(ctx context.Context, c *app.RequestContext) {
-	if s.deps.Generations == nil {
-		s.unsupported(c)
+	if s.opts.Generations == nil {
+		s.respondUnsupported(c)
 		return
 	}
-	generation, err := s.deps.Generations.Show(ctx, c.Param("name"))
+	generation, err := s.opts.Generations.Get(ctx, c.Param("name"))
 	if err != nil {
-		s.failWith(c, err)
+		s.respondError(c, err)
 		return
 	}
 	c.JSON(consts.StatusOK, generation)
--- a/pkg/cmd/server/drain/drain.go
+++ b/pkg/cmd/server/drain/drain.go
@@ -43,7 +43,7 @@
 		PrintPlan: func(cfg pollenspindle.Config) {
 			cmdutil.PrintServerPlan(o.Factory.Streams, cfg, o.Server, "Draining")
 		},
-		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.ChangeResult, error) {
 			return client.DrainServer(ctx, o.Server, req)
 		},
 	})
--- a/pkg/cmd/server/restore/restore.go
+++ b/pkg/cmd/server/restore/restore.go
@@ -44,7 +44,7 @@
 		PrintPlan: func(cfg pollenspindle.Config) {
 			cmdutil.PrintServerPlan(o.Factory.Streams, cfg, o.Server, "Restoring")
 		},
-		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.ChangeResult, error) {
 			return client.RestoreServer(ctx, o.Server, req)
 		},
 	})
--- a/pkg/cmd/zone/drain/drain.go
+++ b/pkg/cmd/zone/drain/drain.go
@@ -44,7 +44,7 @@
 		PrintPlan: func(cfg pollenspindle.Config) {
 			cmdutil.PrintZonePlan(o.Factory.Streams, cfg, o.Zone, "Taking out")
 		},
-		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.ChangeResult, error) {
 			return client.DrainZone(ctx, o.Zone, req)
 		},
 	})
--- a/pkg/cmd/zone/restore/restore.go
+++ b/pkg/cmd/zone/restore/restore.go
@@ -44,7 +44,7 @@
 		PrintPlan: func(cfg pollenspindle.Config) {
 			cmdutil.PrintZonePlan(o.Factory.Streams, cfg, o.Zone, "Bringing back")
 		},
-		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error) {
+		Submit: func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.ChangeResult, error) {
 			return client.RestoreZone(ctx, o.Zone, req)
 		},
 	})
--- a/pkg/cmdutil/inforce.go
+++ b/pkg/cmdutil/inforce.go
@@ -15,7 +15,7 @@
 
 // ChangeOutcome is the JSON output of commands that change the configuration.
 type ChangeOutcome struct {
-	operatorapi.Accepted
+	operatorapi.ChangeResult
 	InForce int `json:"inForce"`
 	Total   int `json:"total"`
 }
@@ -24,10 +24,10 @@
 // fields. If that takes longer than flags.Wait, it returns a [NotInForceError]; the change remains
 // accepted.
 func FinishChange(ctx context.Context, streams *iostreams.IOStreams, client *operatorapi.Client,
-	flags Change, output Output, accepted operatorapi.Accepted,
+	flags Change, output Output, accepted operatorapi.ChangeResult,
 ) error {
 	status, err := waitInForce(ctx, streams, client, flags.Wait, accepted.Version)
-	outcome := ChangeOutcome{Accepted: accepted, InForce: status.InForce, Total: status.Total}
+	outcome := ChangeOutcome{ChangeResult: accepted, InForce: status.InForce, Total: status.Total}
 	if printErr := output.Print(streams, outcome, ChangeTable(accepted.Changes)); printErr != nil {
 		return printErr
 	}
--- a/pkg/cmdutil/plan.go
+++ b/pkg/cmdutil/plan.go
@@ -14,7 +14,7 @@
 	// PrintPlan prints the effect that the change will have on cfg.
 	PrintPlan func(cfg pollenspindle.Config)
 	// Submit sends the change to the instance.
-	Submit func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.Accepted, error)
+	Submit func(client *operatorapi.Client, req operatorapi.ChangeRequest) (operatorapi.ChangeResult, error)
 }
 
 // RunChange prints the effect of a change, submits it and waits until it is in force; see
