--- a/internal/enginecommand/enginecommand.go
+++ b/internal/enginecommand/enginecommand.go
@@ -1,7 +1,7 @@
 // Package enginecommand sends commands to the model engines that this instance owns: to load a
 // version of a model. Each command has a fencing token from the platform, an engine gets one
-// command at a time, and the engine's state is read before and after. Package order decides when a
-// command may be sent.
+// command at a time, and the engine's state is read before and after. Package commandlock decides
+// when a command may be sent.
 //
 // # Usage
 //
--- a/internal/operator/accepted/accepted.go
+++ b/internal/operator/accepted/accepted.go
@@ -29,8 +29,8 @@
 // Fleet queries the configuration versions of the entry instances.
 type Fleet interface {
 	// ConfigVersions returns the last known version of each live instance, including this one. It
-	// first queries the instances that aren't known to have version atLeast.
-	ConfigVersions(ctx context.Context, atLeast int64) ([]int64, error)
+	// first queries the instances that aren't known to have minVersion.
+	ConfigVersions(ctx context.Context, minVersion int64) ([]int64, error)
 }
 
 // Config implements [operator.Config].
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -27,7 +27,7 @@
 	// halfLife is the half-life of the weight of an answer.
 	halfLife = 2 * time.Second
 	// ejectRatio is the minimum likelihood ratio at which a server is ejected; see
-	// package evidence.
+	// package likelihood.
 	ejectRatio = 12.0
 	// minOtherAnswers is the minimum number of answers of other servers for a comparison.
 	minOtherAnswers = 10.0
--- a/internal/outlierpeer/peer_test.go
+++ b/internal/outlierpeer/peer_test.go
@@ -17,7 +17,7 @@
 	"pollenspindle.example/pollenspindle/internal/platformstate"
 )
 
-// newZone starts the instances of one availability newZone.
+// newZone starts the instances of one availability zone.
 func newZone(t *testing.T, ids ...string) []*Peer {
 	key, err := peer.NewKey(base64.StdEncoding.EncodeToString([]byte(strings.Repeat("k", 32))))
 	require.NoError(t, err)
@@ -57,7 +57,7 @@
 	}
 }
 
-// Guards against missing a failing server because each instance of the newZone sees too
+// Guards against missing a failing server because each instance of the zone sees too
 // few of its answers.
 func TestInstancesOfAZoneDetectAFailingServer(t *testing.T) {
 	peers := newZone(t, "i1", "i2", "i3", "i4")
--- a/internal/peer/operator.go
+++ b/internal/peer/operator.go
@@ -21,7 +21,7 @@
 
 // LoadModel asks the peer to send a load command to a model engine that it owns.
 func (c *Client) LoadModel(ctx context.Context, req *peerv1.LoadModelRequest) (*peerv1.LoadModelResponse, error) {
-	res, err := c.orders.LoadModel(ctx, req)
+	res, err := c.engineCommands.LoadModel(ctx, req)
 	return res, convertError(err)
 }
 
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -64,9 +64,9 @@
 	client, url := &http.Client{Transport: p.transport}, "http://"+address
 	options := connect.WithClientOptions(p.options, connect.WithInterceptors(traceCalls(), sign(p.key, p.self)))
 	return &Client{
-		rpc:     peerv1connect.NewPeerServiceClient(client, url, options),
-		queries: peerv1connect.NewQueryServiceClient(client, url, options),
-		orders:  peerv1connect.NewOrderServiceClient(client, url, options),
+		rpc:            peerv1connect.NewPeerServiceClient(client, url, options),
+		queries:        peerv1connect.NewQueryServiceClient(client, url, options),
+		engineCommands: peerv1connect.NewOrderServiceClient(client, url, options),
 	}
 }
 
@@ -88,9 +88,9 @@
 // Client calls one peer. The timeout is that of the context. Errors are
 // [ErrUnreachable], [ErrRejected] or [ErrUnauthenticated].
 type Client struct {
-	rpc     peerv1connect.PeerServiceClient
-	queries peerv1connect.QueryServiceClient
-	orders  peerv1connect.OrderServiceClient
+	rpc            peerv1connect.PeerServiceClient
+	queries        peerv1connect.QueryServiceClient
+	engineCommands peerv1connect.OrderServiceClient
 }
 
 // Heartbeat tells the peer that the sender is running.
--- a/internal/serve/adapters.go
+++ b/internal/serve/adapters.go
@@ -56,8 +56,8 @@
 type configVersions struct{ members *member.Member }
 
 // ConfigVersions implements accepted.Fleet.
-func (f configVersions) ConfigVersions(ctx context.Context, atLeast int64) ([]int64, error) {
-	f.members.RefreshVersions(ctx, atLeast)
+func (f configVersions) ConfigVersions(ctx context.Context, minVersion int64) ([]int64, error) {
+	f.members.RefreshVersions(ctx, minVersion)
 	return slices.Collect(maps.Values(f.members.ConfigVersions())), nil
 }
 
